--- a/railsail/quarantine/__init__.py
+++ b/railsail/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that end the replicas that run them, and are kept from replicas for a while."""
+"""Quarantine for requests that crash the replicas that run them."""
--- a/railsail/quarantine/ledger.py
+++ b/railsail/quarantine/ledger.py
@@ -1,8 +1,8 @@
-"""The same in the store, for nodes that cannot reach their peers, and for those that start anew.
+"""The quarantine in the store, for nodes that cannot reach their peers and nodes that start.
 
-One object holds the ends that matter: those under which at least two replicas ended. Whoever has
-seen such an end itself adds it by a conditional update, so that nothing is lost where several write
-at once. A crash that takes a host along writes nothing: its requests have one end each.
+One object holds the crashes of requests with at least two of them. A node that observed such a
+crash adds it by a conditional update, so that nothing is lost if several nodes write at once. The
+failure of a host adds nothing, since each of its requests has one crash only.
 """
 
 import asyncio
@@ -23,21 +23,24 @@
 
 KIND = "quarantine"
 NAME = "requests"
-# Requests under which fewer replicas ended are not written down.
+# Requests with fewer crashes are not stored.
 ENDS_TO_WRITE = 2
-# A node that cannot reach its peers is the only one that can tell of what it sees.
+# The same for a node that cannot reach its peers: no other node learns of its crashes otherwise.
 ENDS_TO_WRITE_ALONE = 1
-# News of ends come in groups; so many seconds are waited for the rest of a group.
+# Crashes come in groups: a node waits this long before it writes, to store a group at once.
 GATHER_SECONDS = 0.05
 FIRST_PAUSE_SECONDS = 0.1
 MOST_PAUSE_SECONDS = 2.0
-# A watch of these objects lasts so long. Peers tell each other at once; what only the store knows
-# comes with the watch, and one that has died unnoticed is made good by those of other nodes.
+# Duration of a watch of these objects. Peers send each other crashes at once, so that the watch
+# only brings those that no peer sent. A watch that fails unnoticed is made up for by other nodes'.
 WATCH_SECONDS = 10.0
 
 
 class StoredEnd(msgspec.Struct, frozen=True):
-    """The end of a replica; ``at`` is in milliseconds since the Unix epoch."""
+    """The crash of a replica; ``at`` is in milliseconds since the Unix epoch.
+
+    ``life`` is the start id of the replica.
+    """
 
     replica: str
     life: int
@@ -47,13 +50,13 @@
 
 
 class StoredQuarantine(msgspec.Struct, frozen=True):
-    """The value of the object."""
+    """The value of the stored object: the crashes."""
 
     ends: list[StoredEnd] = []
 
 
 class Entry(msgspec.Struct, frozen=True):
-    """That a replica ended while it ran ``request``, and whether that one is cleared of it."""
+    """One request of a stored crash, and whether it is cleared of that crash."""
 
     replica: str
     life: int
@@ -62,9 +65,9 @@
 
 
 class QuarantineLedger:
-    """Write what this node has seen, and read what others wrote.
+    """Store the crashes that this node observed, and read those that others stored.
 
-    ``alone`` says whether this node has no peers that would tell others of it.
+    ``alone`` returns True if this node has too few peers to inform the others.
     """
 
     def __init__(
@@ -86,20 +89,20 @@
         quarantine.on_change(self._changed)
 
     def stop(self) -> None:
-        """Write nothing any more."""
+        """Cancel pending writes."""
         self._tasks.cancel()
 
     def listed(self, listing: Listing) -> None:
-        """Take in a listing of the store."""
+        """Apply a listing of the store."""
         for stored in listing.objects:
             self._read(stored.name, stored.value)
         if all(stored.name != NAME for stored in listing.objects):
-            # A store that came back from a copy may have lost it.
+            # A store that was restored from a backup may have lost the object.
             self._written = set()
             self._changed()
 
     def seen(self, event: WatchEvent) -> None:
-        """Take in a watch event of the store."""
+        """Apply a watch event of the store."""
         self._read(event.name, event.value)
 
     def _read(self, name: str, value: dict[str, object] | None) -> None:
@@ -113,11 +116,11 @@
             return
         self._written = _entries(stored)
         self._quarantine.merge(ends, "")
-        # What others wrote may make that matter which only this node has seen.
+        # With the crashes of others, a request of this node's may now have enough to be stored.
         self._changed()
 
     def _from_stored(self, end: StoredEnd) -> ReplicaEnd:
-        # Times of day differ between nodes, but no end is yet to come.
+        # The wall clocks of nodes differ, but no crash lies in the future.
         age = max(0.0, self._clock.wall() - end.at / 1000)
         requests = frozenset(int(word, 16) for word in end.requests)
         cleared = frozenset(int(word, 16) for word in end.cleared)
@@ -130,15 +133,15 @@
             self._tasks.start(self._write_all())
 
     def _unwritten(self) -> bool:
-        """Say whether the store lacks anything that this node has seen itself."""
+        """Return True if the store lacks a crash or clearing that this node observed."""
         missing = _entries(self._wanted()) - self._written
         return any((entry.replica, entry.life) in self._quarantine.seen_here for entry in missing)
 
     def _wanted(self) -> StoredQuarantine:
-        """Return what this node would have the store hold."""
+        """Return the value that the stored object should have."""
         least = ENDS_TO_WRITE_ALONE if self._alone() else ENDS_TO_WRITE
         blamed = {standing.request for standing in self._quarantine.standings(least)}
-        # What was written and is cleared since must be seen to be cleared.
+        # Stored requests stay included, so that a later clearing of them is stored too.
         blamed |= {int(entry.request, 16) for entry in self._written}
         ends = [end for end in self._quarantine.table.ends() if end.requests & blamed]
         return StoredQuarantine([self._to_stored(end, blamed) for end in ends])
@@ -173,9 +176,9 @@
             self._take(StoredObject(KIND, NAME, version, value))
             self._backoff.reset()
         except StoreConflict:
-            get_logger().info("quarantine written by another node meanwhile")
+            get_logger().info("quarantine was updated by another node at the same time")
         except StoreUnavailable as problem:
-            get_logger().info("quarantine not written yet", reason=str(problem))
+            get_logger().info("quarantine could not be stored", reason=str(problem))
             await asyncio.sleep(self._backoff.pause())
 
     def _take(self, stored: StoredObject | None) -> None:
@@ -186,7 +189,7 @@
 
 
 def _entries(stored: StoredQuarantine) -> set[Entry]:
-    """Return each pair of an end and a request that ``stored`` holds."""
+    """Return each pair of a crash and a request in ``stored``."""
     return {
         Entry(end.replica, end.life, word, word in end.cleared)
         for end in stored.ends
--- a/railsail/quarantine/observer.py
+++ b/railsail/quarantine/observer.py
@@ -1,9 +1,9 @@
-"""Find out whether a replica whose call broke off has ended, and what ran on it.
+"""Detect whether a replica whose call broke off has crashed, and which requests ran on it.
 
-A connection that ends says little: connections are reset, answers are cut short, and replicas are
-cut off from some nodes. A replica has ended if its port refuses connections just after it broke off
-a call, or if it says that it has started again since. A port that does not answer at all says
-nothing of the process behind it.
+A lost connection is weak evidence: connections are reset, answers are cut short, and replicas lose
+the network to some nodes. A replica has crashed if its port refuses connections right after a call
+broke off, or if the replica reports that it has restarted since. A port that does not answer at all
+says nothing about the process behind it.
 """
 
 import asyncio
@@ -18,22 +18,25 @@
 from railsail.upstreams.directory import UpstreamDirectory
 from railsail.upstreams.records import Upstream
 
-# A port that nobody listens at refuses within a round trip: 40 ms between the regions of one fleet.
-# Repeats of the request wait for the first look, so that it must not take much longer.
+# A port on which no process listens refuses within a round trip, which takes 40 ms between the
+# regions of one fleet. Retries of the request wait for this first probe, so that it must not take
+# much longer.
 FIRST_LOOK_SECONDS = 0.05
-# A process that is being killed may accept for a moment after it has closed its connections, and
-# answers may be lost: so long after the first look are two more, each of so many seconds at most. A
-# replica takes a second or more to come back.
+# Delays before the second and the third probe, and the timeout of each. A process that is being
+# killed may still accept connections shortly after it has closed its own, and an answer to a probe
+# may be lost. A replica takes a second or more to restart, so that all probes come before that.
 LATER_LOOKS_AFTER_SECONDS = (0.1, 0.3)
 LATER_LOOK_SECONDS = 0.25
-# Calls that broke off so long before belong to the same end: their callers notice within this time.
+# Calls that broke off up to this long before are part of the same crash: all callers notice it
+# within this time.
 NOTED_SECONDS = 1.0
 
 
 class EndObserver:
-    """Watch the calls that break off; ``calls_on`` gives the requests that run on a replica.
+    """Check the replicas of calls that broke off, and report crashes to the quarantine.
 
-    Its second argument leaves out those that were sent after that time.
+    ``calls_on`` returns the fingerprints of the requests in flight on a replica that were sent no
+    later than the given time.
     """
 
     def __init__(
@@ -48,32 +51,32 @@
         self._calls_on = calls_on
         self._clock = kernel.clock
         self._tasks = TaskSet()
-        # When each request broke off or was given up, by replica.
+        # By replica, when the call of each request broke off or its caller left.
         self._noted: dict[str, dict[int, float]] = {}
         self._checked: set[str] = set()
-        # Replicas that are looked at for the first time since they broke off a call.
+        # Replicas whose first probe since they broke off a call is running.
         self._first_looks: set[str] = set()
         directory.on_rebirth(self._reborn)
 
     def stop(self) -> None:
-        """End all checks."""
+        """Cancel all checks."""
         self._tasks.cancel()
 
     def checks(self, request: int) -> bool:
-        """Say whether it will be known in a moment if a replica has ended under ``request``."""
+        """Return True if a probe is running that may show a crash under ``request``."""
         return any(request in self._noted.get(replica, ()) for replica in self._first_looks)
 
     def broke_off(self, replica: str, request: int) -> None:
-        """Take note that ``replica`` broke off its answer to ``request``."""
+        """Record that ``replica`` broke off its answer to ``request``, and check the replica."""
         self._note(replica, request)
         if replica not in self._checked:
             self._first_looks.add(replica)
         self._start_check(replica)
 
     def given_up(self, replica: str, request: int) -> None:
-        """Take note that the caller of ``request`` left before ``replica`` began its answer.
+        """Record that the caller of ``request`` left before ``replica`` started its answer.
 
-        Nobody waits for an answer that would break off; the replica may end all the same.
+        The call has ended and cannot break off any more, but the replica may still crash.
         """
         self._note(replica, request)
         self._start_check(replica)
@@ -125,7 +128,7 @@
 
 
 async def refuses(endpoint: str, seconds: float) -> bool:
-    """Say whether nobody listens at ``endpoint``, as its host answers within ``seconds``."""
+    """Return True if ``endpoint`` refuses a connection within ``seconds``."""
     target = parse_endpoint(endpoint)
     try:
         stream = await open_stream(target.ip, target.port, seconds)
--- a/railsail/quarantine/service.py
+++ b/railsail/quarantine/service.py
@@ -1,8 +1,8 @@
-"""What this node knows of requests that end replicas, and how nodes tell each other.
+"""The quarantine of this node, and its exchange of crashes with other nodes.
 
-Each end is told at once to the neighbours, which pass it on; whoever has a new link, or hears by a
-heartbeat that the other side knows something else, tells all it has. Nodes that cannot reach their
-peers read the same in the store (see ``railsail.quarantine.ledger``).
+A crash is broadcast to the neighbours at once, and they forward it. A node sends all its crashes
+over each new link, and to a neighbour whose heartbeat shows another digest. Nodes that cannot reach
+their peers read the crashes in the store (see ``railsail.quarantine.ledger``).
 """
 
 import math
@@ -18,37 +18,40 @@
 from railsail.peers.records import ReplicaEndRecord
 from railsail.quarantine.table import EndKey, QuarantineTable, ReplicaEnd, SuspectRequest
 
-# A node whose heartbeats say that it knows something else is told all so often at most: news of
-# single ends are on their way meanwhile, and all of it may be 75 KB.
+# Minimum time between two messages with all crashes to a node whose digest differs. Updates about
+# single crashes may still be on their way to it, and a message with all of them can have 75 KB.
 TELL_AGAIN_SECONDS = 2.0
 
 
 class Quarantine:
-    """Keep requests that end replicas away from them; ``flood`` tells all neighbours but one."""
+    """Decide which requests may not run because they crash replicas.
+
+    ``flood`` sends an update to all neighbours but the given one.
+    """
 
     def __init__(
         self, flood: Callable[[QuarantineNews, str], None], hub: PeerHub, kernel: Kernel
     ) -> None:
         self.table = QuarantineTable()
-        # What this node has seen itself, and did not hear of from others.
+        # The crashes that this node observed itself, as opposed to those received from peers.
         self.seen_here: set[EndKey] = set()
         self._flood = flood
         self._hub = hub
         self._clock = kernel.clock
         self._events = kernel.events
         self._metrics = kernel.metrics
-        # When each node was told all because its heartbeat said something else.
+        # When each node was last sent all crashes because its digest differed.
         self._told_at: dict[str, float] = {}
         self._listeners: list[Callable[[], None]] = []
         hub.handle(QuarantineNews, self._received)
         hub.on_up(self._link_up)
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Call ``listener`` when something is new that this node has seen itself."""
+        """Call ``listener`` after this node recorded a crash or a clearing that it observed."""
         self._listeners.append(listener)
 
     def refusal(self, request: int) -> NotRun | None:
-        """Return why ``request`` is not run now, or ``None`` if it may be."""
+        """Return the outcome of ``request`` if it is quarantined now, and ``None`` otherwise."""
         if not self.table.known(request):
             return None
         standing = self.table.standing(request)
@@ -59,11 +62,11 @@
         return NotRun(Reason.QUARANTINED, detail, retry_after=left, come_back=left)
 
     def suspected(self, request: int) -> bool:
-        """Say whether a replica ended while it ran ``request``, which has not been served since."""
+        """Return True if a replica crashed under ``request``, which was not served here since."""
         return self.table.suspected(request)
 
     def tell_refused(self, request_id: str, workspace: str, request: int) -> None:
-        """Put on the time line why a request was not run."""
+        """Log that a request was refused because it is quarantined."""
         standing = self.table.standing(request)
         left = standing.held_until - self._clock.monotonic()
         self._metrics.quarantined.inc({"workspace": workspace})
@@ -78,7 +81,7 @@
         )
 
     def ended(self, end: ReplicaEnd) -> None:
-        """Take in that a replica has ended, as this node has seen."""
+        """Record a crash that this node observed, and broadcast it."""
         new = self.table.ended(end, self._clock.monotonic())
         if new is None:
             return
@@ -90,13 +93,13 @@
         self._tell_seen([new])
 
     def served(self, request: int) -> None:
-        """Take note that ``request`` was served whole, so that it ends no replicas."""
+        """Record that ``request`` was served to its end, which clears it of earlier crashes."""
         ends = self.table.served(request, self._clock.monotonic())
         if ends:
             self._cleared(request, ends, "it was served")
 
     def lift(self, request: int) -> bool:
-        """Let an operator clear ``request``; say whether anything counted against it."""
+        """Clear ``request`` for an operator; return True if any crash counted against it."""
         ends = self.table.clear(request, self._clock.monotonic())
         if ends:
             self._cleared(request, ends, "an operator lifted it")
@@ -109,7 +112,7 @@
         self._tell_seen(ends)
 
     def _tell_seen(self, ends: list[ReplicaEnd]) -> None:
-        """Tell all of what this node has seen itself."""
+        """Broadcast crashes or clearings that this node observed, and notify the listeners."""
         kept = {end.key for end in self.table.ends()}
         self.seen_here = (self.seen_here & kept) | {end.key for end in ends}
         self._flood(self._news(ends), "")
@@ -117,7 +120,7 @@
             listener()
 
     def merge(self, ends: Iterable[ReplicaEnd], source: str) -> None:
-        """Take in what the node ``source`` or, if that is empty, the store says."""
+        """Merge crashes received from the node ``source``, or from the store if that is empty."""
         now = self._clock.monotonic()
         merged = [self.table.merge(end, now) for end in ends]
         new = [end for end in merged if end is not None]
@@ -128,7 +131,7 @@
         self._flood(self._news(new), source)
 
     def _tell_held(self, end: ReplicaEnd) -> None:
-        """Put on the time line which requests are held from now on, since ``end`` is known."""
+        """Log which of the requests of ``end`` are quarantined now."""
         now = self._clock.monotonic()
         standings = [self.table.standing(request) for request in end.requests]
         for standing in standings:
@@ -142,11 +145,11 @@
                 )
 
     def standings(self, least: int = 1) -> list[SuspectRequest]:
-        """Return the requests under which ``least`` replicas ended, those with most ends first."""
+        """Return the requests with at least ``least`` crashes, those with the most first."""
         return self.table.standings(least)
 
     def compare(self, node: str, heartbeat: Heartbeat) -> None:
-        """Tell ``node`` all that is known here, if its heartbeat says that it knows otherwise."""
+        """Send all crashes to ``node`` if the digest in its heartbeat differs from this node's."""
         now = self._clock.monotonic()
         lately = now - self._told_at.get(node, -math.inf) < TELL_AGAIN_SECONDS
         if heartbeat.quarantine == self.table.digest or lately:
--- a/railsail/quarantine/table.py
+++ b/railsail/quarantine/table.py
@@ -1,17 +1,20 @@
-"""Which replicas ended, which requests ran on them, and what follows for these requests.
+"""The crashes of replicas, the requests that ran on them, and which of these are quarantined.
 
-The load that this answers: a request ends each replica that begins to run it, and comes again and
-again, under other ids and at any node. Each replica that ends takes along all that it runs, so that
-one caller takes the pool from all others: 94 engines of nine in 24 s, at one send in 0.4 s.
+Some requests crash every replica that starts to run them, and their callers send them again and
+again, with other ids and through any node. Each crash also fails all other requests on the replica,
+so that a single caller can take a whole pool away from the others: a caller that sent such a
+request every 0.4 s crashed the engines of a pool of nine 94 times in 24 s.
 
-What tells the request that is to blame from those that only ran beside it:
+A request that causes crashes differs from those that only ran beside it:
 
-- It is among those of every replica that ended; the others are not, unless many ask for the same.
-- It is never served. Whatever is served whole ends no replicas; what many ask for is served often.
-- Where many replicas end in one moment, a host or a failure domain has failed. Only a request that
-  ran on all of them may be why.
+- It ran on every replica that crashed. Other requests did not, unless many callers send the same
+  one.
+- It is never served. A request that was served to its end crashes no replica, and one that many
+  callers send is served often.
+- If many replicas crash at the same time, a host or a failure domain has failed. Only a request
+  that ran on all of them can be the cause.
 
-Nodes merge what they know by union, so that repeats and reorderings do no harm.
+Nodes merge their tables by union, so that duplicated and reordered updates do no harm.
 """
 
 import math
@@ -21,35 +24,37 @@
 
 import msgspec
 
-# A request is held back once so many replicas have ended under it. After two it may be chance: of
-# requests that were cut off twice in a pool whose replicas crash at random, some are served by
-# their third attempt.
+# A request is quarantined after this many crashes of replicas that ran it. Two may be chance: in a
+# pool whose replicas crash at random, some requests that were cut off twice are served by their
+# third attempt.
 ENDS_TO_HOLD = 3
-# Where fewer replicas ended under a request that is served, only this node takes note of that: each
-# of the dozens that a replica takes along would be told of otherwise, and none is near to be held.
+# That a request was served is broadcast only if at least this many replicas crashed while they ran
+# it. A crash cuts off dozens of requests, which would otherwise cause a message each although none
+# of them is close to being quarantined.
 ENDS_TO_TELL = 2
-# For so many seconds a request is held back first; each replica that ends under it after that
-# doubles the time. A replica is back after some seconds, so that a request which is tried again
-# every two minutes costs a pool of five a hundredth of its time.
+# How long the first quarantine of a request lasts; each further crash doubles it. A replica
+# restarts within some seconds, so that a request which is retried every two minutes costs a pool of
+# five a hundredth of its time.
 HOLD_SECONDS = 120.0
 MOST_HOLD_SECONDS = 3600.0
-# For so many seconds the end of a replica counts.
+# Crashes are forgotten after this time.
 KEPT_SECONDS = 3600.0
-# Ends that are kept; of more, the oldest that no held request needs are forgotten. With 64 requests
-# each, which is a large batch of an engine, they take half a megabyte, and 75 KB to tell them all.
+# Beyond this number of crashes, the oldest that concerns no quarantined request is dropped. With 64
+# requests each, a large batch of an engine, they take half a megabyte of memory, and a message with
+# all of them takes 75 KB.
 MOST_ENDS = 128
-# Requests that are told of one end: twice the largest batch of an engine.
+# Requests recorded for one crash: twice the largest batch of an engine.
 MOST_REQUESTS = 512
-# Ends so many seconds apart are of one moment: a host that fails takes its replicas along at once,
-# and their callers notice within this time.
+# Crashes at most this far apart are simultaneous: a host that fails takes all its replicas down at
+# once, and their callers notice within this time.
 MOMENT_SECONDS = 0.25
-# So many ends in one moment have a cause of their own, but for a request that ran on all of them.
-# Two may be two requests, each of which ends its replica.
+# This many simultaneous crashes are taken for the failure of a host, unless one request ran on all
+# of its replicas. Two may come from two requests that crash a replica each.
 MANY_ENDS = 3
-# A request that was served so lately is not why a replica ends.
+# A request that was served this recently is not blamed for a crash.
 SERVED_SECONDS = 30.0
-# Served requests that are remembered: those of ten seconds at 400 a second, in under a megabyte.
-# What many ask for is served again within that time.
+# Served requests that are remembered: those of ten seconds at 400 requests a second, in less than a
+# megabyte. A request that many callers send is served again within that time.
 MOST_SERVED = 4096
 
 EndKey = tuple[str, int]
@@ -57,11 +62,11 @@
 
 @dataclass(frozen=True)
 class ReplicaEnd:
-    """The end of a replica, at ``at`` seconds of this node's clock.
+    """The crash of a replica, ``at`` a time of this node's clock in seconds.
 
-    ``life`` is when the replica had started, in milliseconds since the Unix epoch, 0 where it does
-    not say so; ``requests`` are the fingerprints of what ran on it, of which those ``cleared`` are
-    not why it ended.
+    ``life`` is the start id of the replica: when it had started, in milliseconds since the Unix
+    epoch, or 0 if it does not report that. ``requests`` are the fingerprints of the requests that
+    ran on it; those in ``cleared`` are known not to have caused the crash.
     """
 
     replica: str
@@ -72,19 +77,19 @@
 
     @property
     def key(self) -> EndKey:
-        """Return what tells the end from others."""
+        """Return the key that identifies the crash."""
         return (self.replica, self.life)
 
     def joined(self, other: "ReplicaEnd") -> "ReplicaEnd":
-        """Return this end with all that ``other`` tells of the same."""
+        """Return the union of this record and ``other``, which is about the same crash."""
         requests = self.requests | other.requests
         return replace(self, requests=requests, cleared=self.cleared | other.cleared)
 
 
 class SuspectRequest(msgspec.Struct, frozen=True):
-    """What is known of one request: the replicas that ended under it, and until when it is held.
+    """A request that replicas crashed under: the crashes, and until when it is quarantined.
 
-    ``held_until`` is in seconds of this node's clock, 0 where it is not held.
+    ``held_until`` is in seconds of this node's clock, 0 if the request was never quarantined.
     """
 
     request: int
@@ -93,30 +98,33 @@
 
     @property
     def replicas(self) -> list[str]:
-        """Return the names of the replicas that ended, the first one first."""
+        """Return the names of the replicas that crashed, in order of time."""
         return [end.replica for end in self.ends]
 
 
 class QuarantineTable:
-    """Hold what one node knows; times are in seconds of its clock, which counts a suspension."""
+    """The crashes that one node has recorded, and the state of the requests that ran on them.
+
+    Times are in seconds of the node's clock, which goes on while the machine is suspended.
+    """
 
     def __init__(self) -> None:
         self._ends: OrderedDict[EndKey, ReplicaEnd] = OrderedDict()
-        # The ends that count against each request, unless they are of a moment with many ends.
+        # The crashes at which each request ran and was not cleared, simultaneous ones included.
         self._by_request: dict[int, set[EndKey]] = {}
         self._served_at: OrderedDict[int, float] = OrderedDict()
         self.digest = 0
 
     def ends(self) -> list[ReplicaEnd]:
-        """Return all ends that are kept."""
+        """Return all recorded crashes."""
         return list(self._ends.values())
 
     def known(self, request: int) -> bool:
-        """Say whether any replica ended while it ran ``request``."""
+        """Return True if a replica crashed while it ran ``request``, which is not cleared of it."""
         return request in self._by_request
 
     def standing(self, request: int) -> SuspectRequest:
-        """Return what is known of ``request``."""
+        """Return the crashes that count against ``request``, and its quarantine."""
         ends = sorted(self._counted(request), key=lambda end: (end.at, end.key))
         held_until = 0.0
         if len(ends) >= ENDS_TO_HOLD:
@@ -125,7 +133,7 @@
         return SuspectRequest(request, tuple(ends), held_until)
 
     def standings(self, least: int = 1) -> list[SuspectRequest]:
-        """Return the requests under which ``least`` replicas ended, those with most ends first."""
+        """Return the requests with at least ``least`` crashes, those with the most first."""
         candidates = [r for r, keys in self._by_request.items() if len(keys) >= least]
         found = [self.standing(request) for request in candidates]
         ended = [standing for standing in found if len(standing.ends) >= least]
@@ -142,9 +150,9 @@
         return len(together) < MANY_ENDS or all(request in other.requests for other in together)
 
     def ended(self, end: ReplicaEnd, now: float) -> ReplicaEnd | None:
-        """Take in an end that this node has seen itself, and return what is new of it.
+        """Record a crash that this node observed; return it merged, or ``None`` if nothing is new.
 
-        Requests that were served lately are left out.
+        Requests that were served recently are left out.
         """
         blamed = [r for r in end.requests if not self._was_served(r, now)]
         return self.merge(replace(end, requests=frozenset(blamed[:MOST_REQUESTS])), now)
@@ -154,7 +162,7 @@
         return served_at is not None and now - served_at <= SERVED_SECONDS
 
     def merge(self, end: ReplicaEnd, now: float) -> ReplicaEnd | None:
-        """Take in an end, and return the whole of it if anything about it is new."""
+        """Merge a crash into the table; return it merged, or ``None`` if nothing is new."""
         self._expire(now)
         if now - end.at > KEPT_SECONDS or not self._has_room(end, now):
             return None
@@ -188,9 +196,10 @@
                 self._drop(end.key)
 
     def _has_room(self, end: ReplicaEnd, now: float) -> bool:
-        """Say whether ``end`` may be kept, and forget an older one for it where there are many.
+        """Return True if ``end`` can be recorded; drop an older crash if the table is full.
 
-        All nodes keep the newest: whoever took in what another one forgot would be told it again.
+        All nodes keep the newest crashes. Otherwise nodes would send each other again and again
+        what the receiver had dropped.
         """
         if end.key in self._ends or len(self._ends) < MOST_ENDS:
             return True
@@ -203,7 +212,7 @@
         return True
 
     def served(self, request: int, now: float) -> list[ReplicaEnd]:
-        """Take note that ``request`` was served whole; return the ends that it is cleared of."""
+        """Record that ``request`` was served to its end; return the crashes it is cleared of."""
         self._served_at.pop(request, None)
         self._served_at[request] = now
         if len(self._served_at) > MOST_SERVED:
@@ -213,16 +222,17 @@
         return self.clear(request, now)
 
     def suspected(self, request: int) -> bool:
-        """Say whether a replica ended under ``request``, which was not served here since then."""
+        """Return True if a crash counts against ``request`` and it was not served here since."""
         if request not in self._by_request:
             return False
         ends = self.standing(request).ends
         return bool(ends) and ends[-1].at > self._served_at.get(request, -math.inf)
 
     def clear(self, request: int, now: float) -> list[ReplicaEnd]:
-        """Let no end until now count against ``request``, and return those that did.
+        """Clear ``request`` of all crashes up to now, and return those that counted against it.
 
-        A clearing names its ends: told as a moment it would be later at each node that hears of it.
+        A clearing names its crashes. If it were sent as a time instead, each hop would make that
+        time later, so that nodes would take it for a new clearing and forward it without end.
         """
         ends = [self._ends[key] for key in self._by_request.get(request, ())]
         cleared = [replace(end, cleared=end.cleared | {request}) for end in ends]
--- a/railsail/quarantine/trials.py
+++ b/railsail/quarantine/trials.py
@@ -1,4 +1,4 @@
-"""What dispatchers learn of requests from calls that end, and which may be tried now."""
+"""The dispatchers' side of the quarantine: reported results of calls, and tickets to hold back."""
 
 from railsail.quarantine.observer import EndObserver
 from railsail.quarantine.service import Quarantine
@@ -9,20 +9,21 @@
 
 
 class Trials:
-    """Tell the ends of calls to those who watch for replicas that end under requests."""
+    """Pass results of calls to the quarantine, and check tickets for requests under suspicion."""
 
     def __init__(self, quarantine: Quarantine, ends: EndObserver) -> None:
         self._quarantine = quarantine
         self._ends = ends
 
     def undecided(self, request: int) -> bool:
-        """Say whether it will be known in a moment if a replica has ended under ``request``."""
+        """Return True if a probe is running that may show a crash under ``request``."""
         return self._ends.checks(request)
 
     def is_second(self, dispatcher: CellDispatcher, ticket: Ticket) -> bool:
-        """Say whether ``ticket`` asks to run beside another of a request that may end replicas.
+        """Return True if ``ticket`` is for a suspect request of which another ticket is here.
 
-        One at a time shows whether it does, and costs one replica at most.
+        Run one at a time, a suspect request shows whether it crashes replicas, and costs one at
+        most.
         """
         if not self._quarantine.suspected(ticket.fingerprint):
             return False
@@ -30,7 +31,7 @@
         return not known and dispatcher.holds(ticket.fingerprint)
 
     def ended(self, flight: Flight | None, result: CallResult) -> None:
-        """Take note of what the end of a call tells of its request."""
+        """Record the result of a call for the quarantine of its request."""
         if flight is None or not flight.fingerprint or not flight.replica:
             return
         if result is CallResult.GOOD:
--- a/tests/quarantine/test_service.py
+++ b/tests/quarantine/test_service.py
@@ -1,4 +1,4 @@
-"""How nodes tell each other, over links on which each message takes its time."""
+"""How nodes exchange crashes and clearings over links with latency."""
 
 import random
 import unittest
@@ -15,7 +15,7 @@
 
 NODES = ["a", "b", "c", "d", "e"]
 LINK_SECONDS = 0.003
-# Each node tells its neighbours of each end and each clearing once, and no more.
+# Each node sends each crash and each clearing to its neighbours once.
 MOST_MESSAGES = len(NODES) ** 2 * (ENDS_TO_HOLD + 1)
 HARMFUL = 7
 
@@ -72,7 +72,7 @@
         return True
 
 
-class NewsTests(unittest.TestCase):
+class UpdateTests(unittest.TestCase):
     def setUp(self):
         self.links = Links()
         for number in range(ENDS_TO_HOLD):
@@ -80,12 +80,12 @@
             self.links.carry_all()
             self.links.clock.advance(1.0)
 
-    def test_all_hold_what_ends_that_several_have_seen(self):
+    def test_request_whose_crashes_were_seen_by_several_nodes_is_quarantined_by_all(self):
         self.assertTrue(all(self.links.held()))
 
-    def test_clearing_reaches_all_and_its_news_come_to_rest(self):
-        """Where a clearing was told as a moment, each way made it later, and it never came to rest:
-        five nodes passed it on for good, and a fleet of nine spent all its time on it.
+    def test_clearing_reaches_all_nodes_and_is_not_forwarded_without_end(self):
+        """Guards against clearings sent as a time, which each hop made later: five nodes forwarded
+        such a clearing for ever, and a fleet of nine spent all its time on it.
         """
         self.links.nodes["c"].served(HARMFUL)
         self.links.carry_all()
@@ -93,8 +93,8 @@
         self.assertLessEqual(self.links.carried, MOST_MESSAGES)
         self.assertFalse(any(self.links.held()))
 
-    def test_what_ran_beside_it_and_is_served_is_no_news(self):
-        """Each of the dozens that a replica takes along was told of to all, when it was served."""
+    def test_served_request_with_a_single_crash_sends_no_message(self):
+        """A crash cuts off dozens of requests; each of them was broadcast when it was served."""
         node = self.links.nodes["c"]
         self.assertTrue(node.suspected(101))
         before = self.links.carried
@@ -103,14 +103,14 @@
         self.assertEqual(self.links.carried, before)
         self.assertFalse(node.suspected(101))
 
-    def test_two_that_clear_it_at_once_come_to_rest(self):
+    def test_two_clearings_at_the_same_time_are_not_forwarded_without_end(self):
         for name in ("a", "d"):
             self.links.nodes[name].served(HARMFUL)
         self.links.carry_all()
         self.assertEqual(len(self.links.sent), 0)
         self.assertFalse(any(self.links.held()))
 
-    def test_sums_agree_afterwards_so_that_heartbeats_tell_nothing_more(self):
+    def test_digests_agree_after_a_clearing_so_that_heartbeats_cause_no_messages(self):
         self.links.nodes["c"].served(HARMFUL)
         self.links.carry_all()
         digests = {node.table.digest for node in self.links.nodes.values()}
@@ -118,7 +118,7 @@
         self.links.nodes["a"].compare("b", Heartbeat(0, 0, 0, quarantine=digests.pop()))
         self.assertEqual(len(self.links.sent), 0)
 
-    def test_node_that_was_away_is_told_by_the_first_heartbeat(self):
+    def test_node_that_was_away_is_sent_all_crashes_after_its_first_heartbeat(self):
         away = self.links.nodes["e"]
         away.table = type(away.table)()
         self.links.nodes["a"].compare("e", Heartbeat(0, 0, 0, quarantine=away.table.digest))
--- a/tests/quarantine/test_table.py
+++ b/tests/quarantine/test_table.py
@@ -1,4 +1,4 @@
-"""Which request is blamed for the end of replicas, and what clears it."""
+"""Which request is blamed for crashes of replicas, and what clears it."""
 
 import random
 import unittest
@@ -26,7 +26,7 @@
         self.number = 0
 
     def end(self, *requests: int, after: float = 1.0) -> None:
-        """Let a replica end that runs ``requests``, ``after`` seconds."""
+        """Record the crash of a replica that ran ``requests``, ``after`` seconds from now."""
         self.now += after
         self.number += 1
         end = ReplicaEnd(f"i-{self.number}", 0, self.now, frozenset(requests))
@@ -37,37 +37,37 @@
 
 
 class BlameTests(TableTestCase):
-    def test_request_under_which_three_replicas_ended_is_held(self):
+    def test_request_is_quarantined_after_three_crashes(self):
         for number in range(ENDS_TO_HOLD):
             self.assertFalse(self.held(HARMFUL))
             self.end(HARMFUL, 100 + number, 200 + number)
         self.assertTrue(self.held(HARMFUL))
         self.assertFalse(self.held(100))
 
-    def test_same_end_told_twice_counts_once(self):
+    def test_crash_reported_several_times_counts_once(self):
         end = ReplicaEnd("i-1", 0, self.now, frozenset([HARMFUL]))
         for _ in range(ENDS_TO_HOLD):
             self.table.ended(end, self.now)
         self.assertEqual(len(self.table.standing(HARMFUL).ends), 1)
 
-    def test_lives_under_one_name_count_each(self):
+    def test_each_restart_of_a_replica_counts_as_a_crash_of_its_own(self):
         for life in range(ENDS_TO_HOLD):
             self.now += 1.0
             self.table.ended(ReplicaEnd("i-1", life + 1, self.now, frozenset([HARMFUL])), self.now)
         self.assertTrue(self.held(HARMFUL))
 
-    def test_request_that_many_ask_for_and_that_is_served_is_not_blamed(self):
+    def test_popular_request_that_was_just_served_is_not_blamed(self):
         self.table.served(POPULAR, self.now)
         for number in range(ENDS_TO_HOLD + 2):
             self.end(POPULAR, 100 + number)
         self.assertEqual(self.table.standing(POPULAR).ends, ())
 
-    def test_it_counts_only_as_long_as_it_was_served_lately(self):
+    def test_request_that_was_served_too_long_ago_is_blamed(self):
         self.table.served(POPULAR, self.now)
         self.end(POPULAR, after=SERVED_SECONDS + 1.0)
         self.assertEqual(len(self.table.standing(POPULAR).ends), 1)
 
-    def test_success_clears_of_all_ends_before(self):
+    def test_served_request_is_cleared_of_all_earlier_crashes(self):
         for _ in range(ENDS_TO_HOLD):
             self.end(POPULAR)
         self.assertTrue(self.held(POPULAR))
@@ -75,18 +75,18 @@
         self.assertEqual(len(cleared), ENDS_TO_HOLD)
         self.assertFalse(self.held(POPULAR))
 
-    def test_host_that_takes_its_replicas_along_blames_nobody_who_ran_on_a_part_of_them(self):
+    def test_host_failure_blames_no_request_that_ran_on_some_of_its_replicas_only(self):
         for number in range(10):
             shared = (POPULAR,) if number % 2 else ()
             self.end(100 + number, *shared, after=0.001)
         self.assertEqual(self.table.standing(POPULAR).ends, ())
 
-    def test_request_that_ran_on_all_of_them_may_be_why(self):
+    def test_request_that_ran_on_all_replicas_of_a_failure_is_blamed(self):
         for number in range(ENDS_TO_HOLD):
             self.end(HARMFUL, 100 + number, after=MOMENT_SECONDS / 10)
         self.assertTrue(self.held(HARMFUL))
 
-    def test_two_harmful_requests_at_once_are_both_held(self):
+    def test_two_harmful_requests_at_the_same_time_are_both_quarantined(self):
         for _ in range(ENDS_TO_HOLD):
             self.end(HARMFUL, after=1.0)
             self.end(OTHER, after=0.01)
@@ -95,7 +95,7 @@
 
 
 class TimeTests(TableTestCase):
-    def test_each_further_end_doubles_the_time(self):
+    def test_each_further_crash_doubles_the_quarantine(self):
         for _ in range(ENDS_TO_HOLD):
             self.end(HARMFUL)
         self.now += HOLD_SECONDS
@@ -104,20 +104,20 @@
         self.now += HOLD_SECONDS * 2 - 1.0
         self.assertTrue(self.held(HARMFUL))
 
-    def test_there_is_a_longest_time(self):
+    def test_quarantine_has_a_maximum_duration(self):
         for _ in range(20):
             self.end(HARMFUL)
         left = self.table.standing(HARMFUL).held_until - self.now
         self.assertEqual(left, MOST_HOLD_SECONDS)
 
-    def test_ends_are_forgotten(self):
+    def test_old_crashes_are_forgotten(self):
         self.end(HARMFUL)
         self.end(OTHER, after=KEPT_SECONDS + 1.0)
         self.assertFalse(self.table.known(HARMFUL))
 
 
 class BoundTests(TableTestCase):
-    def test_memory_is_bounded_and_keeps_what_is_held(self):
+    def test_table_is_bounded_and_keeps_the_crashes_of_quarantined_requests(self):
         for _ in range(ENDS_TO_HOLD):
             self.end(HARMFUL)
         self.now += 2 * MOMENT_SECONDS
@@ -126,8 +126,8 @@
         self.assertLessEqual(len(self.table.ends()), MOST_ENDS)
         self.assertTrue(self.held(HARMFUL))
 
-    def test_tables_that_are_full_come_to_agree(self):
-        """Where each took in what the other had forgotten, they would tell each other for good."""
+    def test_full_tables_converge(self):
+        """If each accepted what the other had dropped, they would exchange updates for ever."""
         tables = [QuarantineTable(), QuarantineTable()]
         ends = [
             ReplicaEnd(f"i-{n}", 0, self.now + n, frozenset([n])) for n in range(MOST_ENDS + 20)
@@ -147,7 +147,7 @@
 
 
 class MergeTests(unittest.TestCase):
-    def test_order_and_repeats_of_news_do_not_matter(self):
+    def test_order_and_repeats_of_updates_do_not_matter(self):
         rng = random.Random(7)
         ends = [
             ReplicaEnd(f"i-{n % 9}", n % 2, 1000.0 + n, frozenset(rng.sample(range(1, 20), 5)))
@@ -165,7 +165,7 @@
             standings.add(tuple((s.request, len(s.ends)) for s in table.standings()))
         self.assertEqual((len(digests), len(standings)), (1, 1))
 
-    def test_forgotten_table_has_the_digest_of_an_empty_one(self):
+    def test_table_whose_crashes_expired_has_the_digest_of_an_empty_one(self):
         table = QuarantineTable()
         table.merge(ReplicaEnd("i-1", 0, 1000.0, frozenset([HARMFUL])), 1000.0)
         table.clear(HARMFUL, 1001.0)
