--- a/benchmarks/quarantine.py
+++ b/benchmarks/quarantine.py
@@ -139,7 +139,9 @@
     """Play both runs, and print their figures."""
     configure_logs("critical", "benchmark")
     logging.getLogger("tornado").setLevel(logging.CRITICAL)
-    never = mock.patch.object(table, "MOST_REQUESTS", 0 if off else table.MOST_REQUESTS)
+    never = mock.patch.object(
+        table, "MAX_REQUESTS_PER_CRASH", 0 if off else table.MAX_REQUESTS_PER_CRASH
+    )
     with never:
         print("a request that ends engines", asyncio.run(_run(seconds, harmful=True)))
         print("engines that end by themselves", asyncio.run(_run(seconds, harmful=False)))
--- a/railsail/quarantine/table.py
+++ b/railsail/quarantine/table.py
@@ -27,60 +27,61 @@
 # A request is quarantined after this many crashes of replicas that ran it. Two may be chance: in a
 # pool whose replicas crash at random, some requests that were cut off twice are served by their
 # third attempt.
-ENDS_TO_HOLD = 3
+CRASHES_TO_QUARANTINE = 3
 # That a request was served is broadcast only if at least this many replicas crashed while they ran
 # it. A crash cuts off dozens of requests, which would otherwise cause a message each although none
 # of them is close to being quarantined.
-ENDS_TO_TELL = 2
+CRASHES_TO_BROADCAST = 2
 # How long the first quarantine of a request lasts; each further crash doubles it. A replica
 # restarts within some seconds, so that a request which is retried every two minutes costs a pool of
 # five a hundredth of its time.
-HOLD_SECONDS = 120.0
-MOST_HOLD_SECONDS = 3600.0
+INITIAL_QUARANTINE_SECONDS = 120.0
+MAX_QUARANTINE_SECONDS = 3600.0
 # Crashes are forgotten after this time.
-KEPT_SECONDS = 3600.0
+CRASH_RETENTION_SECONDS = 3600.0
 # Beyond this number of crashes, the oldest that concerns no quarantined request is dropped. With 64
 # requests each, a large batch of an engine, they take half a megabyte of memory, and a message with
 # all of them takes 75 KB.
-MOST_ENDS = 128
+MAX_CRASHES = 128
 # Requests recorded for one crash: twice the largest batch of an engine.
-MOST_REQUESTS = 512
+MAX_REQUESTS_PER_CRASH = 512
 # Crashes at most this far apart are simultaneous: a host that fails takes all its replicas down at
 # once, and their callers notice within this time.
-MOMENT_SECONDS = 0.25
+SIMULTANEOUS_SECONDS = 0.25
 # This many simultaneous crashes are taken for the failure of a host, unless one request ran on all
 # of its replicas. Two may come from two requests that crash a replica each.
-MANY_ENDS = 3
+HOST_FAILURE_CRASHES = 3
 # A request that was served this recently is not blamed for a crash.
-SERVED_SECONDS = 30.0
+RECENTLY_SERVED_SECONDS = 30.0
 # Served requests that are remembered: those of ten seconds at 400 requests a second, in less than a
 # megabyte. A request that many callers send is served again within that time.
-MOST_SERVED = 4096
+MAX_SERVED = 4096
 
-EndKey = tuple[str, int]
+CrashKey = tuple[str, int]
 
 
 @dataclass(frozen=True)
-class ReplicaEnd:
-    """The crash of a replica, ``at`` a time of this node's clock in seconds.
+class ReplicaCrash:
+    """The crash of a replica, at the time ``at`` of this node's clock in seconds.
 
-    ``life`` is the start id of the replica: when it had started, in milliseconds since the Unix
-    epoch, or 0 if it does not report that. ``requests`` are the fingerprints of the requests that
-    ran on it; those in ``cleared`` are known not to have caused the crash.
+    ``start_id`` identifies the process of the replica: it is the time when it had started, in
+    milliseconds since the Unix epoch, or 0 if the replica does not report that. ``requests`` are
+    the fingerprints of the requests that ran on it; those in ``cleared`` are known not to have
+    caused the crash.
     """
 
     replica: str
-    life: int
+    start_id: int
     at: float
     requests: frozenset[int]
     cleared: frozenset[int] = frozenset()
 
     @property
-    def key(self) -> EndKey:
+    def key(self) -> CrashKey:
         """Return the key that identifies the crash."""
-        return (self.replica, self.life)
+        return (self.replica, self.start_id)
 
-    def joined(self, other: "ReplicaEnd") -> "ReplicaEnd":
+    def union(self, other: "ReplicaCrash") -> "ReplicaCrash":
         """Return the union of this record and ``other``, which is about the same crash."""
         requests = self.requests | other.requests
         return replace(self, requests=requests, cleared=self.cleared | other.cleared)
@@ -93,13 +94,13 @@
     """
 
     request: int
-    ends: tuple[ReplicaEnd, ...]
+    ends: tuple[ReplicaCrash, ...]
     held_until: float
 
     @property
     def replicas(self) -> list[str]:
         """Return the names of the replicas that crashed, in order of time."""
-        return [end.replica for end in self.ends]
+        return [crash.replica for crash in self.ends]
 
 
 class QuarantineTable:
@@ -109,136 +110,142 @@
     """
 
     def __init__(self) -> None:
-        self._ends: OrderedDict[EndKey, ReplicaEnd] = OrderedDict()
+        self._crashes: OrderedDict[CrashKey, ReplicaCrash] = OrderedDict()
         # The crashes at which each request ran and was not cleared, simultaneous ones included.
-        self._by_request: dict[int, set[EndKey]] = {}
+        self._by_request: dict[int, set[CrashKey]] = {}
         self._served_at: OrderedDict[int, float] = OrderedDict()
         self.digest = 0
 
-    def ends(self) -> list[ReplicaEnd]:
+    def crashes(self) -> list[ReplicaCrash]:
         """Return all recorded crashes."""
-        return list(self._ends.values())
+        return list(self._crashes.values())
 
-    def known(self, request: int) -> bool:
+    def has_crashes(self, request: int) -> bool:
         """Return True if a replica crashed while it ran ``request``, which is not cleared of it."""
         return request in self._by_request
 
-    def standing(self, request: int) -> SuspectRequest:
+    def status(self, request: int) -> SuspectRequest:
         """Return the crashes that count against ``request``, and its quarantine."""
-        ends = sorted(self._counted(request), key=lambda end: (end.at, end.key))
+        crashes = sorted(self._counted_crashes(request), key=lambda crash: (crash.at, crash.key))
         held_until = 0.0
-        if len(ends) >= ENDS_TO_HOLD:
-            hold = HOLD_SECONDS * 2 ** (len(ends) - ENDS_TO_HOLD)
-            held_until = ends[-1].at + min(hold, MOST_HOLD_SECONDS)
-        return SuspectRequest(request, tuple(ends), held_until)
-
-    def standings(self, least: int = 1) -> list[SuspectRequest]:
-        """Return the requests with at least ``least`` crashes, those with the most first."""
-        candidates = [r for r, keys in self._by_request.items() if len(keys) >= least]
-        found = [self.standing(request) for request in candidates]
-        ended = [standing for standing in found if len(standing.ends) >= least]
-        return sorted(ended, key=lambda standing: (-len(standing.ends), standing.request))
-
-    def _counted(self, request: int) -> list[ReplicaEnd]:
-        ends = [self._ends[key] for key in self._by_request.get(request, ())]
-        return [end for end in ends if self._may_be_why(request, end)]
-
-    def _may_be_why(self, request: int, end: ReplicaEnd) -> bool:
-        together = [
-            other for other in self._ends.values() if abs(other.at - end.at) <= MOMENT_SECONDS
+        if len(crashes) >= CRASHES_TO_QUARANTINE:
+            duration = INITIAL_QUARANTINE_SECONDS * 2 ** (len(crashes) - CRASHES_TO_QUARANTINE)
+            held_until = crashes[-1].at + min(duration, MAX_QUARANTINE_SECONDS)
+        return SuspectRequest(request, tuple(crashes), held_until)
+
+    def suspects(self, min_crashes: int = 1) -> list[SuspectRequest]:
+        """Return the requests with at least ``min_crashes`` crashes, those with the most first."""
+        candidates = [r for r, keys in self._by_request.items() if len(keys) >= min_crashes]
+        found = [self.status(request) for request in candidates]
+        matching = [suspect for suspect in found if len(suspect.ends) >= min_crashes]
+        return sorted(matching, key=lambda suspect: (-len(suspect.ends), suspect.request))
+
+    def _counted_crashes(self, request: int) -> list[ReplicaCrash]:
+        crashes = [self._crashes[key] for key in self._by_request.get(request, ())]
+        return [crash for crash in crashes if self._may_be_cause(request, crash)]
+
+    def _may_be_cause(self, request: int, crash: ReplicaCrash) -> bool:
+        simultaneous = [
+            other
+            for other in self._crashes.values()
+            if abs(other.at - crash.at) <= SIMULTANEOUS_SECONDS
         ]
-        return len(together) < MANY_ENDS or all(request in other.requests for other in together)
+        return len(simultaneous) < HOST_FAILURE_CRASHES or all(
+            request in other.requests for other in simultaneous
+        )
 
-    def ended(self, end: ReplicaEnd, now: float) -> ReplicaEnd | None:
+    def record_crash(self, crash: ReplicaCrash, now: float) -> ReplicaCrash | None:
         """Record a crash that this node observed; return it merged, or ``None`` if nothing is new.
 
         Requests that were served recently are left out.
         """
-        blamed = [r for r in end.requests if not self._was_served(r, now)]
-        return self.merge(replace(end, requests=frozenset(blamed[:MOST_REQUESTS])), now)
+        blamed = [r for r in crash.requests if not self._was_recently_served(r, now)]
+        return self.merge(replace(crash, requests=frozenset(blamed[:MAX_REQUESTS_PER_CRASH])), now)
 
-    def _was_served(self, request: int, now: float) -> bool:
+    def _was_recently_served(self, request: int, now: float) -> bool:
         served_at = self._served_at.get(request)
-        return served_at is not None and now - served_at <= SERVED_SECONDS
+        return served_at is not None and now - served_at <= RECENTLY_SERVED_SECONDS
 
-    def merge(self, end: ReplicaEnd, now: float) -> ReplicaEnd | None:
+    def merge(self, crash: ReplicaCrash, now: float) -> ReplicaCrash | None:
         """Merge a crash into the table; return it merged, or ``None`` if nothing is new."""
         self._expire(now)
-        if now - end.at > KEPT_SECONDS or not self._has_room(end, now):
+        if now - crash.at > CRASH_RETENTION_SECONDS or not self._ensure_capacity(crash, now):
             return None
-        known = self._ends.get(end.key)
+        known = self._crashes.get(crash.key)
         if known is not None:
-            end = known.joined(end)
-            if end == known:
+            crash = known.union(crash)
+            if crash == known:
                 return None
             self._drop(known.key)
-        self._put(end)
-        return end
-
-    def _put(self, end: ReplicaEnd) -> None:
-        self._ends[end.key] = end
-        self.digest ^= _digest_of(end)
-        for request in end.requests - end.cleared:
-            self._by_request.setdefault(request, set()).add(end.key)
-
-    def _drop(self, key: EndKey) -> None:
-        end = self._ends.pop(key)
-        self.digest ^= _digest_of(end)
-        for request in end.requests - end.cleared:
+        self._put(crash)
+        return crash
+
+    def _put(self, crash: ReplicaCrash) -> None:
+        self._crashes[crash.key] = crash
+        self.digest ^= _digest_of(crash)
+        for request in crash.requests - crash.cleared:
+            self._by_request.setdefault(request, set()).add(crash.key)
+
+    def _drop(self, key: CrashKey) -> None:
+        crash = self._crashes.pop(key)
+        self.digest ^= _digest_of(crash)
+        for request in crash.requests - crash.cleared:
             keys = self._by_request[request]
             keys.discard(key)
             if not keys:
                 del self._by_request[request]
 
     def _expire(self, now: float) -> None:
-        for end in self.ends():
-            if now - end.at > KEPT_SECONDS:
-                self._drop(end.key)
+        for crash in self.crashes():
+            if now - crash.at > CRASH_RETENTION_SECONDS:
+                self._drop(crash.key)
 
-    def _has_room(self, end: ReplicaEnd, now: float) -> bool:
-        """Return True if ``end`` can be recorded; drop an older crash if the table is full.
+    def _ensure_capacity(self, crash: ReplicaCrash, now: float) -> bool:
+        """Return True if ``crash`` can be recorded; drop an older crash if the table is full.
 
         All nodes keep the newest crashes. Otherwise nodes would send each other again and again
         what the receiver had dropped.
         """
-        if end.key in self._ends or len(self._ends) < MOST_ENDS:
+        if crash.key in self._crashes or len(self._crashes) < MAX_CRASHES:
             return True
-        held = {s.request for s in self.standings(ENDS_TO_HOLD) if s.held_until > now}
-        needless = [kept for kept in self._ends.values() if not kept.requests & held]
-        oldest = min(needless or self._ends.values(), key=lambda kept: kept.at)
-        if end.at < oldest.at:
+        quarantined = {
+            s.request for s in self.suspects(CRASHES_TO_QUARANTINE) if s.held_until > now
+        }
+        droppable = [kept for kept in self._crashes.values() if not kept.requests & quarantined]
+        oldest = min(droppable or self._crashes.values(), key=lambda kept: kept.at)
+        if crash.at < oldest.at:
             return False
         self._drop(oldest.key)
         return True
 
-    def served(self, request: int, now: float) -> list[ReplicaEnd]:
+    def record_served(self, request: int, now: float) -> list[ReplicaCrash]:
         """Record that ``request`` was served to its end; return the crashes it is cleared of."""
         self._served_at.pop(request, None)
         self._served_at[request] = now
-        if len(self._served_at) > MOST_SERVED:
+        if len(self._served_at) > MAX_SERVED:
             self._served_at.popitem(last=False)
-        if len(self._by_request.get(request, ())) < ENDS_TO_TELL:
+        if len(self._by_request.get(request, ())) < CRASHES_TO_BROADCAST:
             return []
         return self.clear(request, now)
 
-    def suspected(self, request: int) -> bool:
+    def is_suspect(self, request: int) -> bool:
         """Return True if a crash counts against ``request`` and it was not served here since."""
         if request not in self._by_request:
             return False
-        ends = self.standing(request).ends
-        return bool(ends) and ends[-1].at > self._served_at.get(request, -math.inf)
+        crashes = self.status(request).ends
+        return bool(crashes) and crashes[-1].at > self._served_at.get(request, -math.inf)
 
-    def clear(self, request: int, now: float) -> list[ReplicaEnd]:
+    def clear(self, request: int, now: float) -> list[ReplicaCrash]:
         """Clear ``request`` of all crashes up to now, and return those that counted against it.
 
         A clearing names its crashes. If it were sent as a time instead, each hop would make that
         time later, so that nodes would take it for a new clearing and forward it without end.
         """
-        ends = [self._ends[key] for key in self._by_request.get(request, ())]
-        cleared = [replace(end, cleared=end.cleared | {request}) for end in ends]
-        return [end for end in cleared if self.merge(end, now) is not None]
+        crashes = [self._crashes[key] for key in self._by_request.get(request, ())]
+        cleared = [replace(crash, cleared=crash.cleared | {request}) for crash in crashes]
+        return [crash for crash in cleared if self.merge(crash, now) is not None]
 
 
-def _digest_of(end: ReplicaEnd) -> int:
-    text = f"{end.replica} {end.life} {sorted(end.requests)} {sorted(end.cleared)}"
+def _digest_of(crash: ReplicaCrash) -> int:
+    text = f"{crash.replica} {crash.start_id} {sorted(crash.requests)} {sorted(crash.cleared)}"
     return zlib.crc32(text.encode())
--- a/railsail/quarantine/trials.py
+++ b/railsail/quarantine/trials.py
@@ -11,13 +11,13 @@
 class Trials:
     """Pass results of calls to the quarantine, and check tickets for requests under suspicion."""
 
-    def __init__(self, quarantine: Quarantine, ends: EndObserver) -> None:
+    def __init__(self, quarantine: Quarantine, detector: EndObserver) -> None:
         self._quarantine = quarantine
-        self._ends = ends
+        self._detector = detector
 
     def undecided(self, request: int) -> bool:
         """Return True if a probe is running that may show a crash under ``request``."""
-        return self._ends.checks(request)
+        return self._detector.is_probing(request)
 
     def is_second(self, dispatcher: CellDispatcher, ticket: Ticket) -> bool:
         """Return True if ``ticket`` is for a suspect request of which another ticket is here.
@@ -25,7 +25,7 @@
         Run one at a time, a suspect request shows whether it crashes replicas, and costs one at
         most.
         """
-        if not self._quarantine.suspected(ticket.fingerprint):
+        if not self._quarantine.is_suspect(ticket.fingerprint):
             return False
         known = ticket.key in dispatcher.queue or ticket.key in dispatcher.flights
         return not known and dispatcher.holds(ticket.fingerprint)
@@ -35,8 +35,8 @@
         if flight is None or not flight.fingerprint or not flight.replica:
             return
         if result is CallResult.GOOD:
-            self._quarantine.served(flight.fingerprint)
+            self._quarantine.record_served(flight.fingerprint)
         elif result is CallResult.BROKE_OFF:
-            self._ends.broke_off(flight.replica, flight.fingerprint)
+            self._detector.record_broken_call(flight.replica, flight.fingerprint)
         elif result is CallResult.CALLER_LEFT and flight.unread:
-            self._ends.given_up(flight.replica, flight.fingerprint)
+            self._detector.record_abandoned_call(flight.replica, flight.fingerprint)
--- a/tests/quarantine/test_service.py
+++ b/tests/quarantine/test_service.py
@@ -11,12 +11,12 @@
 from railsail.peers.base import Message
 from railsail.peers.messages import Heartbeat, QuarantineNews
 from railsail.quarantine.service import Quarantine
-from railsail.quarantine.table import ENDS_TO_HOLD, ReplicaEnd
+from railsail.quarantine.table import CRASHES_TO_QUARANTINE, ReplicaCrash
 
 NODES = ["a", "b", "c", "d", "e"]
 LINK_SECONDS = 0.003
 # Each node sends each crash and each clearing to its neighbours once.
-MOST_MESSAGES = len(NODES) ** 2 * (ENDS_TO_HOLD + 1)
+MAX_MESSAGES = len(NODES) ** 2 * (CRASHES_TO_QUARANTINE + 1)
 HARMFUL = 7
 
 
@@ -27,32 +27,32 @@
         self.clock = ManualClock(1000.0)
         self.sent: deque[tuple[str, str, Message]] = deque()
         self.nodes: dict[str, Quarantine] = {}
-        self.carried = 0
+        self.delivered = 0
         for name in NODES:
             events = EventLog(name, self.clock)
             kernel = Kernel(self.clock, random.Random(1), events, Metrics())
-            self.nodes[name] = Quarantine(self.flood_of(name), Hub(self, name), kernel)
+            self.nodes[name] = Quarantine(self.broadcast_from(name), Hub(self, name), kernel)
 
-    def flood_of(self, sender: str):
-        def flood(news: QuarantineNews, source: str) -> None:
+    def broadcast_from(self, sender: str):
+        def broadcast(update: QuarantineNews, source: str) -> None:
             for name in NODES:
                 if name not in (sender, source):
-                    self.sent.append((sender, name, news))
+                    self.sent.append((sender, name, update))
 
-        return flood
+        return broadcast
 
-    def carry_all(self) -> None:
-        while self.sent and self.carried <= MOST_MESSAGES:
-            sender, to, news = self.sent.popleft()
+    def deliver_all(self) -> None:
+        while self.sent and self.delivered <= MAX_MESSAGES:
+            sender, to, update = self.sent.popleft()
             self.clock.advance(LINK_SECONDS)
-            self.carried += 1
-            self.nodes[to]._received(sender, news)
+            self.delivered += 1
+            self.nodes[to]._received(sender, update)
 
-    def end(self, name: str, replica: str, *requests: int) -> None:
-        end = ReplicaEnd(replica, 0, self.clock.now, frozenset(requests))
-        self.nodes[name].ended(end)
+    def crash(self, name: str, replica: str, *requests: int) -> None:
+        crash = ReplicaCrash(replica, 0, self.clock.now, frozenset(requests))
+        self.nodes[name].record_crash(crash)
 
-    def held(self) -> list[bool]:
+    def quarantined(self) -> list[bool]:
         return [node.refusal(HARMFUL) is not None for node in self.nodes.values()]
 
 
@@ -75,44 +75,44 @@
 class UpdateTests(unittest.TestCase):
     def setUp(self):
         self.links = Links()
-        for number in range(ENDS_TO_HOLD):
-            self.links.end(NODES[number % len(NODES)], f"i-{number}", HARMFUL, 100 + number)
-            self.links.carry_all()
+        for number in range(CRASHES_TO_QUARANTINE):
+            self.links.crash(NODES[number % len(NODES)], f"i-{number}", HARMFUL, 100 + number)
+            self.links.deliver_all()
             self.links.clock.advance(1.0)
 
     def test_request_whose_crashes_were_seen_by_several_nodes_is_quarantined_by_all(self):
-        self.assertTrue(all(self.links.held()))
+        self.assertTrue(all(self.links.quarantined()))
 
     def test_clearing_reaches_all_nodes_and_is_not_forwarded_without_end(self):
         """Guards against clearings sent as a time, which each hop made later: five nodes forwarded
         such a clearing for ever, and a fleet of nine spent all its time on it.
         """
-        self.links.nodes["c"].served(HARMFUL)
-        self.links.carry_all()
+        self.links.nodes["c"].record_served(HARMFUL)
+        self.links.deliver_all()
         self.assertEqual(len(self.links.sent), 0)
-        self.assertLessEqual(self.links.carried, MOST_MESSAGES)
-        self.assertFalse(any(self.links.held()))
+        self.assertLessEqual(self.links.delivered, MAX_MESSAGES)
+        self.assertFalse(any(self.links.quarantined()))
 
     def test_served_request_with_a_single_crash_sends_no_message(self):
         """A crash cuts off dozens of requests; each of them was broadcast when it was served."""
         node = self.links.nodes["c"]
-        self.assertTrue(node.suspected(101))
-        before = self.links.carried
-        node.served(101)
-        self.links.carry_all()
-        self.assertEqual(self.links.carried, before)
-        self.assertFalse(node.suspected(101))
+        self.assertTrue(node.is_suspect(101))
+        before = self.links.delivered
+        node.record_served(101)
+        self.links.deliver_all()
+        self.assertEqual(self.links.delivered, before)
+        self.assertFalse(node.is_suspect(101))
 
     def test_two_clearings_at_the_same_time_are_not_forwarded_without_end(self):
         for name in ("a", "d"):
-            self.links.nodes[name].served(HARMFUL)
-        self.links.carry_all()
+            self.links.nodes[name].record_served(HARMFUL)
+        self.links.deliver_all()
         self.assertEqual(len(self.links.sent), 0)
-        self.assertFalse(any(self.links.held()))
+        self.assertFalse(any(self.links.quarantined()))
 
     def test_digests_agree_after_a_clearing_so_that_heartbeats_cause_no_messages(self):
-        self.links.nodes["c"].served(HARMFUL)
-        self.links.carry_all()
+        self.links.nodes["c"].record_served(HARMFUL)
+        self.links.deliver_all()
         digests = {node.table.digest for node in self.links.nodes.values()}
         self.assertEqual(len(digests), 1)
         self.links.nodes["a"].compare("b", Heartbeat(0, 0, 0, quarantine=digests.pop()))
@@ -122,8 +122,8 @@
         away = self.links.nodes["e"]
         away.table = type(away.table)()
         self.links.nodes["a"].compare("e", Heartbeat(0, 0, 0, quarantine=away.table.digest))
-        self.links.carry_all()
-        self.assertTrue(all(self.links.held()))
+        self.links.deliver_all()
+        self.assertTrue(all(self.links.quarantined()))
 
 
 if __name__ == "__main__":
