--- a/railsail/quarantine/table.py
+++ b/railsail/quarantine/table.py
@@ -31,7 +31,7 @@
 # That a request was served is broadcast only if at least this many replicas crashed while they ran
 # it. A crash cuts off dozens of requests, which would otherwise cause a message each although none
 # of them is close to being quarantined.
-CRASHES_TO_BROADCAST = 2
+CRASHES_TO_BROADCAST_CLEARING = 2
 # How long the first quarantine of a request lasts; each further crash doubles it. A replica
 # restarts within some seconds, so that a request which is retried every two minutes costs a pool of
 # five a hundredth of its time.
@@ -224,7 +224,7 @@
         self._served_at[request] = now
         if len(self._served_at) > MAX_SERVED:
             self._served_at.popitem(last=False)
-        if len(self._by_request.get(request, ())) < CRASHES_TO_BROADCAST:
+        if len(self._by_request.get(request, ())) < CRASHES_TO_BROADCAST_CLEARING:
             return []
         return self.clear(request, now)
 
