--- a/railsail/membership/__init__.py
+++ b/railsail/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who belongs to the fleet, and which member does which job."""
+"""The members of the fleet, and which of them does which job."""
--- a/railsail/membership/overlay.py
+++ b/railsail/membership/overlay.py
@@ -1,8 +1,8 @@
-"""The bounded set of peers with which a node exchanges heartbeats and news.
+"""The bounded set of peers with which a node exchanges heartbeats and updates.
 
-The members form a ring, ordered by node. Each links to a few members at growing strides, and is
-linked from as many, so that a node has at most eight neighbours at any size, news reaches all in
-few hops, and every node is watched by several others.
+The members form a ring, sorted by node. Each keeps links to a few members at growing distances
+along the ring, and as many members keep a link to it. So a node has at most eight neighbours in a
+fleet of any size, updates reach all nodes in a few hops, and several nodes monitor each node.
 """
 
 from collections.abc import Sequence
@@ -11,7 +11,7 @@
 
 
 def strides(size: int) -> list[int]:
-    """Return the strides of a ring of ``size`` members, at most ``LINKS_OUT`` of them."""
+    """Return the distances of links in a ring of ``size`` members, at most ``LINKS_OUT``."""
     if size <= 1:
         return []
     base = 2
@@ -29,7 +29,7 @@
 
 
 def neighbours(ring: Sequence[str], node: str) -> list[str]:
-    """Return all neighbours of ``node``, those that link to it included."""
+    """Return the members to which ``node`` keeps a link and those that keep one to it."""
     place = ring.index(node)
     into = [ring[(place - stride) % len(ring)] for stride in strides(len(ring))]
     return list(dict.fromkeys(neighbours_out(ring, node) + into))
--- a/railsail/membership/placement.py
+++ b/railsail/membership/placement.py
@@ -1,5 +1,6 @@
-"""Which member does which job, computed alike by all from the member list.
+"""Rendezvous hashing: which member does which job.
 
+All nodes compute the same result from the same member list.
 Source: highest random weight hashing (Thaler and Ravishankar, 1996).
 """
 
@@ -14,10 +15,10 @@
 
 
 def rank(job: str, nodes: Iterable[str]) -> list[str]:
-    """Return ``nodes`` in the order in which they are preferred for ``job``."""
+    """Return ``nodes`` in order of preference for ``job``, the most preferred first."""
     return sorted(nodes, key=lambda node: score(job, node), reverse=True)
 
 
 def choose(job: str, nodes: Iterable[str]) -> str | None:
-    """Return the node preferred for ``job``, or ``None`` if there are no nodes."""
+    """Return the most preferred node for ``job``, or ``None`` if there are no nodes."""
     return max(nodes, key=lambda node: score(job, node), default=None)
--- a/railsail/membership/service.py
+++ b/railsail/membership/service.py
@@ -1,8 +1,8 @@
-"""Heartbeats, suspicion and news of members, over a bounded set of neighbours.
+"""Gossip membership: heartbeats, suspicion and member updates among a bounded set of neighbours.
 
 Each node exchanges a small heartbeat a second with at most eight neighbours, whatever the size of
-the fleet. A neighbour that is silent is suspected, aloud; it refutes that, or is declared dead. The
-platform's node list and the seed setting only say whom to ask first.
+the fleet. A neighbour that falls silent becomes suspect, which is broadcast; it refutes that, or is
+declared dead. The platform's node list and the seed setting only say which nodes to dial first.
 """
 
 import asyncio
@@ -26,23 +26,23 @@
 KIND = "node"
 HEARTBEAT_SECONDS = 1.0
 SILENT_SECONDS = 3.0
-# A node that is silent for this long is given no tickets by this node; it need not be suspect yet,
-# for no promise rests on who dispatches.
+# A node that has been silent for this long is sent no tickets by this node. It need not be suspect
+# yet, since no guarantee depends on which node dispatches.
 AVOID_SECONDS = 1.8
-# A node that hears that it is suspected takes it that nobody hears it, for this long or until a new
-# link shows that both directions work.
+# A node that receives a suspicion of itself assumes that its messages do not arrive, for this long
+# or until a new link shows that both directions work.
 DOUBT_SECONDS = 5.0
 SUSPECT_SECONDS = 3.0
 FORGET_SECONDS = 600.0
 SEEDS_AT_ONCE = 3
-# Neighbours whose sums differ for this many heartbeats exchange all they have.
+# A node requests all state of a neighbour after this many heartbeats in a row with other digests.
 DIFFERENCES_TO_ASK = 3
-# After a pause a node asks so many neighbours what it has missed; one of them may be gone.
+# After a pause of its process a node requests the state of this many neighbours: one may be down.
 NEIGHBOURS_TO_ASK = 2
 
 
 class Membership:
-    """Keep the member table of this node up to date, and its neighbours' too."""
+    """Keep the member table of this node up to date, and send updates to its neighbours."""
 
     def __init__(
         self,
@@ -74,29 +74,29 @@
         self._listeners.append(listener)
 
     def describe_with(self, heartbeat: Callable[[], Heartbeat]) -> None:
-        """Take the content of heartbeats from ``heartbeat``."""
+        """Call ``heartbeat`` for the content of each heartbeat."""
         self._heartbeat = heartbeat
 
     def watch_also(self, nodes: Callable[[], set[str]]) -> None:
-        """Watch the nodes that ``nodes`` gives as well, with heartbeats that ask for a reply."""
+        """Also monitor the nodes that ``nodes`` returns, by heartbeats that request a reply."""
         self._dispatchers = nodes
 
     def add_seeds(self, nodes: list[str]) -> None:
-        """Take note of nodes that may be members."""
+        """Record nodes that may be members, to be dialled."""
         self._seeds.update(node for node in nodes if node != self.table.own.node)
 
     def listed(self, listing: Listing) -> None:
-        """Take in the platform's list of nodes."""
+        """Apply a listing of the platform's nodes."""
         self.add_seeds([stored.name for stored in listing.objects])
         self._ask_seeds()
 
     def seen(self, event: WatchEvent) -> None:
-        """Take in a change of the platform's list of nodes."""
+        """Apply a watch event of the platform's nodes."""
         if event.value is not None:
             self.add_seeds([event.name])
 
     def neighbours(self) -> list[str]:
-        """Return the members with which news and heartbeats are exchanged."""
+        """Return the members with which this node exchanges updates and heartbeats."""
         return self._neighbours
 
     def flood(self, message: Message, source: str = "") -> None:
@@ -106,15 +106,15 @@
                 self._hub.send(node, message)
 
     def news(self) -> MemberNews:
-        """Return all beliefs, for a peer that asks."""
+        """Return the records of all members, for a peer that requests them."""
         return MemberNews([_to_record(member) for member in self.table.all()])
 
     def change_own(self, **changes: object) -> None:
-        """Change fields of this node's own entry, and tell all."""
+        """Change fields of this node's own record, and broadcast it."""
         self._pass_on([self.table.change_own(**changes)], "")
 
     def reachable(self, node: str) -> bool:
-        """Say whether ``node`` may be given work, and no link to it has failed just now."""
+        """Return True if ``node`` may be given work and is not known to be silent."""
         member = self.table.get(node)
         if member is None or not member.usable:
             return False
@@ -122,17 +122,17 @@
 
     @property
     def doubted(self) -> bool:
-        """Say whether others have told that they do not hear this node."""
+        """Return True if another node recently suspected this one."""
         return self._clock.monotonic() < self._doubted_until
 
     @property
     def alone(self) -> bool:
-        """Say whether this node hears less than half of those that would tell it news."""
+        """Return True if more than half of the neighbours are silent."""
         silent = sum(self._silent(node, AVOID_SECONDS) for node in self._neighbours)
         return 2 * silent > len(self._neighbours)
 
     def gone(self, node: str, start_id: int) -> bool:
-        """Say whether the process of ``node`` that began as ``start_id`` is known to have ended."""
+        """Return True if the process of ``node`` with ``start_id`` is known to have ended."""
         member = self.table.get(node)
         if member is None or member.state is MemberState.DEAD:
             return True
@@ -147,7 +147,7 @@
         return self._clock.monotonic() - last > seconds
 
     async def run(self) -> None:
-        """Beat until cancelled."""
+        """Send heartbeats and check for silent nodes every second, until cancelled."""
         while True:
             self._beat()
             await asyncio.sleep(HEARTBEAT_SECONDS)
@@ -177,9 +177,9 @@
             del self._watched_since[node]
 
     def _resumed(self, paused_seconds: float) -> None:
-        """Begin anew after a pause of this process: nobody was silent, and much may have changed.
+        """Restart all timeouts after a pause of this process, and request what it missed.
 
-        A node that took its own pause for the others' would suspect all of them aloud.
+        A node that took its own pause for silence of the others would broadcast suspicions of all.
         """
         now = self._clock.monotonic()
         for node in self._watched_since:
@@ -190,13 +190,13 @@
             self._hub.send(node, request)
 
     def _ask_dispatchers(self, now: float, heartbeat: Heartbeat) -> None:
-        # A link on which answers come needs no heartbeat of its own.
+        # A node that sends other messages in the meantime needs no heartbeat.
         for node in set(self._watched_since) - set(self._neighbours):
             if now - self._hub.last_heard(node) >= HEARTBEAT_SECONDS:
                 self._hub.send(node, msgspec.structs.replace(heartbeat, wants_reply=True))
 
     def _ask_seeds(self) -> None:
-        # Nodes that are listed but not members are dialled, a few at a time.
+        # Seeds that are not members are dialled, a few at a time.
         strangers = [node for node in sorted(self._seeds) if self._is_stranger(node)]
         for node in self._rng.sample(strangers, min(SEEDS_AT_ONCE, len(strangers))):
             self._hub.dial(node)
@@ -232,7 +232,11 @@
             self._hub.send(peer.node, StateRequest(self._heartbeat().configuration))
 
     def compare(self, node: str, heartbeat: Heartbeat) -> None:
-        """Ask ``node`` for all it knows if its sums have differed from ours for a while."""
+        """Compare a heartbeat of ``node`` with this node's state.
+
+        Request all state of ``node`` if its configuration is newer, or if its digests have differed
+        for ``DIFFERENCES_TO_ASK`` heartbeats.
+        """
         own = self._heartbeat()
         if heartbeat.wants_reply:
             self._hub.send(node, own)
@@ -284,8 +288,8 @@
     return mine and record.state >= MemberState.SUSPECT
 
 
-# Both have the same fields, in the same order. ``dataclasses.astuple`` would copy each one deeply:
-# 15.7 microseconds a record, with this 0.7 (best of five runs of 20,000, one core).
+# ``Member`` and ``MemberRecord`` have the same fields in the same order. ``dataclasses.astuple``
+# would copy each of them deeply, which takes 15.7 microseconds per record instead of 0.7.
 _fields = attrgetter(*(field.name for field in fields(Member)))
 
 
--- a/railsail/membership/speed.py
+++ b/railsail/membership/speed.py
@@ -1,10 +1,10 @@
-"""How fast this node computes, so that the fleet's decisions are made where they are made quickly.
+"""The speed level of this node, so that only fast nodes dispatch.
 
-A dispatcher on a node that was slowed down, or is too small, answers after its tickets have
-expired: nothing is served while replicas are idle. So each node times a small piece of work, and
-tells the others its level; dispatchers are chosen among the nodes of the highest level. With those
-of the level below as well, a cell of 300 tickets a second was dispatched by a node with half a core
-beside six with two.
+A dispatcher on a node that is too small or was slowed down answers after its tickets have expired,
+so that nothing is served although replicas are idle. Therefore each node times a small piece of
+work and sends its level to the others, and dispatchers are chosen among the nodes of the highest
+level. The level below is not fast enough: with it, a node with half a core dispatched a cell of 300
+tickets a second, although there were six nodes with two cores.
 """
 
 import math
@@ -14,30 +14,31 @@
 
 from railsail.membership.table import Member
 
-# The piece of work that is timed: about 50 microseconds of a core of 2026.
+# The piece of work that is timed takes about 50 microseconds on a core of 2026.
 WORK_ROUNDS = 1_000
 REFERENCE_SECONDS = 50e-6
-# The median of so many samples counts: what else runs on the machine makes single ones slower, a
-# coarse clock makes single ones faster.
+# The level follows the median of this many samples: other processes make single samples slower, and
+# a coarse clock makes single samples faster.
 SAMPLES = 5
-# Seconds between samples: a node that was slowed down is found out within three of them.
+# Time between samples. A node that was slowed down is detected within three of them.
 SAMPLE_SECONDS = 0.15
-# A level is a factor of two; one is left only when the speed is this many levels away from it, so
-# that a speed between two levels does not make them change by turns.
+# A level is a factor of two. It changes only when the speed is this many levels away from it, so
+# that a speed between two levels does not alternate between them.
 HYSTERESIS = 0.75
-# A node that was slow is taken for fast again only after so many seconds: each change of
-# dispatchers loses some of what they had learnt, and whoever was slow once may be so again.
+# The level of a node rises only after its speed has been higher for this long: each change of
+# dispatchers loses part of what they had learnt, and a node that was slow may become slow again.
 RISE_SECONDS = 10.0
-# Level of the slowest nodes that are told apart; levels are told as numbers from 0.
+# Levels of the slowest and the fastest nodes that are distinguished. Messages hold levels as
+# numbers from 0.
 SLOWEST = -8
 FASTEST = 8
-# The level of a node that has not measured itself yet: it would be taken for a fast one else, and
-# every node that starts would dispatch for its first second.
+# The level of a node that has not measured its speed yet. With a higher one, every node that starts
+# would dispatch during its first second.
 UNKNOWN_LEVEL = 0
 
 
 def work() -> int:
-    """Do the piece of work that is timed, and return something of it."""
+    """Do the piece of work that is timed, and return its result."""
     total = 0
     for number in range(WORK_ROUNDS):
         total += number * number % 7
@@ -45,7 +46,7 @@
 
 
 class SpeedMeter:
-    """Follow the speed of this node by timing ``do`` with ``clock``, which tells seconds."""
+    """Measure the speed of this node by timing ``do`` with ``clock``, which returns seconds."""
 
     def __init__(self, clock: Callable[[], float], do: Callable[[], object] = work) -> None:
         self._clock = clock
@@ -56,11 +57,11 @@
 
     @property
     def level(self) -> int:
-        """Return the level of this node, 0 for the slowest and while it is not known."""
+        """Return the level of this node, 0 for the slowest and until it is known."""
         return UNKNOWN_LEVEL if self._level is None else self._level - SLOWEST
 
     def sample(self) -> bool:
-        """Time the work once, and say whether the level has changed."""
+        """Time the work once, and return True if the level has changed."""
         begun = self._clock()
         self._do()
         self._taken.append(max(self._clock() - begun, 1e-9))
@@ -75,7 +76,7 @@
         return self.level != before
 
     def _leaves(self, speed: float, now: float) -> bool:
-        """Say whether the level is to be left at ``now`` for that of ``speed``."""
+        """Return True if the level changes at ``now`` to that of ``speed``."""
         if self._level is None or speed <= self._level - HYSTERESIS:
             self._rises_since = None
             return True
@@ -88,7 +89,7 @@
 
 
 def fast_enough(members: Iterable[Member]) -> list[Member]:
-    """Return those of ``members`` that may dispatch."""
+    """Return the members that may dispatch: those of the highest level."""
     members = list(members)
     highest = max((member.speed for member in members), default=0)
     return [member for member in members if member.speed == highest]
--- a/railsail/membership/table.py
+++ b/railsail/membership/table.py
@@ -1,9 +1,9 @@
-"""What one node believes of every member of the fleet; pure state, no input or output.
+"""The member table of one node: pure state, without input or output.
 
-Beliefs merge by ``(start_id, sequence, state)``, so that repeats and reorderings do no harm. A node
-that restarts has a later ``start_id``. Only a node itself raises its ``sequence``, by which it
-refutes a false suspicion; where its clock was set back before it restarted, it hears of the later
-``start_id`` of its past self, and takes one that is later still.
+Updates merge by ``(start_id, sequence, state)``, so that duplicated and reordered ones do no harm.
+A node that restarts has a later ``start_id``. Only the node itself raises its ``sequence``, which
+refutes a false suspicion. If its clock was set back before it restarted, it receives the later
+``start_id`` of its former process and adopts one that is later still.
 Source: SWIM (Das et al., 2002), with suspicion.
 """
 
@@ -14,7 +14,7 @@
 
 
 class MemberState(enum.IntEnum):
-    """The states of a member; of two beliefs alike, the higher state wins."""
+    """The states of a member; of two otherwise equal updates, the higher state wins."""
 
     ALIVE = 0
     LEAVING = 1
@@ -24,10 +24,11 @@
 
 @dataclass(frozen=True)
 class Member:
-    """One member; ``node`` is its id, which is its peer endpoint ``ip:port``.
+    """The record of one member; ``node`` is its id, which is its peer endpoint ``ip:port``.
 
-    ``speed`` is the level that it measured of itself (see ``railsail.membership.speed``), and
-    ``forward_port`` the TCP port at which it takes requests of callers from other nodes, 0 if none.
+    ``start_id`` identifies its process. ``speed`` is the level that it measured (see
+    ``railsail.membership.speed``), and ``forward_port`` the TCP port on which it accepts requests
+    that other nodes forward, 0 if none.
     """
 
     node: str
@@ -42,17 +43,17 @@
 
     @property
     def order(self) -> tuple[int, int, int]:
-        """Return what decides between two beliefs about the same node."""
+        """Return the key by which the later of two records of the same node wins."""
         return (self.start_id, self.sequence, int(self.state))
 
     @property
     def usable(self) -> bool:
-        """Say whether the member may be given work of the fleet."""
+        """Return True if the member may be given work of the fleet."""
         return self.state in (MemberState.ALIVE, MemberState.SUSPECT)
 
 
 class MemberTable:
-    """Hold the beliefs of the node ``own.node``."""
+    """The records that the node ``own.node`` has of all members, itself included."""
 
     def __init__(self, own: Member) -> None:
         self.own = own
@@ -65,30 +66,33 @@
         return len(self._members)
 
     def get(self, node: str) -> Member | None:
-        """Return the belief about ``node``."""
+        """Return the record of ``node``, or ``None`` if there is none."""
         return self._members.get(node)
 
     def all(self) -> list[Member]:
-        """Return all beliefs, by node."""
+        """Return all records, sorted by node."""
         return [self._members[node] for node in sorted(self._members)]
 
     def present(self) -> list[Member]:
-        """Return the members that are not dead, by node."""
+        """Return the members that are not dead, sorted by node."""
         return [member for member in self.all() if member.state is not MemberState.DEAD]
 
     def usable(self) -> list[Member]:
-        """Return the members that may be given work of the fleet, by node."""
+        """Return the members that may be given work of the fleet, sorted by node."""
         return [member for member in self.all() if member.usable]
 
     @property
     def digest(self) -> int:
-        """Return a 32-bit sum over all beliefs; equal tables have equal sums."""
+        """Return a 32-bit checksum of all records of members that are not dead.
+
+        Equal tables have equal checksums.
+        """
         return self._digest
 
     def merge(self, belief: Member, now: float) -> Member | None:
-        """Take in ``belief``, and return what must be passed on, or ``None`` if nothing is new.
+        """Merge ``belief``; return the record to broadcast, or ``None`` if nothing is new.
 
-        A belief that this node itself is suspect or dead is refuted by a new sequence.
+        An update that says that this node itself is suspect or dead is refuted by a new sequence.
         """
         known = self._members.get(belief.node)
         if belief.node == self.own.node:
@@ -103,19 +107,22 @@
         return belief
 
     def suspect(self, node: str, now: float) -> Member | None:
-        """Suspect ``node``, and return the belief to pass on, if it is new."""
+        """Mark ``node`` as suspect; return the record to broadcast, or ``None`` if not changed."""
         known = self._members.get(node)
         if known is None or known.state not in (MemberState.ALIVE, MemberState.LEAVING):
             return None
         return self.merge(replace(known, state=MemberState.SUSPECT), now)
 
     def resumed(self, now: float) -> None:
-        """Count all suspicions from ``now``: a refutation may have come while nobody listened."""
+        """Restart all suspicion timeouts at ``now``, after a pause of this process.
+
+        Refutations that arrived during the pause may not be processed yet.
+        """
         for node in self._suspected_at:
             self._suspected_at[node] = now
 
     def expire(self, now: float, patience: float) -> list[Member]:
-        """Declare dead whoever was suspect for ``patience`` seconds; return the new beliefs."""
+        """Declare members dead that were suspect for ``patience`` seconds; return their records."""
         news = []
         for node, since in list(self._suspected_at.items()):
             if now - since >= patience:
@@ -124,7 +131,7 @@
         return [belief for belief in news if belief is not None]
 
     def change_own(self, **changes: object) -> Member:
-        """Change fields of this node's own entry, and return the belief to pass on."""
+        """Change fields of this node's own record, and return it to be broadcast."""
         return self._renew(replace(self.own, sequence=self.own.sequence + 1, **changes))
 
     def _refute(self, belief: Member) -> Member | None:
@@ -132,7 +139,8 @@
         if stale or belief.order <= self.own.order:
             return None
         if belief.start_id > self.own.start_id:
-            # A node's id is the address at which this process listens, so that the other one ended.
+            # The id of a node is the address on which this process listens, so that the process
+            # with the later start id has ended.
             return self._renew(replace(self.own, start_id=belief.start_id + 1))
         return self._renew(replace(self.own, sequence=belief.sequence + 1))
 
@@ -142,7 +150,7 @@
         return own
 
     def forget(self, nodes: Iterable[str]) -> None:
-        """Drop the beliefs about ``nodes``."""
+        """Drop the records of ``nodes``."""
         for node in nodes:
             member = self._members.pop(node, None)
             if member is not None:
@@ -157,7 +165,7 @@
         self._toggle(member)
 
     def _toggle(self, member: Member) -> None:
-        # Dead members are left out, so that tables agree whether or not they still list them.
+        # Dead members are left out, so that tables agree whether or not they still hold them.
         if member.state is not MemberState.DEAD:
             text = f"{member.node} {member.order}"
             self._digest ^= zlib.crc32(text.encode())
--- a/railsail/membership/tree.py
+++ b/railsail/membership/tree.py
@@ -1,4 +1,7 @@
-"""A shallow tree over the members, computed alike by all from the member list."""
+"""A shallow tree over the members.
+
+All nodes compute the same tree from the same member list.
+"""
 
 from collections.abc import Sequence
 
@@ -8,7 +11,7 @@
 
 
 def order(topic: str, nodes: Sequence[str]) -> list[str]:
-    """Return the nodes of the tree of ``topic``, the root first."""
+    """Return ``nodes`` in the order of the tree of ``topic``, the root first."""
     return rank(topic, nodes)
 
 
@@ -25,7 +28,7 @@
 
 
 def depth(size: int) -> int:
-    """Return the hops from the root to the deepest of ``size`` nodes."""
+    """Return the number of hops from the root to the deepest of ``size`` nodes."""
     hops = 0
     reached = 1
     while reached < size:
--- a/railsail/membership/view.py
+++ b/railsail/membership/view.py
@@ -1,4 +1,4 @@
-"""Which nodes this one can give work to now, as far as it can tell."""
+"""The nodes to which this node can give work now, as far as it can tell."""
 
 from collections.abc import Callable
 
@@ -8,14 +8,15 @@
 from railsail.membership.watchers import store_watchers
 from railsail.peers.hub import PeerHub
 
-# With so many nodes that cannot be dialled, only linked ones are given work.
+# If this many nodes are unreachable, only nodes with a link are given work.
 CUT_OFF_NODES = 2
 
 
 class FleetView:
-    """Choose among the members; ``unreachable`` gives those that did not answer when last asked.
+    """The members as this node can reach them.
 
-    ``seeds`` says how many nodes there are at least, those included that cannot be seen.
+    ``seeds`` is the minimum size of the fleet, which includes nodes that this node has not seen.
+    ``unreachable`` returns the nodes that did not answer the last request to them.
     """
 
     def __init__(
@@ -30,7 +31,7 @@
         self._hub = hub
         self._seeds = seeds
         self._unreachable = unreachable
-        # The nodes that watch the store, until the members change.
+        # Cache of the nodes that watch the store, cleared when the members change.
         self._watchers: set[str] | None = None
         membership.on_change(self._members_changed)
 
@@ -38,15 +39,15 @@
         self._watchers = None
 
     def size(self) -> int:
-        """Return how many members there may be, those included that cannot be seen now."""
+        """Return how many members the fleet may have, including those that cannot be seen now."""
         return max(len(self._table), self._seeds)
 
     def reachable_share(self) -> float:
-        """Return the part of the fleet that this node can reach, from 0 to 1."""
+        """Return the fraction of the fleet that this node can reach, from 0 to 1."""
         return min(1.0, len(self.usable()) / max(1, len(self._table)))
 
     def usable(self) -> list[str]:
-        """Return the nodes that may be given work, as far as this node can reach them."""
+        """Return the nodes that may be given work and that this node can reach."""
         own = self._table.own.node
         unreachable = self._unreachable()
         nodes = [member.node for member in self._table.usable()]
@@ -54,31 +55,31 @@
             return [own]
         nodes = [n for n in nodes if n not in unreachable and self._membership.reachable(n)]
         if len(unreachable) >= CUT_OFF_NODES:
-            # It is not one node that is lost: to try the others one by one would take too long.
+            # The network may be partitioned, and trying the other nodes one by one takes too long.
             nodes = [node for node in nodes if self._hub.connected(node)]
         return nodes
 
     def usable_members(self) -> list[Member]:
-        """Return the same as members."""
+        """Return the same nodes as ``Member`` records."""
         members = [self._table.get(node) for node in self.usable()]
         return [member for member in members if member is not None]
 
     def fast_enough(self, region: str = "") -> list[str]:
-        """Return the usable nodes that may dispatch, of all or of those in ``region``."""
+        """Return the usable nodes that may dispatch, only those in ``region`` if it is given."""
         members = self.usable_members()
         if region:
             members = [member for member in members if member.region == region]
         return [member.node for member in fast_enough(members)]
 
     def region_of(self, node: str) -> str:
-        """Return the region of ``node``, empty if the node is not known."""
+        """Return the region of ``node``, empty if the node is unknown."""
         member = self._table.get(node)
         return member.region if member is not None else ""
 
     def watches_store(self) -> bool:
-        """Say whether this node watches the store for itself and for others."""
+        """Return True if this node watches the store."""
         if self._membership.alone:
-            # Nobody tells this node what those that watch hear.
+            # The nodes that watch cannot send their changes to this one.
             return True
         if self._watchers is None:
             self._watchers = store_watchers(self._table.usable())
--- a/railsail/membership/watchers.py
+++ b/railsail/membership/watchers.py
@@ -1,9 +1,9 @@
-"""Which nodes watch the platform's store; the others hear of changes from their peers.
+"""Which nodes watch the platform's store; the others receive changes from their peers.
 
-The few that watch are named by hashing, so that the store's calls do not grow with the fleet, and
-so many in each failure domain: a domain that is cut off from the others may reach the store all the
-same. Named over a fleet of 62 nodes in three domains as a whole, of eight none would be in a given
-domain in 3 of 100 fleets.
+Only a few nodes watch, so that the calls to the store do not grow with the fleet. They are chosen
+by hashing in each failure domain, since a domain that is cut off from the others may still reach
+the store. If eight were chosen from a fleet of 62 nodes in three domains as a whole, a given domain
+would have none of them in 3 of 100 fleets.
 """
 
 from collections import defaultdict
@@ -12,9 +12,9 @@
 from railsail.membership.placement import rank
 from railsail.membership.table import Member
 
-# So many watch in all, where there are few failure domains.
+# Number of watchers in total, unless many failure domains need more.
 WATCHERS = 8
-# So many watch in each domain at least: one of them may be down.
+# Minimum number of watchers in each domain: one of them may be down.
 LEAST_OF_DOMAIN = 2
 
 
--- a/tests/membership/test_speed.py
+++ b/tests/membership/test_speed.py
@@ -1,4 +1,4 @@
-"""How a node's speed is measured, and who may dispatch."""
+"""How a node measures its speed, and which nodes may dispatch."""
 
 import unittest
 from dataclasses import replace
@@ -27,13 +27,13 @@
         self.factor = factor
         return [self.meter.sample() for _ in range(count)]
 
-    def test_slowed_node_is_found_out_after_a_few_samples(self):
+    def test_slowed_node_is_detected_after_three_samples(self):
         self.samples(1.0)
         before = self.meter.level
         self.assertEqual(self.samples(8.0, 3), [False, False, True])
         self.assertEqual(self.meter.level, before - 3)
 
-    def test_node_is_fast_again_only_after_a_while(self):
+    def test_level_rises_only_after_a_delay(self):
         self.samples(1.0)
         self.samples(8.0)
         self.assertFalse(any(self.samples(1.0)))
@@ -45,12 +45,12 @@
         for odd in (50.0, 1e-9):
             self.assertFalse(any(self.samples(odd, 2) + self.samples(1.0)))
 
-    def test_speed_between_two_levels_does_not_make_them_change_by_turns(self):
+    def test_speed_between_two_levels_does_not_alternate_between_them(self):
         self.samples(1.0)
         changes = [change for _ in range(20) for f in (1.3, 1.55) for change in self.samples(f)]
         self.assertLessEqual(sum(changes), 1)
 
-    def test_level_stays_within_what_messages_can_tell(self):
+    def test_level_stays_within_the_range_of_messages(self):
         for factor in (1e-9, 1e9):
             self.samples(factor)
             self.assertTrue(0 <= self.meter.level <= 16)
@@ -68,12 +68,12 @@
         self.assertEqual(member("other").speed, meter.level)
         self.assertEqual(fast_enough([new, replace(member("slow"), speed=1)])[0].node, "slow")
 
-    def test_some_node_always_may(self):
+    def test_slow_nodes_dispatch_if_there_are_no_faster_ones(self):
         slow = [replace(member(name), speed=0) for name in "ab"]
         self.assertEqual(len(fast_enough(slow)), 2)
         self.assertEqual(fast_enough([]), [])
 
-    def test_new_speed_reaches_other_tables(self):
+    def test_changed_speed_is_merged_by_other_tables(self):
         own, other = MemberTable(member("own")), MemberTable(member("other"))
         other.merge(own.own, 0.0)
         other.merge(own.change_own(speed=3), 0.0)
--- a/tests/membership/test_table.py
+++ b/tests/membership/test_table.py
@@ -1,4 +1,4 @@
-"""Beliefs about members: merging, refuting, forgetting."""
+"""The member table: merging, refuting and forgetting."""
 
 import itertools
 import random
@@ -20,7 +20,7 @@
         news = self.table.merge(member("own", state=MemberState.SUSPECT), 0.0)
         self.assertEqual((news.sequence, news.state), (1, MemberState.ALIVE))
 
-    def test_paused_node_that_was_declared_dead_comes_back(self):
+    def test_paused_node_that_was_declared_dead_is_alive_again_after_its_refutation(self):
         other = MemberTable(member("other"))
         other.merge(self.table.own, 0.0)
         other.suspect("own", 0.0)
@@ -36,13 +36,13 @@
         self.table.merge(member("a", sequence=1), 1.0)
         self.assertEqual(self.table.expire(10.0, 3.0), [])
 
-    def test_restarted_node_overrules_all_beliefs_about_its_past(self):
+    def test_restarted_node_overrides_all_records_of_its_former_process(self):
         self.table.merge(member("a", start=1, sequence=9, state=MemberState.DEAD), 0.0)
         self.table.merge(member("a", start=2), 0.0)
         self.assertEqual(self.table.get("a").state, MemberState.ALIVE)
         self.assertIsNone(self.table.merge(member("a", start=1, sequence=99), 0.0))
 
-    def test_node_that_restarts_after_its_clock_was_set_back_is_not_dead_for_others(self):
+    def test_node_that_restarts_after_its_clock_was_set_back_is_alive_for_others(self):
         other = MemberTable(member("other"))
         other.merge(member("own", start=5000, state=MemberState.DEAD), 0.0)
         restarted = MemberTable(member("own", start=2600))
@@ -51,11 +51,11 @@
         self.assertEqual(other.get("own").state, MemberState.ALIVE)
         self.assertEqual(other.get("own").start_id, restarted.own.start_id)
 
-    def test_old_beliefs_do_not_raise_a_later_start(self):
+    def test_update_with_an_older_start_id_does_not_change_the_own_one(self):
         self.assertIsNone(self.table.merge(member("own", start=0, sequence=9), 0.0))
         self.assertEqual(self.table.own.start_id, 1)
 
-    def test_order_and_repeats_of_news_do_not_matter(self):
+    def test_order_and_repeats_of_updates_do_not_matter(self):
         beliefs = [
             member("a"),
             member("a", state=MemberState.SUSPECT),
@@ -70,7 +70,7 @@
             ends.add((table.get("a"), table.digest))
         self.assertEqual(len(ends), 1)
 
-    def test_digest_leaves_out_the_dead(self):
+    def test_digest_leaves_out_dead_members(self):
         before = self.table.digest
         self.table.merge(member("a"), 0.0)
         self.assertNotEqual(self.table.digest, before)
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -1,4 +1,4 @@
-"""Which nodes are given work, and whether this one watches the store, by what it hears."""
+"""Which nodes are given work, and whether this node watches the store."""
 
 import unittest
 
@@ -14,7 +14,7 @@
 
 
 class Membership:
-    """A fleet of six, of which this node hears ``heard``."""
+    """A fleet of six, of which this node can reach ``heard``."""
 
     def __init__(self) -> None:
         self.table = MemberTable(member(OWN))
@@ -46,28 +46,28 @@
         self.unreachable: set[str] = set()
         self.view = FleetView(self.membership, self.hub, 8, lambda: self.unreachable)
 
-    def test_all_that_are_heard_may_be_given_work(self):
+    def test_all_reachable_nodes_may_be_given_work(self):
         self.membership.heard.remove(OTHERS[0])
         self.assertEqual(self.view.usable(), [OWN, *OTHERS[1:]])
         self.assertEqual(self.view.reachable_share(), 5 / 6)
 
-    def test_node_that_nobody_hears_gives_work_to_itself_alone(self):
+    def test_node_that_others_suspect_gives_work_to_itself_only(self):
         self.membership.doubted = True
         self.assertEqual(self.view.usable(), [OWN])
 
-    def test_node_that_did_not_answer_is_left_out(self):
+    def test_unreachable_node_is_left_out(self):
         self.unreachable = {OTHERS[2]}
         self.assertNotIn(OTHERS[2], self.view.usable())
 
-    def test_with_several_lost_only_linked_ones_are_asked(self):
+    def test_only_linked_nodes_are_given_work_if_several_are_unreachable(self):
         self.unreachable = set(OTHERS[:CUT_OFF_NODES])
         self.hub.linked = {OWN, OTHERS[4]}
         self.assertEqual(self.view.usable(), [OWN, OTHERS[4]])
 
-    def test_size_counts_those_that_were_never_seen(self):
+    def test_size_includes_seeds_that_were_never_seen(self):
         self.assertEqual(self.view.size(), 8)
 
-    def test_node_without_peers_watches_the_store_itself(self):
+    def test_node_isolated_from_its_peers_watches_the_store_itself(self):
         watchers = {
             node
             for node in [OWN, *OTHERS]
@@ -80,7 +80,7 @@
             self.assertTrue(FleetView(alone, self.hub, 0, set).watches_store())
 
     def at(self, node: str) -> Membership:
-        """Return the same fleet as ``node`` sees it."""
+        """Return the same fleet with ``node`` as this node."""
         membership = Membership()
         membership.table = MemberTable(member(node))
         for other in [OWN, *OTHERS]:
--- a/tests/membership/test_watchers.py
+++ b/tests/membership/test_watchers.py
@@ -12,7 +12,7 @@
 
 
 class StoreWatcherTests(unittest.TestCase):
-    def test_each_domain_has_its_own(self):
+    def test_each_domain_has_the_minimum_of_watchers(self):
         for domains in (1, 3, 5, 12):
             members = fleet(60, domains)
             chosen = store_watchers(members)
@@ -20,11 +20,11 @@
                 own = [m for m in members if m.failure_domain == name and m.node in chosen]
                 self.assertGreaterEqual(len(own), LEAST_OF_DOMAIN)
 
-    def test_they_do_not_grow_with_the_fleet(self):
+    def test_number_of_watchers_does_not_grow_with_the_fleet(self):
         for size in (60, 390):
             self.assertLessEqual(len(store_watchers(fleet(size, 3))), WATCHERS)
 
-    def test_small_fleet_has_those_it_can(self):
+    def test_small_fleet_has_as_many_watchers_as_nodes(self):
         self.assertEqual(len(store_watchers(fleet(1, 1))), 1)
         self.assertEqual(store_watchers([]), set())
 
