--- a/railsail/membership/overlay.py
+++ b/railsail/membership/overlay.py
@@ -7,29 +7,29 @@
 
 from collections.abc import Sequence
 
-LINKS_OUT = 4
+OUTGOING_LINKS = 4
 
 
-def strides(size: int) -> list[int]:
-    """Return the distances of links in a ring of ``size`` members, at most ``LINKS_OUT``."""
+def link_distances(size: int) -> list[int]:
+    """Return the distances of links in a ring of ``size`` members, at most ``OUTGOING_LINKS``."""
     if size <= 1:
         return []
     base = 2
-    while base**LINKS_OUT < size:
+    while base**OUTGOING_LINKS < size:
         base += 1
-    chosen = [base**power for power in range(LINKS_OUT)]
-    return [stride for stride in chosen if stride <= size // 2]
+    chosen = [base**power for power in range(OUTGOING_LINKS)]
+    return [distance for distance in chosen if distance <= size // 2]
 
 
-def neighbours_out(ring: Sequence[str], node: str) -> list[str]:
+def outgoing_neighbours(ring: Sequence[str], node: str) -> list[str]:
     """Return the members to which ``node`` keeps a link; ``ring`` is sorted and contains it."""
-    place = ring.index(node)
-    chosen = [ring[(place + stride) % len(ring)] for stride in strides(len(ring))]
+    position = ring.index(node)
+    chosen = [ring[(position + distance) % len(ring)] for distance in link_distances(len(ring))]
     return list(dict.fromkeys(chosen))
 
 
 def neighbours(ring: Sequence[str], node: str) -> list[str]:
     """Return the members to which ``node`` keeps a link and those that keep one to it."""
-    place = ring.index(node)
-    into = [ring[(place - stride) % len(ring)] for stride in strides(len(ring))]
-    return list(dict.fromkeys(neighbours_out(ring, node) + into))
+    position = ring.index(node)
+    incoming = [ring[(position - distance) % len(ring)] for distance in link_distances(len(ring))]
+    return list(dict.fromkeys(outgoing_neighbours(ring, node) + incoming))
--- a/railsail/membership/service.py
+++ b/railsail/membership/service.py
@@ -24,21 +24,21 @@
 from railsail.store.base import Listing, WatchEvent
 
 KIND = "node"
-HEARTBEAT_SECONDS = 1.0
-SILENT_SECONDS = 3.0
+HEARTBEAT_INTERVAL_SECONDS = 1.0
+SUSPECT_AFTER_SECONDS = 3.0
 # A node that has been silent for this long is sent no tickets by this node. It need not be suspect
 # yet, since no guarantee depends on which node dispatches.
-AVOID_SECONDS = 1.8
+AVOID_AFTER_SECONDS = 1.8
 # A node that receives a suspicion of itself assumes that its messages do not arrive, for this long
 # or until a new link shows that both directions work.
-DOUBT_SECONDS = 5.0
-SUSPECT_SECONDS = 3.0
-FORGET_SECONDS = 600.0
-SEEDS_AT_ONCE = 3
+SELF_SUSPECT_SECONDS = 5.0
+SUSPICION_TIMEOUT_SECONDS = 3.0
+FORGET_DEAD_SECONDS = 600.0
+MAX_SEEDS_DIALLED = 3
 # A node requests all state of a neighbour after this many heartbeats in a row with other digests.
-DIFFERENCES_TO_ASK = 3
+DIFFERENCES_TO_SYNC = 3
 # After a pause of its process a node requests the state of this many neighbours: one may be down.
-NEIGHBOURS_TO_ASK = 2
+NEIGHBOURS_TO_SYNC = 2
 
 
 class Membership:
@@ -60,11 +60,11 @@
         self._heartbeat: Callable[[], Heartbeat] = lambda: Heartbeat(0, 0, 0)
         self._listeners: list[Callable[[], None]] = []
         self._dead_at: dict[str, float] = {}
-        self._differences: dict[str, int] = {}
+        self._digest_differences: dict[str, int] = {}
         self._neighbours: list[str] = []
-        self._watched_since: dict[str, float] = {}
-        self._dispatchers: Callable[[], set[str]] = set
-        self._doubted_until = 0.0
+        self._monitored_since: dict[str, float] = {}
+        self._extra_monitored: Callable[[], set[str]] = set
+        self._suspected_until = 0.0
         hub.handle(MemberNews, self._received)
         hub.on_up(self._link_up)
         kernel.pauses.on_end(self._resumed)
@@ -79,7 +79,7 @@
 
     def watch_also(self, nodes: Callable[[], set[str]]) -> None:
         """Also monitor the nodes that ``nodes`` returns, by heartbeats that request a reply."""
-        self._dispatchers = nodes
+        self._extra_monitored = nodes
 
     def add_seeds(self, nodes: list[str]) -> None:
         """Record nodes that may be members, to be dialled."""
@@ -88,7 +88,7 @@
     def listed(self, listing: Listing) -> None:
         """Apply a listing of the platform's nodes."""
         self.add_seeds([stored.name for stored in listing.objects])
-        self._ask_seeds()
+        self._dial_seeds()
 
     def seen(self, event: WatchEvent) -> None:
         """Apply a watch event of the platform's nodes."""
@@ -111,24 +111,24 @@
 
     def change_own(self, **changes: object) -> None:
         """Change fields of this node's own record, and broadcast it."""
-        self._pass_on([self.table.change_own(**changes)], "")
+        self._publish([self.table.change_own(**changes)], "")
 
     def reachable(self, node: str) -> bool:
         """Return True if ``node`` may be given work and is not known to be silent."""
         member = self.table.get(node)
         if member is None or not member.usable:
             return False
-        return node == self.table.own.node or not self._silent(node, AVOID_SECONDS)
+        return node == self.table.own.node or not self._is_silent(node, AVOID_AFTER_SECONDS)
 
     @property
     def doubted(self) -> bool:
         """Return True if another node recently suspected this one."""
-        return self._clock.monotonic() < self._doubted_until
+        return self._clock.monotonic() < self._suspected_until
 
     @property
     def alone(self) -> bool:
         """Return True if more than half of the neighbours are silent."""
-        silent = sum(self._silent(node, AVOID_SECONDS) for node in self._neighbours)
+        silent = sum(self._is_silent(node, AVOID_AFTER_SECONDS) for node in self._neighbours)
         return 2 * silent > len(self._neighbours)
 
     def gone(self, node: str, start_id: int) -> bool:
@@ -139,8 +139,8 @@
         linked = self._hub.start_id(node)
         return start_id not in (member.start_id, linked)
 
-    def _silent(self, node: str, seconds: float) -> bool:
-        since = self._watched_since.get(node)
+    def _is_silent(self, node: str, seconds: float) -> bool:
+        since = self._monitored_since.get(node)
         if since is None:
             return False
         last = max(self._hub.last_heard(node), since)
@@ -149,32 +149,32 @@
     async def run(self) -> None:
         """Send heartbeats and check for silent nodes every second, until cancelled."""
         while True:
-            self._beat()
-            await asyncio.sleep(HEARTBEAT_SECONDS)
+            self._run_round()
+            await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS)
 
-    def _beat(self) -> None:
+    def _run_round(self) -> None:
         now = self._clock.monotonic()
-        self._renew_neighbours(now)
-        self._ask_seeds()
+        self._update_neighbours(now)
+        self._dial_seeds()
         heartbeat = self._heartbeat()
         for node in self._neighbours:
             self._hub.send(node, heartbeat)
-        self._ask_dispatchers(now, heartbeat)
+        self._probe_monitored(now, heartbeat)
         self._suspect_silent(now)
-        self._pass_on(self.table.expire(now, SUSPECT_SECONDS), "")
+        self._publish(self.table.expire(now, SUSPICION_TIMEOUT_SECONDS), "")
         self._forget_dead(now)
         self._hub.close_unused(self._neighbours)
 
-    def _renew_neighbours(self, now: float) -> None:
+    def _update_neighbours(self, now: float) -> None:
         ring = [member.node for member in self.table.present()]
         own = self.table.own.node
         self._neighbours = overlay.neighbours(ring, own) if own in ring else []
-        watched = {*self._neighbours, *self._dispatchers()} - {own}
-        for node in watched:
-            if node not in self._watched_since:
-                self._watched_since[node] = now
-        for node in set(self._watched_since) - watched:
-            del self._watched_since[node]
+        monitored = {*self._neighbours, *self._extra_monitored()} - {own}
+        for node in monitored:
+            if node not in self._monitored_since:
+                self._monitored_since[node] = now
+        for node in set(self._monitored_since) - monitored:
+            del self._monitored_since[node]
 
     def _resumed(self, paused_seconds: float) -> None:
         """Restart all timeouts after a pause of this process, and request what it missed.
@@ -182,42 +182,42 @@
         A node that took its own pause for silence of the others would broadcast suspicions of all.
         """
         now = self._clock.monotonic()
-        for node in self._watched_since:
-            self._watched_since[node] = now
-        self.table.resumed(now)
+        for node in self._monitored_since:
+            self._monitored_since[node] = now
+        self.table.restart_suspicions(now)
         request = StateRequest(self._heartbeat().configuration)
-        for node in self._neighbours[:NEIGHBOURS_TO_ASK]:
+        for node in self._neighbours[:NEIGHBOURS_TO_SYNC]:
             self._hub.send(node, request)
 
-    def _ask_dispatchers(self, now: float, heartbeat: Heartbeat) -> None:
+    def _probe_monitored(self, now: float, heartbeat: Heartbeat) -> None:
         # A node that sends other messages in the meantime needs no heartbeat.
-        for node in set(self._watched_since) - set(self._neighbours):
-            if now - self._hub.last_heard(node) >= HEARTBEAT_SECONDS:
+        for node in set(self._monitored_since) - set(self._neighbours):
+            if now - self._hub.last_heard(node) >= HEARTBEAT_INTERVAL_SECONDS:
                 self._hub.send(node, msgspec.structs.replace(heartbeat, wants_reply=True))
 
-    def _ask_seeds(self) -> None:
+    def _dial_seeds(self) -> None:
         # Seeds that are not members are dialled, a few at a time.
-        strangers = [node for node in sorted(self._seeds) if self._is_stranger(node)]
-        for node in self._rng.sample(strangers, min(SEEDS_AT_ONCE, len(strangers))):
+        candidates = [node for node in sorted(self._seeds) if self._is_unknown_or_dead(node)]
+        for node in self._rng.sample(candidates, min(MAX_SEEDS_DIALLED, len(candidates))):
             self._hub.dial(node)
 
-    def _is_stranger(self, node: str) -> bool:
+    def _is_unknown_or_dead(self, node: str) -> bool:
         member = self.table.get(node)
         return member is None or member.state is MemberState.DEAD
 
     def _suspect_silent(self, now: float) -> None:
-        for node in list(self._watched_since):
-            if self._silent(node, SILENT_SECONDS):
+        for node in list(self._monitored_since):
+            if self._is_silent(node, SUSPECT_AFTER_SECONDS):
                 self._hub.drop(node)
-                belief = self.table.suspect(node, now)
-                if belief is not None:
-                    self._pass_on([belief], "")
+                update = self.table.suspect(node, now)
+                if update is not None:
+                    self._publish([update], "")
 
     def _forget_dead(self, now: float) -> None:
         for member in self.table.all():
             if member.state is MemberState.DEAD:
                 since = self._dead_at.setdefault(member.node, now)
-                if now - since > FORGET_SECONDS:
+                if now - since > FORGET_DEAD_SECONDS:
                     self.table.forget([member.node])
                     self._hub.forget(member.node)
             else:
@@ -225,7 +225,7 @@
 
     def _link_up(self, peer: Identity) -> None:
         own = self.table.own
-        self._doubted_until = 0.0
+        self._suspected_until = 0.0
         self._hub.send(peer.node, MemberNews([_to_record(own)]))
         known = self.table.get(peer.node)
         if known is None or known.start_id != peer.start_id or known.state is MemberState.DEAD:
@@ -235,57 +235,57 @@
         """Compare a heartbeat of ``node`` with this node's state.
 
         Request all state of ``node`` if its configuration is newer, or if its digests have differed
-        for ``DIFFERENCES_TO_ASK`` heartbeats.
+        for ``DIFFERENCES_TO_SYNC`` heartbeats.
         """
         own = self._heartbeat()
         if heartbeat.wants_reply:
             self._hub.send(node, own)
         same = heartbeat.members == own.members and heartbeat.upstreams == own.upstreams
         ahead = heartbeat.configuration > own.configuration
-        count = 0 if same and not ahead else self._differences.get(node, 0) + 1
-        if ahead or count >= DIFFERENCES_TO_ASK:
+        count = 0 if same and not ahead else self._digest_differences.get(node, 0) + 1
+        if ahead or count >= DIFFERENCES_TO_SYNC:
             count = 0
             self._hub.send(node, StateRequest(own.configuration))
-        self._differences[node] = count
+        self._digest_differences[node] = count
 
-    def _received(self, node: str, news: MemberNews) -> None:
+    def _received(self, node: str, message: MemberNews) -> None:
         now = self._clock.monotonic()
         own = self.table.own
-        if any(_doubts(record, own) for record in news.members):
-            self._doubted_until = now + DOUBT_SECONDS
-        beliefs = [self.table.merge(_from_record(record), now) for record in news.members]
+        if any(_suspects_own(record, own) for record in message.members):
+            self._suspected_until = now + SELF_SUSPECT_SECONDS
+        updates = [self.table.merge(_from_record(record), now) for record in message.members]
         if self.table.own.start_id != own.start_id:
             self._hub.own = Identity(own.node, self.table.own.start_id)
-        self._pass_on([belief for belief in beliefs if belief is not None], node)
+        self._publish([update for update in updates if update is not None], node)
 
-    def _pass_on(self, beliefs: list[Member], source: str) -> None:
-        if not beliefs:
+    def _publish(self, updates: list[Member], source: str) -> None:
+        if not updates:
             return
-        for belief in beliefs:
-            self._tell(belief)
-        self._renew_neighbours(self._clock.monotonic())
-        self.flood(MemberNews([_to_record(belief) for belief in beliefs]), source)
+        for update in updates:
+            self._log_update(update)
+        self._update_neighbours(self._clock.monotonic())
+        self.flood(MemberNews([_to_record(update) for update in updates]), source)
         for listener in self._listeners:
             listener()
 
-    def _tell(self, belief: Member) -> None:
-        state = belief.state.name.lower()
+    def _log_update(self, update: Member) -> None:
+        state = update.state.name.lower()
         self._events.emit(
             Kind.MEMBER,
-            member=belief.node,
+            member=update.node,
             state=state,
-            start_id=belief.start_id,
-            sequence=belief.sequence,
-            speed=belief.speed,
+            start_id=update.start_id,
+            sequence=update.sequence,
+            speed=update.speed,
         )
         for each in MemberState:
             count = sum(member.state is each for member in self.table.all())
             self._metrics.members.set({"state": each.name.lower()}, count)
 
 
-def _doubts(record: MemberRecord, own: Member) -> bool:
-    mine = record.node == own.node and record.start_id == own.start_id
-    return mine and record.state >= MemberState.SUSPECT
+def _suspects_own(record: MemberRecord, own: Member) -> bool:
+    is_own = record.node == own.node and record.start_id == own.start_id
+    return is_own and record.state >= MemberState.SUSPECT
 
 
 # ``Member`` and ``MemberRecord`` have the same fields in the same order. ``dataclasses.astuple``
--- a/railsail/membership/speed.py
+++ b/railsail/membership/speed.py
@@ -16,7 +16,7 @@
 
 # The piece of work that is timed takes about 50 microseconds on a core of 2026.
 WORK_ROUNDS = 1_000
-REFERENCE_SECONDS = 50e-6
+REFERENCE_WORK_SECONDS = 50e-6
 # The level follows the median of this many samples: other processes make single samples slower, and
 # a coarse clock makes single samples faster.
 SAMPLES = 5
@@ -24,20 +24,20 @@
 SAMPLE_SECONDS = 0.15
 # A level is a factor of two. It changes only when the speed is this many levels away from it, so
 # that a speed between two levels does not alternate between them.
-HYSTERESIS = 0.75
+HYSTERESIS_LEVELS = 0.75
 # The level of a node rises only after its speed has been higher for this long: each change of
 # dispatchers loses part of what they had learnt, and a node that was slow may become slow again.
 RISE_SECONDS = 10.0
 # Levels of the slowest and the fastest nodes that are distinguished. Messages hold levels as
 # numbers from 0.
-SLOWEST = -8
-FASTEST = 8
+MIN_LEVEL = -8
+MAX_LEVEL = 8
 # The level of a node that has not measured its speed yet. With a higher one, every node that starts
 # would dispatch during its first second.
 UNKNOWN_LEVEL = 0
 
 
-def work() -> int:
+def reference_work() -> int:
     """Do the piece of work that is timed, and return its result."""
     total = 0
     for number in range(WORK_ROUNDS):
@@ -46,46 +46,48 @@
 
 
 class SpeedMeter:
-    """Measure the speed of this node by timing ``do`` with ``clock``, which returns seconds."""
+    """Measure the speed of this node by timing ``work`` with ``clock``, which returns seconds."""
 
-    def __init__(self, clock: Callable[[], float], do: Callable[[], object] = work) -> None:
+    def __init__(
+        self, clock: Callable[[], float], work: Callable[[], object] = reference_work
+    ) -> None:
         self._clock = clock
-        self._do = do
-        self._taken: deque[float] = deque(maxlen=SAMPLES)
+        self._work = work
+        self._durations: deque[float] = deque(maxlen=SAMPLES)
         self._level: int | None = None
-        self._rises_since: float | None = None
+        self._faster_since: float | None = None
 
     @property
     def level(self) -> int:
         """Return the level of this node, 0 for the slowest and until it is known."""
-        return UNKNOWN_LEVEL if self._level is None else self._level - SLOWEST
+        return UNKNOWN_LEVEL if self._level is None else self._level - MIN_LEVEL
 
     def sample(self) -> bool:
         """Time the work once, and return True if the level has changed."""
-        begun = self._clock()
-        self._do()
-        self._taken.append(max(self._clock() - begun, 1e-9))
-        if len(self._taken) < SAMPLES:
+        started_at = self._clock()
+        self._work()
+        self._durations.append(max(self._clock() - started_at, 1e-9))
+        if len(self._durations) < SAMPLES:
             return False
-        speed = math.log2(REFERENCE_SECONDS / median(self._taken))
-        speed = min(max(speed, SLOWEST), FASTEST)
-        if not self._leaves(speed, begun):
+        speed = math.log2(REFERENCE_WORK_SECONDS / median(self._durations))
+        speed = min(max(speed, MIN_LEVEL), MAX_LEVEL)
+        if not self._changes_level(speed, started_at):
             return False
-        before = self.level
+        previous = self.level
         self._level = round(speed)
-        return self.level != before
+        return self.level != previous
 
-    def _leaves(self, speed: float, now: float) -> bool:
+    def _changes_level(self, speed: float, now: float) -> bool:
         """Return True if the level changes at ``now`` to that of ``speed``."""
-        if self._level is None or speed <= self._level - HYSTERESIS:
-            self._rises_since = None
+        if self._level is None or speed <= self._level - HYSTERESIS_LEVELS:
+            self._faster_since = None
             return True
-        if speed < self._level + HYSTERESIS:
-            self._rises_since = None
+        if speed < self._level + HYSTERESIS_LEVELS:
+            self._faster_since = None
             return False
-        if self._rises_since is None:
-            self._rises_since = now
-        return now - self._rises_since >= RISE_SECONDS
+        if self._faster_since is None:
+            self._faster_since = now
+        return now - self._faster_since >= RISE_SECONDS
 
 
 def fast_enough(members: Iterable[Member]) -> list[Member]:
--- a/railsail/membership/table.py
+++ b/railsail/membership/table.py
@@ -42,7 +42,7 @@
     forward_port: int = 0
 
     @property
-    def order(self) -> tuple[int, int, int]:
+    def precedence(self) -> tuple[int, int, int]:
         """Return the key by which the later of two records of the same node wins."""
         return (self.start_id, self.sequence, int(self.state))
 
@@ -60,7 +60,7 @@
         self._members: dict[str, Member] = {own.node: own}
         self._suspected_at: dict[str, float] = {}
         self._digest = 0
-        self._toggle(own)
+        self._toggle_digest(own)
 
     def __len__(self) -> int:
         return len(self._members)
@@ -89,22 +89,22 @@
         """
         return self._digest
 
-    def merge(self, belief: Member, now: float) -> Member | None:
-        """Merge ``belief``; return the record to broadcast, or ``None`` if nothing is new.
+    def merge(self, update: Member, now: float) -> Member | None:
+        """Merge ``update``; return the record to broadcast, or ``None`` if nothing is new.
 
         An update that says that this node itself is suspect or dead is refuted by a new sequence.
         """
-        known = self._members.get(belief.node)
-        if belief.node == self.own.node:
-            return self._refute(belief)
-        if known is not None and belief.order <= known.order:
+        known = self._members.get(update.node)
+        if update.node == self.own.node:
+            return self._refute(update)
+        if known is not None and update.precedence <= known.precedence:
             return None
-        self._put(belief)
-        if belief.state is MemberState.SUSPECT:
-            self._suspected_at[belief.node] = now
+        self._put(update)
+        if update.state is MemberState.SUSPECT:
+            self._suspected_at[update.node] = now
         else:
-            self._suspected_at.pop(belief.node, None)
-        return belief
+            self._suspected_at.pop(update.node, None)
+        return update
 
     def suspect(self, node: str, now: float) -> Member | None:
         """Mark ``node`` as suspect; return the record to broadcast, or ``None`` if not changed."""
@@ -113,7 +113,7 @@
             return None
         return self.merge(replace(known, state=MemberState.SUSPECT), now)
 
-    def resumed(self, now: float) -> None:
+    def restart_suspicions(self, now: float) -> None:
         """Restart all suspicion timeouts at ``now``, after a pause of this process.
 
         Refutations that arrived during the pause may not be processed yet.
@@ -121,30 +121,30 @@
         for node in self._suspected_at:
             self._suspected_at[node] = now
 
-    def expire(self, now: float, patience: float) -> list[Member]:
-        """Declare members dead that were suspect for ``patience`` seconds; return their records."""
-        news = []
+    def expire(self, now: float, suspicion_timeout: float) -> list[Member]:
+        """Declare members dead that were suspect for ``suspicion_timeout`` seconds; return them."""
+        updates = []
         for node, since in list(self._suspected_at.items()):
-            if now - since >= patience:
-                belief = replace(self._members[node], state=MemberState.DEAD)
-                news.append(self.merge(belief, now))
-        return [belief for belief in news if belief is not None]
+            if now - since >= suspicion_timeout:
+                update = replace(self._members[node], state=MemberState.DEAD)
+                updates.append(self.merge(update, now))
+        return [update for update in updates if update is not None]
 
     def change_own(self, **changes: object) -> Member:
         """Change fields of this node's own record, and return it to be broadcast."""
-        return self._renew(replace(self.own, sequence=self.own.sequence + 1, **changes))
+        return self._replace_own(replace(self.own, sequence=self.own.sequence + 1, **changes))
 
-    def _refute(self, belief: Member) -> Member | None:
-        stale = belief.start_id < self.own.start_id
-        if stale or belief.order <= self.own.order:
+    def _refute(self, update: Member) -> Member | None:
+        stale = update.start_id < self.own.start_id
+        if stale or update.precedence <= self.own.precedence:
             return None
-        if belief.start_id > self.own.start_id:
+        if update.start_id > self.own.start_id:
             # The id of a node is the address on which this process listens, so that the process
             # with the later start id has ended.
-            return self._renew(replace(self.own, start_id=belief.start_id + 1))
-        return self._renew(replace(self.own, sequence=belief.sequence + 1))
+            return self._replace_own(replace(self.own, start_id=update.start_id + 1))
+        return self._replace_own(replace(self.own, sequence=update.sequence + 1))
 
-    def _renew(self, own: Member) -> Member:
+    def _replace_own(self, own: Member) -> Member:
         self.own = own
         self._put(own)
         return own
@@ -154,18 +154,18 @@
         for node in nodes:
             member = self._members.pop(node, None)
             if member is not None:
-                self._toggle(member)
+                self._toggle_digest(member)
                 self._suspected_at.pop(node, None)
 
     def _put(self, member: Member) -> None:
         known = self._members.get(member.node)
         if known is not None:
-            self._toggle(known)
+            self._toggle_digest(known)
         self._members[member.node] = member
-        self._toggle(member)
+        self._toggle_digest(member)
 
-    def _toggle(self, member: Member) -> None:
+    def _toggle_digest(self, member: Member) -> None:
         # Dead members are left out, so that tables agree whether or not they still hold them.
         if member.state is not MemberState.DEAD:
-            text = f"{member.node} {member.order}"
+            text = f"{member.node} {member.precedence}"
             self._digest ^= zlib.crc32(text.encode())
--- a/railsail/membership/tree.py
+++ b/railsail/membership/tree.py
@@ -17,8 +17,8 @@
 
 def parent(ordered: Sequence[str], node: str) -> str | None:
     """Return the parent of ``node``, or ``None`` for the root."""
-    place = ordered.index(node)
-    return None if place == 0 else ordered[(place - 1) // FAN_OUT]
+    position = ordered.index(node)
+    return None if position == 0 else ordered[(position - 1) // FAN_OUT]
 
 
 def children(ordered: Sequence[str], node: str) -> list[str]:
--- a/railsail/membership/view.py
+++ b/railsail/membership/view.py
@@ -9,7 +9,7 @@
 from railsail.peers.hub import PeerHub
 
 # If this many nodes are unreachable, only nodes with a link are given work.
-CUT_OFF_NODES = 2
+UNREACHABLE_TO_REQUIRE_LINKS = 2
 
 
 class FleetView:
@@ -54,7 +54,7 @@
         if self._membership.doubted and own in nodes:
             return [own]
         nodes = [n for n in nodes if n not in unreachable and self._membership.reachable(n)]
-        if len(unreachable) >= CUT_OFF_NODES:
+        if len(unreachable) >= UNREACHABLE_TO_REQUIRE_LINKS:
             # The network may be partitioned, and trying the other nodes one by one takes too long.
             nodes = [node for node in nodes if self._hub.connected(node)]
         return nodes
--- a/railsail/membership/watchers.py
+++ b/railsail/membership/watchers.py
@@ -13,9 +13,9 @@
 from railsail.membership.table import Member
 
 # Number of watchers in total, unless many failure domains need more.
-WATCHERS = 8
+TARGET_WATCHERS = 8
 # Minimum number of watchers in each domain: one of them may be down.
-LEAST_OF_DOMAIN = 2
+MIN_WATCHERS_PER_DOMAIN = 2
 
 
 def store_watchers(members: Iterable[Member]) -> set[str]:
@@ -23,6 +23,6 @@
     nodes: defaultdict[str, list[str]] = defaultdict(list)
     for member in members:
         nodes[member.failure_domain].append(member.node)
-    each = max(LEAST_OF_DOMAIN, WATCHERS // max(1, len(nodes)))
-    chosen = [rank("store watchers", of_domain)[:each] for of_domain in nodes.values()]
+    per_domain = max(MIN_WATCHERS_PER_DOMAIN, TARGET_WATCHERS // max(1, len(nodes)))
+    chosen = [rank("store watchers", of_domain)[:per_domain] for of_domain in nodes.values()]
     return {node for of_domain in chosen for node in of_domain}
--- a/tests/fleet/test_dispatch.py
+++ b/tests/fleet/test_dispatch.py
@@ -171,7 +171,7 @@
         frozen.hub.send = lambda node, message: True
         frozen.hub._received = lambda node, message: None
         for node in self.fleet.nodes:
-            node.membership._silent = lambda node, seconds: False
+            node.membership._is_silent = lambda node, seconds: False
 
     async def test_frozen_dispatcher_is_left_before_heartbeats_are_missed(self):
         frozen, entry = self.dispatcher(), self.others()[0]
--- a/tests/fleet/test_pauses.py
+++ b/tests/fleet/test_pauses.py
@@ -20,8 +20,8 @@
         # As after a suspension: all that was heard is old, and no beat came in between.
         for peer in node.hub.peers():
             node.hub._heard[peer] = now - AWAY_SECONDS
-        for peer in membership._watched_since:
-            membership._watched_since[peer] = now - AWAY_SECONDS
+        for peer in membership._monitored_since:
+            membership._monitored_since[peer] = now - AWAY_SECONDS
         node.kernel.pauses.ended(AWAY_SECONDS, now)
         self.assertTrue(all(membership.reachable(peer) for peer in node.hub.peers()))
         membership._suspect_silent(now)
--- a/tests/membership/test_speed.py
+++ b/tests/membership/test_speed.py
@@ -5,7 +5,7 @@
 
 from railsail.core.clock import ManualClock
 from railsail.membership.speed import (
-    REFERENCE_SECONDS,
+    REFERENCE_WORK_SECONDS,
     RISE_SECONDS,
     SAMPLES,
     SpeedMeter,
@@ -20,7 +20,7 @@
         self.clock = ManualClock(10.0)
         self.factor = 1.0
         self.meter = SpeedMeter(
-            self.clock.monotonic, lambda: self.clock.advance(REFERENCE_SECONDS * self.factor)
+            self.clock.monotonic, lambda: self.clock.advance(REFERENCE_WORK_SECONDS * self.factor)
         )
 
     def samples(self, factor: float, count: int = SAMPLES) -> list[bool]:
--- a/tests/membership/test_table.py
+++ b/tests/membership/test_table.py
@@ -17,8 +17,8 @@
         self.table = MemberTable(member("own"))
 
     def test_false_suspicion_of_this_node_is_refuted(self):
-        news = self.table.merge(member("own", state=MemberState.SUSPECT), 0.0)
-        self.assertEqual((news.sequence, news.state), (1, MemberState.ALIVE))
+        update = self.table.merge(member("own", state=MemberState.SUSPECT), 0.0)
+        self.assertEqual((update.sequence, update.state), (1, MemberState.ALIVE))
 
     def test_paused_node_that_was_declared_dead_is_alive_again_after_its_refutation(self):
         other = MemberTable(member("other"))
@@ -46,8 +46,8 @@
         other = MemberTable(member("other"))
         other.merge(member("own", start=5000, state=MemberState.DEAD), 0.0)
         restarted = MemberTable(member("own", start=2600))
-        news = restarted.merge(other.get("own"), 0.0)
-        other.merge(news, 0.0)
+        update = restarted.merge(other.get("own"), 0.0)
+        other.merge(update, 0.0)
         self.assertEqual(other.get("own").state, MemberState.ALIVE)
         self.assertEqual(other.get("own").start_id, restarted.own.start_id)
 
@@ -56,19 +56,19 @@
         self.assertEqual(self.table.own.start_id, 1)
 
     def test_order_and_repeats_of_updates_do_not_matter(self):
-        beliefs = [
+        updates = [
             member("a"),
             member("a", state=MemberState.SUSPECT),
             member("a", sequence=1),
             member("a", start=2, state=MemberState.LEAVING),
         ]
-        ends = set()
-        for order in itertools.permutations(beliefs):
+        results = set()
+        for order in itertools.permutations(updates):
             table = MemberTable(member("own"))
-            for belief in [*order, random.Random(1).choice(order)]:
-                table.merge(belief, 0.0)
-            ends.add((table.get("a"), table.digest))
-        self.assertEqual(len(ends), 1)
+            for update in [*order, random.Random(1).choice(order)]:
+                table.merge(update, 0.0)
+            results.add((table.get("a"), table.digest))
+        self.assertEqual(len(results), 1)
 
     def test_digest_leaves_out_dead_members(self):
         before = self.table.digest
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -3,7 +3,7 @@
 import unittest
 
 from railsail.membership.table import Member, MemberState, MemberTable
-from railsail.membership.view import CUT_OFF_NODES, FleetView
+from railsail.membership.view import UNREACHABLE_TO_REQUIRE_LINKS, FleetView
 
 OWN = "10.0.0.0:1"
 OTHERS = [f"10.0.0.{number}:1" for number in range(1, 6)]
@@ -14,13 +14,13 @@
 
 
 class Membership:
-    """A fleet of six, of which this node can reach ``heard``."""
+    """A fleet of six, of which this node can reach ``reachable_nodes``."""
 
     def __init__(self) -> None:
         self.table = MemberTable(member(OWN))
         for node in OTHERS:
             self.table.merge(member(node), 0.0)
-        self.heard = {OWN, *OTHERS}
+        self.reachable_nodes = {OWN, *OTHERS}
         self.doubted = False
         self.alone = False
         self.listeners = []
@@ -29,7 +29,7 @@
         self.listeners.append(listener)
 
     def reachable(self, node: str) -> bool:
-        return node in self.heard
+        return node in self.reachable_nodes
 
 
 class Hub:
@@ -47,7 +47,7 @@
         self.view = FleetView(self.membership, self.hub, 8, lambda: self.unreachable)
 
     def test_all_reachable_nodes_may_be_given_work(self):
-        self.membership.heard.remove(OTHERS[0])
+        self.membership.reachable_nodes.remove(OTHERS[0])
         self.assertEqual(self.view.usable(), [OWN, *OTHERS[1:]])
         self.assertEqual(self.view.reachable_share(), 5 / 6)
 
@@ -60,7 +60,7 @@
         self.assertNotIn(OTHERS[2], self.view.usable())
 
     def test_only_linked_nodes_are_given_work_if_several_are_unreachable(self):
-        self.unreachable = set(OTHERS[:CUT_OFF_NODES])
+        self.unreachable = set(OTHERS[:UNREACHABLE_TO_REQUIRE_LINKS])
         self.hub.linked = {OWN, OTHERS[4]}
         self.assertEqual(self.view.usable(), [OWN, OTHERS[4]])
 
--- a/tests/membership/test_watchers.py
+++ b/tests/membership/test_watchers.py
@@ -1,7 +1,7 @@
 import unittest
 
 from railsail.membership.table import Member, MemberState
-from railsail.membership.watchers import LEAST_OF_DOMAIN, WATCHERS, store_watchers
+from railsail.membership.watchers import MIN_WATCHERS_PER_DOMAIN, TARGET_WATCHERS, store_watchers
 
 
 def fleet(size: int, domains: int) -> list[Member]:
@@ -18,11 +18,11 @@
             chosen = store_watchers(members)
             for name in {member.failure_domain for member in members}:
                 own = [m for m in members if m.failure_domain == name and m.node in chosen]
-                self.assertGreaterEqual(len(own), LEAST_OF_DOMAIN)
+                self.assertGreaterEqual(len(own), MIN_WATCHERS_PER_DOMAIN)
 
     def test_number_of_watchers_does_not_grow_with_the_fleet(self):
         for size in (60, 390):
-            self.assertLessEqual(len(store_watchers(fleet(size, 3))), WATCHERS)
+            self.assertLessEqual(len(store_watchers(fleet(size, 3))), TARGET_WATCHERS)
 
     def test_small_fleet_has_as_many_watchers_as_nodes(self):
         self.assertEqual(len(store_watchers(fleet(1, 1))), 1)
