--- a/railsail/configuration/__init__.py
+++ b/railsail/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Commit a configuration, and carry it to every daemon."""
+"""Committing configurations to the store, and distributing them to all daemons."""
--- a/railsail/configuration/carrier.py
+++ b/railsail/configuration/carrier.py
@@ -1,8 +1,8 @@
-"""Carry the committed configuration to this daemon and on to its neighbours.
+"""The active configuration of this daemon, read from the store or received from a peer.
 
-Versions are only ever applied upwards. News goes over the bounded neighbours of the overlay, each
-passing it on once, so that a change reaches all in few hops whatever the size; a heartbeat that
-names another version repairs what was lost.
+The version of the active configuration only rises. Each node forwards a new version once to its
+neighbours in the overlay, so that a change reaches all nodes in a few hops in a fleet of any size.
+A node that missed it requests it when a heartbeat names a later version.
 """
 
 import asyncio
@@ -40,9 +40,9 @@
 from railsail.store.freshness import Freshness
 from railsail.store.journal import Backoff
 
-# Where a configuration came from that no peer told.
+# The source of a configuration that no peer sent.
 STORE = "store"
-# What a head needs of the store besides is read again after pauses from the one to the other.
+# Backoff of reading the snapshot that a head object builds on.
 FIRST_PAUSE_SECONDS = 0.25
 MOST_PAUSE_SECONDS = 2.0
 _NOT_UNDERSTOOD = (ImproperlyConfigured, msgspec.ValidationError)
@@ -50,11 +50,11 @@
 
 
 class Held(msgspec.Struct, frozen=True):
-    """Which configuration is in force here, and how well it is known to be the newest.
+    """Which version of the configuration is active here, and since when it may be outdated.
 
-    ``source`` is the peer that told it, or the store; ``proof_age`` is for how many seconds at most
-    the store can have had a newer one, infinite where that is not known, and ``longest`` how old a
-    proof may get where the store can be read.
+    ``source`` is the peer that sent it, or the store. The store can have had a newer version for at
+    most ``proof_age`` seconds, infinite if that is unknown. While the store can be read, a proof is
+    at most ``longest`` seconds old.
     """
 
     version: int
@@ -64,20 +64,21 @@
 
     @property
     def proved(self) -> bool:
-        """Say whether any newer version has been there for a moment only."""
+        """Return True if the proof that this is the newest version is recent."""
         return self.proof_age <= self.longest
 
     def refusal(self, reason: Reason, detail: str) -> NotRun:
-        """Return the refusal of a request that this configuration does not allow.
+        """Return the outcome of a request that this configuration does not allow.
 
-        Callers take that for final, so that it is told only where no other node may know better.
+        Callers take ``reason`` as final. Unless this version is proved, another reason is given,
+        since another node may have a newer configuration that allows the request.
         """
         if self.proved:
             return NotRun(reason, detail)
         return NotRun(Reason.UNPROVED_CONFIGURATION, f"{detail} here, and this node may be behind")
 
     def facts(self) -> dict[str, Fact]:
-        """Return the same for the time line."""
+        """Return the fields as facts of an event."""
         facts: dict[str, Fact] = {"configuration": self.version, "source": self.source}
         if math.isfinite(self.proof_age):
             facts["proof_age_ms"] = round(self.proof_age * 1000)
@@ -85,10 +86,10 @@
 
 
 class ConfigurationCarrier:
-    """Hold the catalog in force.
+    """The active configuration; it replaces its catalog by newer ones and forwards them to peers.
 
-    ``flood`` sends a message to all neighbours but one, ``ask`` a request to one peer; a proof of
-    the configuration gets ``longest_proof_age`` seconds old at most where the store can be read.
+    ``flood`` sends an update to all neighbours but the given one, ``ask`` sends a request to one
+    peer. A proof is at most ``longest_proof_age`` seconds old while the store can be read.
     """
 
     def __init__(
@@ -115,32 +116,32 @@
         self._changes: list[Change] = []
         self._listeners: list[Listener] = []
         self._tasks = TaskSet()
-        # The newest head that was seen of the store, until it is in force.
+        # The newest head object seen in the store, until its configuration is active.
         self._pending: StoredObject | None = None
         self._reading = False
 
     def held(self) -> Held:
-        """Return which configuration is in force, and how old it may be."""
+        """Return which version is active, and since when it may be outdated."""
         age = self._freshness.age(KIND)
         return Held(self.catalog.version, self._source, age, self._longest_proof_age)
 
     def on_change(self, listener: Listener) -> None:
-        """Call ``listener`` with each catalog that comes into force."""
+        """Call ``listener`` with each catalog that becomes active."""
         self._listeners.append(listener)
 
     def listed(self, listing: Listing) -> None:
-        """Take in a listing of the store."""
+        """Apply a listing of the store."""
         for stored in listing.objects:
             if stored.name == HEAD:
                 self._resolve(stored)
 
     def seen(self, event: WatchEvent) -> None:
-        """Take in a watch event of the store."""
+        """Apply a watch event of the store."""
         if event.name == HEAD and event.value is not None:
             self._resolve(StoredObject(KIND, HEAD, event.version, event.value))
 
     def caught_up(self) -> bool:
-        """Say whether all that this node has seen of the store is in force."""
+        """Return True if the newest configuration that was seen in the store is active."""
         return self._pending is None
 
     def _resolve(self, stored: StoredObject) -> None:
@@ -150,8 +151,8 @@
         try:
             committed = self._repository.resolve_known(stored, self.catalog)
         except _NOT_UNDERSTOOD as problem:
-            # It stays pending, so that no peer is told that this node holds it.
-            get_logger().warning("configuration not understood", reason=str(problem))
+            # The head stays pending, so that this node sends its peers no proof of its version.
+            get_logger().warning("configuration is invalid", reason=str(problem))
             return
         if committed is not None:
             self.committed(committed)
@@ -160,35 +161,38 @@
             self._tasks.start(self._read_pending())
 
     async def _read_pending(self) -> None:
-        """Read what a head needs besides until it is in force: nobody may tell of it again."""
+        """Read the snapshot that the pending head builds on, until its configuration is active.
+
+        Failed reads are retried, since no later event may announce this head again.
+        """
         backoff = Backoff(self._rng, FIRST_PAUSE_SECONDS, MOST_PAUSE_SECONDS)
         while self._pending is not None:
             try:
                 self.committed(await self._repository.resolve(self._pending, self.catalog))
             except StoreUnavailable as problem:
-                get_logger().warning("configuration not read yet", reason=str(problem))
+                get_logger().warning("configuration could not be read", reason=str(problem))
                 await asyncio.sleep(backoff.pause())
             except _NOT_UNDERSTOOD as problem:
-                get_logger().warning("configuration not understood", reason=str(problem))
+                get_logger().warning("configuration is invalid", reason=str(problem))
                 break
         self._reading = False
 
     def committed(self, committed: Committed) -> None:
-        """Bring a configuration that was read from the store into force, if it is newer."""
+        """Activate a configuration that was read from the store, if it is newer."""
         self._bring_into_force(committed.catalog, list(committed.head.changes), "")
 
     def received(self, node: str, news: ConfigurationNews) -> None:
-        """Take in news of a peer."""
+        """Apply an update received from the peer ``node``."""
         if news.version <= self.catalog.version:
             return
         if news.since > self.catalog.version:
-            # Whoever tells changes has what they build on.
+            # The sender also has the changes that this update builds on.
             self._ask(node, StateRequest(self.catalog.version))
             return
         try:
             catalog, changes = self._read_news(news)
         except (ValueError, ImproperlyConfigured) as problem:
-            get_logger().warning("configuration news refused", peer=node, reason=str(problem))
+            get_logger().warning("configuration update rejected", peer=node, reason=str(problem))
             return
         self._bring_into_force(catalog, changes, node)
 
@@ -202,7 +206,7 @@
             if change.version == catalog.version + 1:
                 catalog = apply_change(catalog, change)
         if catalog.version != news.version:
-            raise ValueError("the news has gaps")
+            raise ValueError("changes are missing")
         return catalog, changes
 
     def _bring_into_force(self, catalog: Catalog, changes: list[Change], source: str) -> None:
@@ -228,7 +232,10 @@
         self._flood(self.news_since(previous), source)
 
     def news_since(self, version: int) -> ConfigurationNews:
-        """Return what a peer at ``version`` lacks: changes if they are kept, else all objects."""
+        """Return an update for a peer at ``version``.
+
+        It holds the changes since that version, or all objects if some of the changes are not kept.
+        """
         missing = [change for change in self._changes if change.version > version]
         whole = len(missing) == self.catalog.version - version
         if version and missing and whole:
@@ -237,5 +244,5 @@
 
 
 def _version(head: StoredObject | None) -> int:
-    """Return the version of a head, 0 for none."""
+    """Return the version of a head object, 0 for ``None``."""
     return head.value.get("version", 0) if head is not None else 0
--- a/railsail/configuration/changes.py
+++ b/railsail/configuration/changes.py
@@ -1,4 +1,4 @@
-"""The change: what is committed as one, and carried to every daemon."""
+"""Changes of the configuration: each is committed as a whole and sent to every daemon."""
 
 import json
 
@@ -11,7 +11,7 @@
 
 
 class OperationRecord(msgspec.Struct, frozen=True):
-    """One operation as it is stored; ``value`` is ``None`` for a deletion."""
+    """An operation in its stored form; ``value`` is ``None`` for a deletion."""
 
     kind: str
     name: str
@@ -21,8 +21,8 @@
 class Change(msgspec.Struct, frozen=True):
     """A committed change.
 
-    ``version`` is the configuration's version that it made; ``id`` was chosen by whoever asked for
-    it, so that a lost reply can be resolved; ``at`` is in seconds since the Unix epoch.
+    ``version`` is the version of the configuration after it. The proposer chose ``id``, by which
+    the change is recognised if the reply was lost. ``at`` is in seconds since the Unix epoch.
     """
 
     version: int
@@ -32,19 +32,19 @@
     operations: tuple[OperationRecord, ...]
 
     def keys(self) -> set[tuple[str, str]]:
-        """Return the keys of the objects that it touches."""
+        """Return the keys of the objects that the change writes or deletes."""
         return {(operation.kind, operation.name) for operation in self.operations}
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """All objects at ``version``."""
+    """All objects at ``version``, in their stored form."""
 
     version: int
     objects: tuple[dict[str, object], ...]
 
 
 class ConfigurationConflict(RailsailError):
-    """Another operator changed the same objects first; ``other`` is that change."""
+    """Another operator has changed the same objects; ``other`` is that change."""
 
     def __init__(self, other: Change) -> None:
         keys = ", ".join(f"{kind}/{name}" for kind, name in sorted(other.keys()))
@@ -53,7 +53,7 @@
 
 
 class Proposal(msgspec.Struct, frozen=True):
-    """A change that an operator asks for; ``base`` is the version that the operator had seen."""
+    """A change that an operator requests; ``base`` is the version that the operator has seen."""
 
     id: str
     author: str
@@ -62,7 +62,7 @@
 
 
 def record(operation: Operation) -> OperationRecord:
-    """Return ``operation`` as it is stored."""
+    """Return ``operation`` in its stored form."""
     value = None if operation.resource is None else to_plain(operation.resource)
     return OperationRecord(*operation.key, value)
 
@@ -89,7 +89,7 @@
 
 
 def snapshot(catalog: Catalog) -> Snapshot:
-    """Return all objects of ``catalog`` as they are stored."""
+    """Return all objects of ``catalog`` in their stored form."""
     objects = tuple(to_plain(catalog.resources[key]) for key in sorted(catalog.resources))
     return Snapshot(catalog.version, objects)
 
--- a/railsail/configuration/repository.py
+++ b/railsail/configuration/repository.py
@@ -1,8 +1,8 @@
-"""The configuration in the store, and how a change is accepted.
+"""The configuration in the store, and the commit of changes.
 
-One head object holds the version, the newest changes and the version of a snapshot. A change is
-accepted when the conditional update of the head took effect, and never otherwise. All objects of a
-change take effect as one, and versions only rise.
+A head object holds the version, the newest changes and the version of a snapshot. A change is
+committed if and only if the conditional update of the head took effect. All objects of a change are
+committed together, and versions only rise.
 """
 
 import asyncio
@@ -36,9 +36,11 @@
 
 
 class Head(msgspec.Struct, frozen=True):
-    """The head object: the newest ``changes`` end at ``version`` and begin after ``base``.
+    """The head object.
 
-    A head that some other system writes holds all ``objects`` of its version instead.
+    ``changes`` are the newest changes up to ``version``. They include all changes after the
+    snapshot, whose version is ``base``, 0 for none. A head that another system writes holds all
+    ``objects`` of its version instead.
     """
 
     version: int = 0
@@ -48,7 +50,7 @@
 
 
 class Committed(msgspec.Struct, frozen=True):
-    """The configuration as the store has it; ``stored_version`` is the store's, of the head."""
+    """A committed configuration; ``stored_version`` is the store's version of the head object."""
 
     stored_version: int
     head: Head
@@ -64,14 +66,17 @@
         self._rng = rng
 
     async def read(self, known: Catalog) -> Committed:
-        """Return the committed configuration; ``known`` saves reading what it contains."""
+        """Return the committed configuration.
+
+        If ``known`` is recent enough to apply the changes of the head to it, no snapshot is read.
+        """
         stored = await self._store.get(KIND, HEAD)
         if stored is None:
             return Committed(0, Head(), Catalog())
         return await self.resolve(stored, known)
 
     async def resolve(self, stored: StoredObject, known: Catalog) -> Committed:
-        """Return the configuration of a head object that was read or watched."""
+        """Return the configuration of the head object ``stored``."""
         committed = self.resolve_known(stored, known)
         if committed is not None:
             return committed
@@ -79,7 +84,7 @@
         return _committed(stored, head, await self._read_snapshot(head.base))
 
     def resolve_known(self, stored: StoredObject, known: Catalog) -> Committed | None:
-        """Return the same where nothing else has to be read of the store, and else ``None``."""
+        """Return the configuration of ``stored``, or ``None`` if its snapshot has to be read."""
         head = msgspec.convert(stored.value, Head)
         if head.objects is not None:
             catalog = restore(Snapshot(head.version, head.objects))
@@ -95,11 +100,12 @@
         return restore(msgspec.convert(stored.value, Snapshot))
 
     async def commit(self, proposal: Proposal, known: Catalog) -> Committed:
-        """Commit ``proposal`` and return the configuration with it.
+        """Commit ``proposal``, and return the configuration that includes it.
 
-        Raise ``ImproperlyConfigured`` with all findings, ``ConfigurationConflict`` if another
-        change touched the same objects after ``proposal.base``, and ``StoreUnavailable`` if the
-        result could not be learnt; the same proposal can then be sent again without harm.
+        Raise ``ImproperlyConfigured`` with all findings if the result is invalid,
+        ``ConfigurationConflict`` if another change wrote the same objects after ``proposal.base``,
+        and ``StoreUnavailable`` if the result is not known. The same proposal can then be sent
+        again, since it is committed at most once.
         """
         backoff = Backoff(self._rng, 0.05, 2.0)
         problem: Exception = StoreUnavailable("not tried")
@@ -108,7 +114,8 @@
                 committed = await self.read(known)
                 return await self._try_commit(proposal, committed)
             except (StoreConflict, StoreUnavailable) as caught:
-                # A write whose reply was lost shows by its id when the head is read again.
+                # If the write took effect and only its reply was lost, the next attempt finds the
+                # id of the change in the head.
                 problem = caught
                 await asyncio.sleep(backoff.pause())
         raise StoreUnavailable(f"change {proposal.id} may or may not be committed: {problem}")
@@ -140,11 +147,11 @@
         if len(head.changes) < MOST_CHANGES:
             return head
         value = msgspec.to_builtins(snapshot(committed.catalog))
-        # A conflict means that another operator wrote the same version, with the same content.
+        # A conflict means that another operator stored the same snapshot.
         with contextlib.suppress(StoreConflict):
             await self._store.put(KIND, f"snapshot-{head.version}", value, 0)
         await self._delete_snapshot(head.base)
-        # The newest changes stay, so that lost replies and conflicts are still recognised.
+        # The newest changes are kept to recognise lost replies and conflicts.
         return Head(head.version, head.version, head.changes[-KEPT_CHANGES:])
 
     async def _delete_snapshot(self, version: int) -> None:
@@ -161,7 +168,7 @@
 
 
 def _committed(stored: StoredObject, head: Head, catalog: Catalog) -> Committed:
-    """Return what the changes of ``head`` make of ``catalog``."""
+    """Return the configuration after the changes of ``head`` that ``catalog`` lacks."""
     for change in head.changes:
         if change.version > catalog.version:
             catalog = apply_change(catalog, change)
--- a/railsail/configuration/spreading.py
+++ b/railsail/configuration/spreading.py
@@ -1,8 +1,9 @@
-"""Pass configurations on to neighbours: whole within a region, announced to other regions.
+"""Dissemination of configurations: sent whole within a region, announced to other regions.
 
-Each node passes a new configuration on to all its neighbours, so that most get it several times.
-Between regions that is most of what daemons send. So neighbours in other regions are told the
-version alone, a moment later: whoever lacks it by then asks for it.
+Each node forwards a new configuration to all its neighbours, so that most nodes receive it several
+times. Between regions that would be most of the traffic of the daemons. Neighbours in other regions
+are therefore only sent the version, a moment later, and request the configuration if they still
+lack it.
 """
 
 import asyncio
@@ -11,12 +12,13 @@
 from railsail.peers.hub import PeerHub
 from railsail.peers.messages import ConfigurationNews
 
-# Within a region a configuration is passed on to all in a few hops, of milliseconds each.
+# Delay of announcements. Within a region, a configuration reaches all nodes in a few hops of some
+# milliseconds each.
 ANNOUNCE_SECONDS = 0.1
 
 
 class ConfigurationSpread:
-    """Send configuration news to the neighbours of this node."""
+    """Send configuration updates to the neighbours of this node."""
 
     def __init__(self, membership: Membership, hub: PeerHub) -> None:
         self._membership = membership
@@ -42,7 +44,8 @@
 
     def _announce(self) -> None:
         self._due = False
-        # It builds on what it brings, so that whoever is behind asks, and nobody reads its body.
+        # The changes of this update start after the version that they lead to. A node that is
+        # behind requests that version, and no node parses the empty body.
         announced = ConfigurationNews(self._newest, self._newest, b"")
         for node in sorted(self._far()):
             self._hub.send(node, announced)
--- a/tests/configuration/test_carrier.py
+++ b/tests/configuration/test_carrier.py
@@ -1,9 +1,9 @@
-"""A configuration that cannot be taken in at once is not forgotten.
+"""A configuration that cannot be applied at once is applied later.
 
-A node heard of a new configuration once, could not read what it needed of the store just then, and
-logged that; it went on with the old one until the next change or list, up to ten minutes later. In
-the same way it dropped what a peer told it of changes whose beginning it did not have. Nothing
-showed either but an old ``configuration`` in the lines of its requests.
+Guards against a node that keeps an old configuration: it received a new head once, could not read
+the snapshot from the store at that moment, and did not retry until the next change or listing, up
+to ten minutes later. It also dropped updates of peers whose earlier changes it lacked. The only
+trace of either was an old ``configuration`` in the log lines of its requests.
 """
 
 import asyncio
@@ -78,7 +78,7 @@
             while not condition():
                 await asyncio.sleep(0.01)
 
-    async def test_head_whose_snapshot_could_not_be_read_comes_into_force_later(self):
+    async def test_head_whose_snapshot_could_not_be_read_becomes_active_later(self):
         carrier = self.carrier(failures=3)
         with mock.patch.object(carrier_module, "FIRST_PAUSE_SECONDS", 0.01):
             self.seen(carrier, BASE + 2)
@@ -86,7 +86,7 @@
             await self.until(lambda: carrier.catalog.version == BASE + 2)
         self.assertTrue(carrier.caught_up())
 
-    async def test_newest_of_several_heads_comes_into_force(self):
+    async def test_newest_of_several_heads_becomes_active(self):
         carrier = self.carrier(failures=1)
         with mock.patch.object(carrier_module, "FIRST_PAUSE_SECONDS", 0.01):
             self.seen(carrier, BASE + 1)
@@ -94,7 +94,7 @@
             await self.until(lambda: carrier.catalog.version == BASE + 2)
         self.assertEqual(self.flooded[-1].version, BASE + 2)
 
-    async def test_older_head_does_not_take_the_place_of_a_newer_one(self):
+    async def test_older_head_does_not_replace_a_newer_one(self):
         carrier = self.carrier(failures=1)
         with mock.patch.object(carrier_module, "FIRST_PAUSE_SECONDS", 0.01):
             self.seen(carrier, BASE + 2)
@@ -102,13 +102,13 @@
             await self.until(carrier.caught_up)
         self.assertEqual(carrier.catalog.version, BASE + 2)
 
-    async def test_head_that_needs_nothing_more_is_in_force_at_once(self):
+    async def test_head_without_a_snapshot_becomes_active_at_once(self):
         carrier = self.carrier()
         self.seen(carrier, 2, base=0)
         self.assertEqual(carrier.catalog.version, 2)
         self.assertTrue(carrier.caught_up())
 
-    async def test_head_that_cannot_be_understood_is_left_until_another_one_comes(self):
+    async def test_invalid_head_stays_pending_until_a_newer_one_arrives(self):
         carrier = self.carrier()
         carrier.seen(WatchEvent(KIND, HEAD, 1, {"version": 3, "changes": "none"}))
         self.assertFalse(carrier.caught_up())
@@ -116,7 +116,7 @@
         self.assertEqual(carrier.catalog.version, 4)
         self.assertTrue(carrier.caught_up())
 
-    async def test_peer_is_asked_for_what_its_news_build_on(self):
+    async def test_missing_changes_before_an_update_are_requested_from_its_sender(self):
         carrier = self.carrier()
         self.seen(carrier, 2, base=0)
         carrier.received("a", ConfigurationNews(3, 4, encode([change(4)])))
--- a/tests/configuration/test_spreading.py
+++ b/tests/configuration/test_spreading.py
@@ -1,4 +1,4 @@
-"""What is passed on of a configuration, and to whom."""
+"""Which neighbours are sent a configuration whole, and which only its version."""
 
 import asyncio
 import unittest
@@ -13,7 +13,7 @@
 
 
 class Membership:
-    """A table, and the neighbours in it."""
+    """A member table whose other members are all neighbours, by their regions."""
 
     def __init__(self, **regions: str) -> None:
         self.table = MemberTable(replace(member("own"), region="north"))
@@ -41,23 +41,23 @@
         await asyncio.sleep(2 * ANNOUNCE_SECONDS)
         return self.sent
 
-    async def test_within_one_region_all_but_the_source_get_it_whole(self):
+    async def test_all_neighbours_of_the_region_but_the_source_are_sent_the_configuration(self):
         self.spread(a="north", b="north", c="north").send(NEWS, "b")
         self.assertEqual(self.sent, [("a", NEWS), ("c", NEWS)])
         self.assertEqual(await self.announced(), [])
 
-    async def test_other_regions_are_told_the_version(self):
+    async def test_neighbours_in_other_regions_are_sent_the_version(self):
         self.spread(a="north", b="south").send(NEWS)
         self.assertEqual(self.sent, [("a", NEWS)])
         self.assertEqual(await self.announced(), [("b", ConfigurationNews(7, 7, b""))])
 
-    async def test_versions_that_follow_each_other_are_announced_once(self):
+    async def test_versions_in_quick_succession_are_announced_once(self):
         spread = self.spread(b="south")
         spread.send(NEWS)
         spread.send(ConfigurationNews(0, 9, b"{}"))
         self.assertEqual(await self.announced(), [("b", ConfigurationNews(9, 9, b""))])
 
-    async def test_source_in_another_region_is_told_no_more_than_the_version(self):
+    async def test_source_in_another_region_is_not_sent_the_configuration(self):
         self.spread(a="north", b="south").send(NEWS, "b")
         self.assertEqual(self.sent, [("a", NEWS)])
 
