--- a/railsail/configuration/carrier.py
+++ b/railsail/configuration/carrier.py
@@ -43,9 +43,9 @@
 # The source of a configuration that no peer sent.
 STORE = "store"
 # Backoff of reading the snapshot that a head object builds on.
-FIRST_PAUSE_SECONDS = 0.25
-MOST_PAUSE_SECONDS = 2.0
-_NOT_UNDERSTOOD = (ImproperlyConfigured, msgspec.ValidationError)
+INITIAL_BACKOFF_SECONDS = 0.25
+MAX_BACKOFF_SECONDS = 2.0
+_INVALID_ERRORS = (ImproperlyConfigured, msgspec.ValidationError)
 Listener = Callable[[Catalog], None]
 
 
@@ -54,18 +54,18 @@
 
     ``source`` is the peer that sent it, or the store. The store can have had a newer version for at
     most ``proof_age`` seconds, infinite if that is unknown. While the store can be read, a proof is
-    at most ``longest`` seconds old.
+    at most ``max_proof_age`` seconds old.
     """
 
     version: int
     source: str
     proof_age: float
-    longest: float
+    max_proof_age: float
 
     @property
     def proved(self) -> bool:
         """Return True if the proof that this is the newest version is recent."""
-        return self.proof_age <= self.longest
+        return self.proof_age <= self.max_proof_age
 
     def refusal(self, reason: Reason, detail: str) -> NotRun:
         """Return the outcome of a request that this configuration does not allow.
@@ -88,17 +88,17 @@
 class ConfigurationCarrier:
     """The active configuration; it replaces its catalog by newer ones and forwards them to peers.
 
-    ``flood`` sends an update to all neighbours but the given one, ``ask`` sends a request to one
-    peer. A proof is at most ``longest_proof_age`` seconds old while the store can be read.
+    ``broadcast`` sends an update to all neighbours but the given one, ``send`` sends a request to one
+    peer. A proof is at most ``max_proof_age`` seconds old while the store can be read.
     """
 
     def __init__(
         self,
         repository: ConfigurationRepository,
-        flood: Callable[[ConfigurationNews, str], None],
-        ask: Callable[[str, StateRequest], object],
+        broadcast: Callable[[ConfigurationNews, str], None],
+        send: Callable[[str, StateRequest], object],
         freshness: Freshness,
-        longest_proof_age: float,
+        max_proof_age: float,
         events: EventLog,
         metrics: Metrics,
         rng: random.Random,
@@ -106,11 +106,11 @@
         self.catalog = Catalog()
         self._source = ""
         self._repository = repository
-        self._flood = flood
-        self._ask = ask
+        self._broadcast = broadcast
+        self._send = send
         self._rng = rng
         self._freshness = freshness
-        self._longest_proof_age = longest_proof_age
+        self._max_proof_age = max_proof_age
         self._events = events
         self._metrics = metrics
         self._changes: list[Change] = []
@@ -123,7 +123,7 @@
     def held(self) -> Held:
         """Return which version is active, and since when it may be outdated."""
         age = self._freshness.age(KIND)
-        return Held(self.catalog.version, self._source, age, self._longest_proof_age)
+        return Held(self.catalog.version, self._source, age, self._max_proof_age)
 
     def on_change(self, listener: Listener) -> None:
         """Call ``listener`` with each catalog that becomes active."""
@@ -133,24 +133,24 @@
         """Apply a listing of the store."""
         for stored in listing.objects:
             if stored.name == HEAD:
-                self._resolve(stored)
+                self._apply_head(stored)
 
     def seen(self, event: WatchEvent) -> None:
         """Apply a watch event of the store."""
         if event.name == HEAD and event.value is not None:
-            self._resolve(StoredObject(KIND, HEAD, event.version, event.value))
+            self._apply_head(StoredObject(KIND, HEAD, event.version, event.value))
 
     def caught_up(self) -> bool:
         """Return True if the newest configuration that was seen in the store is active."""
         return self._pending is None
 
-    def _resolve(self, stored: StoredObject) -> None:
-        if _version(stored) <= max(self.catalog.version, _version(self._pending)):
+    def _apply_head(self, stored: StoredObject) -> None:
+        if _head_version(stored) <= max(self.catalog.version, _head_version(self._pending)):
             return
         self._pending = stored
         try:
             committed = self._repository.resolve_known(stored, self.catalog)
-        except _NOT_UNDERSTOOD as problem:
+        except _INVALID_ERRORS as problem:
             # The head stays pending, so that this node sends its peers no proof of its version.
             get_logger().warning("configuration is invalid", reason=str(problem))
             return
@@ -165,60 +165,60 @@
 
         Failed reads are retried, since no later event may announce this head again.
         """
-        backoff = Backoff(self._rng, FIRST_PAUSE_SECONDS, MOST_PAUSE_SECONDS)
+        backoff = Backoff(self._rng, INITIAL_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS)
         while self._pending is not None:
             try:
                 self.committed(await self._repository.resolve(self._pending, self.catalog))
             except StoreUnavailable as problem:
                 get_logger().warning("configuration could not be read", reason=str(problem))
                 await asyncio.sleep(backoff.pause())
-            except _NOT_UNDERSTOOD as problem:
+            except _INVALID_ERRORS as problem:
                 get_logger().warning("configuration is invalid", reason=str(problem))
                 break
         self._reading = False
 
     def committed(self, committed: Committed) -> None:
         """Activate a configuration that was read from the store, if it is newer."""
-        self._bring_into_force(committed.catalog, list(committed.head.changes), "")
+        self._activate(committed.catalog, list(committed.head.changes), "")
 
-    def received(self, node: str, news: ConfigurationNews) -> None:
+    def received(self, node: str, update: ConfigurationNews) -> None:
         """Apply an update received from the peer ``node``."""
-        if news.version <= self.catalog.version:
+        if update.version <= self.catalog.version:
             return
-        if news.since > self.catalog.version:
+        if update.since > self.catalog.version:
             # The sender also has the changes that this update builds on.
-            self._ask(node, StateRequest(self.catalog.version))
+            self._send(node, StateRequest(self.catalog.version))
             return
         try:
-            catalog, changes = self._read_news(news)
+            catalog, changes = self._parse_update(update)
         except (ValueError, ImproperlyConfigured) as problem:
             get_logger().warning("configuration update rejected", peer=node, reason=str(problem))
             return
-        self._bring_into_force(catalog, changes, node)
+        self._activate(catalog, changes, node)
 
-    def _read_news(self, news: ConfigurationNews) -> tuple[Catalog, list[Change]]:
-        plain = json.loads(news.body)
-        if news.since == 0:
-            return restore(msgspec.convert(plain, Snapshot)), []
-        changes = msgspec.convert(plain, list[Change])
+    def _parse_update(self, update: ConfigurationNews) -> tuple[Catalog, list[Change]]:
+        decoded = json.loads(update.body)
+        if update.since == 0:
+            return restore(msgspec.convert(decoded, Snapshot)), []
+        changes = msgspec.convert(decoded, list[Change])
         catalog = self.catalog
         for change in changes:
             if change.version == catalog.version + 1:
                 catalog = apply_change(catalog, change)
-        if catalog.version != news.version:
+        if catalog.version != update.version:
             raise ValueError("changes are missing")
         return catalog, changes
 
-    def _bring_into_force(self, catalog: Catalog, changes: list[Change], source: str) -> None:
+    def _activate(self, catalog: Catalog, changes: list[Change], source: str) -> None:
         if catalog.version <= self.catalog.version:
             return
         previous = self.catalog.version
         self.catalog = catalog
         self._source = source or STORE
-        if _version(self._pending) <= catalog.version:
+        if _head_version(self._pending) <= catalog.version:
             self._pending = None
-        known = {change.version: change for change in [*self._changes, *changes]}
-        self._changes = [known[version] for version in sorted(known)][-KEPT_CHANGES:]
+        by_version = {change.version: change for change in [*self._changes, *changes]}
+        self._changes = [by_version[version] for version in sorted(by_version)][-KEPT_CHANGES:]
         self._metrics.version.set({}, catalog.version)
         self._events.emit(
             Kind.CONFIGURATION,
@@ -229,7 +229,7 @@
         )
         for listener in self._listeners:
             listener(catalog)
-        self._flood(self.news_since(previous), source)
+        self._broadcast(self.news_since(previous), source)
 
     def news_since(self, version: int) -> ConfigurationNews:
         """Return an update for a peer at ``version``.
@@ -237,12 +237,12 @@
         It holds the changes since that version, or all objects if some of the changes are not kept.
         """
         missing = [change for change in self._changes if change.version > version]
-        whole = len(missing) == self.catalog.version - version
-        if version and missing and whole:
+        complete = len(missing) == self.catalog.version - version
+        if version and missing and complete:
             return ConfigurationNews(version, self.catalog.version, encode(missing))
         return ConfigurationNews(0, self.catalog.version, encode(snapshot(self.catalog)))
 
 
-def _version(head: StoredObject | None) -> int:
+def _head_version(head: StoredObject | None) -> int:
     """Return the version of a head object, 0 for ``None``."""
     return head.value.get("version", 0) if head is not None else 0
--- a/railsail/configuration/changes.py
+++ b/railsail/configuration/changes.py
@@ -61,7 +61,7 @@
     operations: tuple[Operation, ...]
 
 
-def record(operation: Operation) -> OperationRecord:
+def to_record(operation: Operation) -> OperationRecord:
     """Return ``operation`` in its stored form."""
     value = None if operation.resource is None else to_plain(operation.resource)
     return OperationRecord(*operation.key, value)
@@ -69,14 +69,14 @@
 
 def apply_change(catalog: Catalog, change: Change) -> Catalog:
     """Return the catalog after ``change``."""
-    operations = [_operation(item) for item in change.operations]
+    operations = [_from_record(record) for record in change.operations]
     return catalog.changed(change.version, operations)
 
 
-def _operation(item: OperationRecord) -> Operation:
-    if item.value is None:
-        return Operation((item.kind, item.name), None)
-    return Operation((item.kind, item.name), parse_or_raise(item.value))
+def _from_record(record: OperationRecord) -> Operation:
+    if record.value is None:
+        return Operation((record.kind, record.name), None)
+    return Operation((record.kind, record.name), parse_or_raise(record.value))
 
 
 def parse_or_raise(value: dict[str, object]):
--- a/railsail/configuration/repository.py
+++ b/railsail/configuration/repository.py
@@ -17,9 +17,9 @@
     Proposal,
     Snapshot,
     apply_change,
-    record,
     restore,
     snapshot,
+    to_record,
 )
 from railsail.core.clock import Clock
 from railsail.core.exceptions import ImproperlyConfigured, StoreConflict, StoreUnavailable
@@ -30,9 +30,9 @@
 
 KIND = "configuration"
 HEAD = "head"
-MOST_CHANGES = 64
+MAX_CHANGES = 64
 KEPT_CHANGES = 16
-TRIES = 6
+MAX_ATTEMPTS = 6
 
 
 class Head(msgspec.Struct, frozen=True):
@@ -109,7 +109,7 @@
         """
         backoff = Backoff(self._rng, 0.05, 2.0)
         problem: Exception = StoreUnavailable("not tried")
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             try:
                 committed = await self.read(known)
                 return await self._try_commit(proposal, committed)
@@ -133,18 +133,18 @@
             proposal.id,
             proposal.author,
             self._clock.wall(),
-            tuple(record(operation) for operation in proposal.operations),
+            tuple(to_record(operation) for operation in proposal.operations),
         )
-        head = await self._make_space(committed)
+        head = await self._compact(committed)
         head = Head(catalog.version, head.base, (*head.changes, change))
         version = await self._store.put(
             KIND, HEAD, msgspec.to_builtins(head), committed.stored_version
         )
         return Committed(version, head, catalog)
 
-    async def _make_space(self, committed: Committed) -> Head:
+    async def _compact(self, committed: Committed) -> Head:
         head = committed.head
-        if len(head.changes) < MOST_CHANGES:
+        if len(head.changes) < MAX_CHANGES:
             return head
         value = msgspec.to_builtins(snapshot(committed.catalog))
         # A conflict means that another operator stored the same snapshot.
--- a/railsail/configuration/spreading.py
+++ b/railsail/configuration/spreading.py
@@ -14,7 +14,7 @@
 
 # Delay of announcements. Within a region, a configuration reaches all nodes in a few hops of some
 # milliseconds each.
-ANNOUNCE_SECONDS = 0.1
+ANNOUNCE_DELAY_SECONDS = 0.1
 
 
 class ConfigurationSpread:
@@ -23,29 +23,29 @@
     def __init__(self, membership: Membership, hub: PeerHub) -> None:
         self._membership = membership
         self._hub = hub
-        self._newest = 0
-        self._due = False
+        self._newest_version = 0
+        self._announcement_pending = False
 
-    def send(self, news: ConfigurationNews, source: str = "") -> None:
-        """Send ``news`` to all neighbours but ``source``."""
-        self._newest = news.version
-        far = self._far()
+    def send(self, update: ConfigurationNews, source: str = "") -> None:
+        """Send ``update`` to all neighbours but ``source``."""
+        self._newest_version = update.version
+        elsewhere = self._neighbours_in_other_regions()
         for node in self._membership.neighbours():
-            if node != source and node not in far:
-                self._hub.send(node, news)
-        if far and not self._due:
-            self._due = True
-            asyncio.get_running_loop().call_later(ANNOUNCE_SECONDS, self._announce)
+            if node != source and node not in elsewhere:
+                self._hub.send(node, update)
+        if elsewhere and not self._announcement_pending:
+            self._announcement_pending = True
+            asyncio.get_running_loop().call_later(ANNOUNCE_DELAY_SECONDS, self._announce)
 
-    def _far(self) -> set[str]:
+    def _neighbours_in_other_regions(self) -> set[str]:
         table = self._membership.table
         members = [table.get(node) for node in self._membership.neighbours()]
         return {m.node for m in members if m is not None and m.region != table.own.region}
 
     def _announce(self) -> None:
-        self._due = False
+        self._announcement_pending = False
         # The changes of this update start after the version that they lead to. A node that is
         # behind requests that version, and no node parses the empty body.
-        announced = ConfigurationNews(self._newest, self._newest, b"")
-        for node in sorted(self._far()):
-            self._hub.send(node, announced)
+        announcement = ConfigurationNews(self._newest_version, self._newest_version, b"")
+        for node in sorted(self._neighbours_in_other_regions()):
+            self._hub.send(node, announcement)
--- a/railsail/policy/programs.py
+++ b/railsail/policy/programs.py
@@ -14,11 +14,11 @@
 
 from railsail.core.checks import Finding, error
 
-LONGEST_WAIT = 86_400.0
+MAX_WAIT_SECONDS = 86_400.0
 # Cached results per program. Only programs that read nothing but fields with few distinct values
 # have a cache.
-MOST_RESULTS_KEPT = 64
-_FEW_VALUES = frozenset(
+MAX_CACHED_RESULTS = 64
+_LOW_CARDINALITY_FIELDS = frozenset(
     {
         ("workspace", "name"),
         ("workspace", "priority_class"),
@@ -33,7 +33,7 @@
     }
 )
 
-_COLUMN = re.compile(r"<input>:(\d+):(\d+): (?:Syntax error: )?([^\n]*)")
+_ERROR_LOCATION = re.compile(r"<input>:(\d+):(\d+): (?:Syntax error: )?([^\n]*)")
 _MACRO = re.compile(r"\.\s*(all|exists|exists_one|map|filter)\s*\(")
 _RUN_TIME_ERRORS = (RuntimeError, ValueError, KeyError, TypeError, ZeroDivisionError, OverflowError)
 
@@ -96,9 +96,11 @@
     """Return the findings about ``source``, the program of a policy's ``field``."""
     macro = _MACRO.search(source)
     if macro:
-        where = f"{place} column {macro.start(1) + 1}"
+        location = f"{place} column {macro.start(1) + 1}"
         message = f"the macro {macro.group(1)!r} is not allowed"
-        return [error("railsail.E030", message, where, "the cost of a program must stay bounded")]
+        return [
+            error("railsail.E030", message, location, "the cost of a program must stay bounded")
+        ]
     try:
         program = cel.compile(source)
     except ValueError as problem:
@@ -107,7 +109,7 @@
 
 
 def _syntax_error(text: str, place: str) -> Finding:
-    match = _COLUMN.search(text)
+    match = _ERROR_LOCATION.search(text)
     if match is None:
         return error("railsail.E031", text.splitlines()[0], place)
     line, column, message = match.groups()
@@ -123,15 +125,15 @@
         return [error("railsail.E032", f"there is no field {problem}", place, known)]
     except _RUN_TIME_ERRORS as problem:
         return [error("railsail.E033", str(problem).split(". ")[0], place)]
-    wanted = bool if field == "never_repeat" else float
-    if not _fits(result, wanted):
-        message = f"returns {type(result).__name__}, expected {wanted.__name__}"
+    expected = bool if field == "never_repeat" else float
+    if not _has_type(result, expected):
+        message = f"returns {type(result).__name__}, expected {expected.__name__}"
         return [error("railsail.E034", message, place)]
     return []
 
 
-def _fits(result: object, wanted: type) -> bool:
-    if wanted is bool:
+def _has_type(result: object, expected: type) -> bool:
+    if expected is bool:
         return isinstance(result, bool)
     return isinstance(result, int | float) and not isinstance(result, bool)
 
@@ -151,21 +153,21 @@
     def __init__(self, source: str) -> None:
         self._program = cel.compile(source)
         read = {name: _fields_read(source, name) for name in Inputs.__struct_fields__}
-        self._reads = [(name, field) for name, fields in read.items() for field in fields]
-        self._run = self._run_now
-        if _FEW_VALUES.issuperset(self._reads):
+        self._fields = [(name, field) for name, fields in read.items() for field in fields]
+        self._run = self._evaluate
+        if _LOW_CARDINALITY_FIELDS.issuperset(self._fields):
             # The result depends on these fields only.
-            self._run = functools.lru_cache(MOST_RESULTS_KEPT, typed=True)(self._run_now)
+            self._run = functools.lru_cache(MAX_CACHED_RESULTS, typed=True)(self._evaluate)
 
     def execute(self, inputs: Inputs) -> object:
         """Return the result for ``inputs``, or raise one of ``_RUN_TIME_ERRORS``."""
-        return self._run(*[getattr(getattr(inputs, name), field) for name, field in self._reads])
+        return self._run(*[getattr(getattr(inputs, name), field) for name, field in self._fields])
 
-    def _run_now(self, *values: object) -> object:
+    def _evaluate(self, *values: object) -> object:
         # The library copies its whole context, which takes far longer than evaluating the program,
         # so that only the fields that are read are passed.
         context: dict[str, dict[str, object]] = {name: {} for name in Inputs.__struct_fields__}
-        for (name, field), value in zip(self._reads, values, strict=True):
+        for (name, field), value in zip(self._fields, values, strict=True):
             context[name][field] = value
         return self._program.execute(context)
 
@@ -197,18 +199,20 @@
         A program that fails is replaced by a safe default: rank 0, wait 60 s, and never repeat.
         """
         failed: list[str] = []
-        rank = _run(self._rank, inputs, float, 0.0, "rank", failed)
-        may_wait = _run(self._may_wait, inputs, float, 60.0, "may_wait", failed)
-        never_repeat = _run(self._never_repeat, inputs, bool, True, "never_repeat", failed)
-        may_wait = min(max(float(may_wait), 0.0), LONGEST_WAIT)
+        rank = _run_or_default(self._rank, inputs, float, 0.0, "rank", failed)
+        may_wait = _run_or_default(self._may_wait, inputs, float, 60.0, "may_wait", failed)
+        never_repeat = _run_or_default(
+            self._never_repeat, inputs, bool, True, "never_repeat", failed
+        )
+        may_wait = min(max(float(may_wait), 0.0), MAX_WAIT_SECONDS)
         return Verdict(float(rank), may_wait, bool(never_repeat), tuple(failed))
 
 
-def _run(
+def _run_or_default(
     program: _Program,
     inputs: Inputs,
-    wanted: type,
-    safe: float | bool,
+    expected: type,
+    default: float | bool,
     field: str,
     failed: list[str],
 ) -> float | bool:
@@ -216,8 +220,8 @@
         result = program.execute(inputs)
     except _RUN_TIME_ERRORS:
         failed.append(field)
-        return safe
-    if not _fits(result, wanted) or result != result:
+        return default
+    if not _has_type(result, expected) or result != result:
         failed.append(field)
-        return safe
+        return default
     return result
--- a/tests/configuration/test_carrier.py
+++ b/tests/configuration/test_carrier.py
@@ -54,13 +54,13 @@
 class CarrierTests(unittest.IsolatedAsyncioTestCase):
     def carrier(self, failures: int = 0) -> ConfigurationCarrier:
         clock = Clock()
-        self.asked: list[tuple[str, StateRequest]] = []
-        self.flooded: list[ConfigurationNews] = []
+        self.requested: list[tuple[str, StateRequest]] = []
+        self.broadcast: list[ConfigurationNews] = []
         rng = random.Random(1)
         return ConfigurationCarrier(
             ConfigurationRepository(FailingStore(failures), clock, rng),
-            lambda news, source: self.flooded.append(news),
-            lambda node, message: self.asked.append((node, message)),
+            lambda update, source: self.broadcast.append(update),
+            lambda node, message: self.requested.append((node, message)),
             Freshness(steady_seconds),
             60.0,
             EventLog("n", clock),
@@ -80,7 +80,7 @@
 
     async def test_head_whose_snapshot_could_not_be_read_becomes_active_later(self):
         carrier = self.carrier(failures=3)
-        with mock.patch.object(carrier_module, "FIRST_PAUSE_SECONDS", 0.01):
+        with mock.patch.object(carrier_module, "INITIAL_BACKOFF_SECONDS", 0.01):
             self.seen(carrier, BASE + 2)
             self.assertFalse(carrier.caught_up())
             await self.until(lambda: carrier.catalog.version == BASE + 2)
@@ -88,15 +88,15 @@
 
     async def test_newest_of_several_heads_becomes_active(self):
         carrier = self.carrier(failures=1)
-        with mock.patch.object(carrier_module, "FIRST_PAUSE_SECONDS", 0.01):
+        with mock.patch.object(carrier_module, "INITIAL_BACKOFF_SECONDS", 0.01):
             self.seen(carrier, BASE + 1)
             self.seen(carrier, BASE + 2)
             await self.until(lambda: carrier.catalog.version == BASE + 2)
-        self.assertEqual(self.flooded[-1].version, BASE + 2)
+        self.assertEqual(self.broadcast[-1].version, BASE + 2)
 
     async def test_older_head_does_not_replace_a_newer_one(self):
         carrier = self.carrier(failures=1)
-        with mock.patch.object(carrier_module, "FIRST_PAUSE_SECONDS", 0.01):
+        with mock.patch.object(carrier_module, "INITIAL_BACKOFF_SECONDS", 0.01):
             self.seen(carrier, BASE + 2)
             self.seen(carrier, BASE + 1)
             await self.until(carrier.caught_up)
@@ -120,7 +120,7 @@
         carrier = self.carrier()
         self.seen(carrier, 2, base=0)
         carrier.received("a", ConfigurationNews(3, 4, encode([change(4)])))
-        self.assertEqual(self.asked, [("a", StateRequest(2))])
+        self.assertEqual(self.requested, [("a", StateRequest(2))])
         self.assertEqual(carrier.catalog.version, 2)
 
 
--- a/tests/configuration/test_spreading.py
+++ b/tests/configuration/test_spreading.py
@@ -4,12 +4,12 @@
 import unittest
 from dataclasses import replace
 
-from railsail.configuration.spreading import ANNOUNCE_SECONDS, ConfigurationSpread
+from railsail.configuration.spreading import ANNOUNCE_DELAY_SECONDS, ConfigurationSpread
 from railsail.membership.table import MemberTable
 from railsail.peers.messages import ConfigurationNews
 from tests.membership.test_table import member
 
-NEWS = ConfigurationNews(0, 7, b"{}")
+UPDATE = ConfigurationNews(0, 7, b"{}")
 
 
 class Membership:
@@ -38,28 +38,28 @@
 
     async def announced(self) -> list[tuple[str, ConfigurationNews]]:
         self.sent.clear()
-        await asyncio.sleep(2 * ANNOUNCE_SECONDS)
+        await asyncio.sleep(2 * ANNOUNCE_DELAY_SECONDS)
         return self.sent
 
     async def test_all_neighbours_of_the_region_but_the_source_are_sent_the_configuration(self):
-        self.spread(a="north", b="north", c="north").send(NEWS, "b")
-        self.assertEqual(self.sent, [("a", NEWS), ("c", NEWS)])
+        self.spread(a="north", b="north", c="north").send(UPDATE, "b")
+        self.assertEqual(self.sent, [("a", UPDATE), ("c", UPDATE)])
         self.assertEqual(await self.announced(), [])
 
     async def test_neighbours_in_other_regions_are_sent_the_version(self):
-        self.spread(a="north", b="south").send(NEWS)
-        self.assertEqual(self.sent, [("a", NEWS)])
+        self.spread(a="north", b="south").send(UPDATE)
+        self.assertEqual(self.sent, [("a", UPDATE)])
         self.assertEqual(await self.announced(), [("b", ConfigurationNews(7, 7, b""))])
 
     async def test_versions_in_quick_succession_are_announced_once(self):
         spread = self.spread(b="south")
-        spread.send(NEWS)
+        spread.send(UPDATE)
         spread.send(ConfigurationNews(0, 9, b"{}"))
         self.assertEqual(await self.announced(), [("b", ConfigurationNews(9, 9, b""))])
 
     async def test_source_in_another_region_is_not_sent_the_configuration(self):
-        self.spread(a="north", b="south").send(NEWS, "b")
-        self.assertEqual(self.sent, [("a", NEWS)])
+        self.spread(a="north", b="south").send(UPDATE, "b")
+        self.assertEqual(self.sent, [("a", UPDATE)])
 
 
 if __name__ == "__main__":
--- a/tests/fleet/test_regions.py
+++ b/tests/fleet/test_regions.py
@@ -319,7 +319,7 @@
             node.carrier.seen = node.carrier.listed = lambda told: None
         catalog = self.north[0].carrier.catalog
         newer = msgspec.structs.replace(catalog, version=catalog.version + 5)
-        self.north[0].carrier._bring_into_force(newer, [], "")
+        self.north[0].carrier._activate(newer, [], "")
         began = time.monotonic()
         nodes = self.fleet.nodes
         await self.until(lambda: all(n.carrier.catalog.version == newer.version for n in nodes))
--- a/tests/objects/test_objects.py
+++ b/tests/objects/test_objects.py
@@ -11,7 +11,7 @@
 KEY = hash_key("k")
 
 # Each invalid object with the place and the id of its finding.
-BAD = [
+INVALID_OBJECTS = [
     ("text", "file", "E010"),
     ({"name": "x"}, "file", "E011"),
     ({"kind": "router", "name": "x"}, "file", "E011"),
@@ -42,7 +42,7 @@
 ]
 
 # Each invalid program with its field, and the place and the id of its finding.
-BAD_PROGRAMS = [
+INVALID_PROGRAMS = [
     ("rank", "1 +* 2", "policy/p.rank line 1 column 4", "E031"),
     ("rank", "request.", "policy/p.rank line 1 column 9", "E031"),
     ("rank", "nobody", "policy/p.rank", "E033"),
@@ -57,7 +57,7 @@
 
 class ParseTests(unittest.TestCase):
     def test_each_invalid_object_has_its_finding_and_place(self):
-        for raw, place, finding_id in BAD:
+        for raw, place, finding_id in INVALID_OBJECTS:
             with self.subTest(raw=raw):
                 findings = []
                 self.assertIsNone(parse_resource(raw, "file", findings))
@@ -101,7 +101,7 @@
         self.assertIn("engine, service", findings[0].hint)
 
     def test_each_invalid_program_has_its_finding_and_place(self):
-        for field, source, place, finding_id in BAD_PROGRAMS:
+        for field, source, place, finding_id in INVALID_PROGRAMS:
             with self.subTest(source=source):
                 findings = self.check({"kind": "policy", "name": "p", field: source})
                 found = [(finding.place, finding.id) for finding in findings]
@@ -114,17 +114,19 @@
         return policy.judge(Inputs(request=RequestInput(pool="desk", max_tokens=10)))
 
     def test_decision_holds_the_results_of_the_programs(self):
-        verdict = self.judge(
+        decision = self.judge(
             rank="request.max_tokens < 20 ? 2 : 1",
             may_wait="request.pool == 'desk' ? 0 : 60",
             never_repeat="true",
         )
-        self.assertEqual((verdict.rank, verdict.may_wait, verdict.never_repeat), (2.0, 0.0, True))
+        self.assertEqual(
+            (decision.rank, decision.may_wait, decision.never_repeat), (2.0, 0.0, True)
+        )
 
     def test_program_that_fails_at_run_time_is_replaced_by_its_safe_default(self):
-        verdict = self.judge(rank="1 / (request.max_tokens - 10)", never_repeat="1 / 0 == 1")
-        self.assertEqual((verdict.rank, verdict.never_repeat), (0.0, True))
-        self.assertEqual(verdict.failed, ("rank", "never_repeat"))
+        decision = self.judge(rank="1 / (request.max_tokens - 10)", never_repeat="1 / 0 == 1")
+        self.assertEqual((decision.rank, decision.never_repeat), (0.0, True))
+        self.assertEqual(decision.failed, ("rank", "never_repeat"))
 
     def test_wait_is_bounded(self):
         self.assertEqual(self.judge(may_wait="-5").may_wait, 0.0)
--- a/tests/policy/test_programs.py
+++ b/tests/policy/test_programs.py
@@ -64,12 +64,12 @@
         for source in PROGRAMS:
             with self.subTest(source=source):
                 expected = on_all_inputs(source)
-                verdict = CompiledPolicy(Source(source)).judge(INPUTS)
+                decision = CompiledPolicy(Source(source)).judge(INPUTS)
                 if isinstance(expected, int | float) and not isinstance(expected, bool):
-                    self.assertEqual((verdict.rank, verdict.failed), (float(expected), ()))
+                    self.assertEqual((decision.rank, decision.failed), (float(expected), ()))
                 else:
-                    self.assertEqual((verdict.rank, verdict.failed), (0.0, ("rank",)))
-                self.assertEqual((verdict.may_wait, verdict.never_repeat), (0.25, False))
+                    self.assertEqual((decision.rank, decision.failed), (0.0, ("rank",)))
+                self.assertEqual((decision.may_wait, decision.never_repeat), (0.25, False))
 
     def test_result_changes_with_the_inputs(self):
         policy = CompiledPolicy(Source("request.priority * 2"))
@@ -87,8 +87,8 @@
         self.assertEqual(policy.judge(INPUTS).failed, ())
 
     def test_most_of_the_programs_return_a_number(self):
-        given = [source for source in PROGRAMS if on_all_inputs(source) is not None]
-        self.assertGreaterEqual(len(given), 15)
+        results = [source for source in PROGRAMS if on_all_inputs(source) is not None]
+        self.assertGreaterEqual(len(results), 15)
 
 
 if __name__ == "__main__":
