--- a/railsail/objects/catalog.py
+++ b/railsail/objects/catalog.py
@@ -92,7 +92,7 @@
             owner = owners.setdefault(digest, workspace.name)
             if owner != workspace.name:
                 place = f"workspace/{workspace.name}.key_hashes"
-                message = f"a key already belongs to workspace {owner!r}"
+                message = f"a key belongs to workspace {owner!r} already"
                 findings.append(error("railsail.E021", message, place))
     for route in catalog.of_kind(Route):
         findings += _check_route(catalog, route)
--- a/railsail/policy/programs.py
+++ b/railsail/policy/programs.py
@@ -127,7 +127,7 @@
         return [error("railsail.E033", str(problem).split(". ")[0], place)]
     expected = bool if field == "never_repeat" else float
     if not _has_type(result, expected):
-        message = f"returns {type(result).__name__}, expected {expected.__name__}"
+        message = f"gives {type(result).__name__}, expected {expected.__name__}"
         return [error("railsail.E034", message, place)]
     return []
 
