--- a/railsail/configuration/carrier.py
+++ b/railsail/configuration/carrier.py
@@ -86,7 +86,7 @@
 
 
 class ConfigurationCarrier:
-    """The active configuration; it replaces its catalog by newer ones and forwards them to peers.
+    """The active configuration: newer ones replace it and are forwarded to peers.
 
     ``broadcast`` sends an update to all neighbours but the given one, and ``send`` a request to one
     peer. A proof is at most ``max_proof_age`` seconds old while the store can be read.
--- a/railsail/configuration/repository.py
+++ b/railsail/configuration/repository.py
@@ -30,7 +30,9 @@
 
 KIND = "configuration"
 HEAD = "head"
+# A head with this many changes is compacted: all objects are stored as a snapshot.
 MAX_CHANGES = 64
+# The newest changes, which stay in a compacted head, and which each daemon keeps to send to peers.
 KEPT_CHANGES = 16
 MAX_ATTEMPTS = 6
 
--- a/railsail/configuration/spreading.py
+++ b/railsail/configuration/spreading.py
@@ -44,8 +44,8 @@
 
     def _announce(self) -> None:
         self._announcement_pending = False
-        # The changes of this update start after the version that they lead to. A node that is
-        # behind requests that version, and no node parses the empty body.
+        # ``since`` is the announced version itself, so that a node that is behind requests the
+        # changes, and no node parses the empty body.
         announcement = ConfigurationNews(self._newest_version, self._newest_version, b"")
         for node in sorted(self._neighbours_in_other_regions()):
             self._hub.send(node, announcement)
--- a/railsail/membership/table.py
+++ b/railsail/membership/table.py
@@ -43,7 +43,7 @@
 
     @property
     def precedence(self) -> tuple[int, int, int]:
-        """Return the key by which the later of two records of the same node wins."""
+        """Return the key that orders records of the same node, the latest one last."""
         return (self.start_id, self.sequence, int(self.state))
 
     @property
--- a/railsail/membership/view.py
+++ b/railsail/membership/view.py
@@ -16,7 +16,7 @@
     """The members as this node can reach them.
 
     ``seeds`` is the minimum size of the fleet, which includes nodes that this node has not seen.
-    ``unreachable`` returns the nodes that did not answer the last request to them.
+    ``unreachable`` returns the nodes that were silent or could not be dialled at the last request.
     """
 
     def __init__(
--- a/railsail/quarantine/ledger.py
+++ b/railsail/quarantine/ledger.py
@@ -1,6 +1,6 @@
 """The quarantine in the store, for nodes that cannot reach their peers and nodes that start.
 
-One object holds the crashes of requests with at least two of them. A node that observed such a
+One object holds the crashes of all requests that have at least two. A node that observed such a
 crash adds it by a conditional update, so that nothing is lost if several nodes write at once. The
 failure of a host adds nothing, since each of its requests has one crash only.
 """
@@ -32,7 +32,8 @@
 INITIAL_BACKOFF_SECONDS = 0.1
 MAX_BACKOFF_SECONDS = 2.0
 # Duration of a watch of these objects. Peers send each other crashes at once, so that the watch
-# only brings those that no peer sent. A watch that fails unnoticed is made up for by other nodes'.
+# only brings those that no peer sent. If a watch fails unnoticed, the watches of other nodes make
+# up for it.
 WATCH_SECONDS = 10.0
 
 
--- a/railsail/quarantine/observer.py
+++ b/railsail/quarantine/observer.py
@@ -29,7 +29,7 @@
 LATER_PROBE_SECONDS = 0.25
 # Calls that broke off up to this long before are part of the same crash: all callers notice it
 # within this time.
-CRASH_CALL_SECONDS = 1.0
+SAME_CRASH_SECONDS = 1.0
 
 
 class EndObserver:
@@ -92,7 +92,7 @@
     def _record(self, replica: str, request: int) -> None:
         now = self._clock.monotonic()
         for name, interrupted in list(self._interrupted_calls.items()):
-            if name not in self._checking and max(interrupted.values()) < now - CRASH_CALL_SECONDS:
+            if name not in self._checking and max(interrupted.values()) < now - SAME_CRASH_SECONDS:
                 del self._interrupted_calls[name]
         self._interrupted_calls.setdefault(replica, {})[request] = now
 
@@ -123,7 +123,7 @@
     def _report_crash(self, upstream: Upstream) -> None:
         now = self._clock.monotonic()
         interrupted = self._interrupted_calls.pop(upstream.name, {})
-        ran = {request for request, at in interrupted.items() if at >= now - CRASH_CALL_SECONDS}
+        ran = {request for request, at in interrupted.items() if at >= now - SAME_CRASH_SECONDS}
         broke_off_at = min(interrupted.values(), default=now)
         ran |= self._calls_on(upstream.name, broke_off_at)
         if ran:
--- a/railsail/quarantine/table.py
+++ b/railsail/quarantine/table.py
@@ -28,13 +28,13 @@
 # pool whose replicas crash at random, some requests that were cut off twice are served by their
 # third attempt.
 CRASHES_TO_QUARANTINE = 3
-# That a request was served is broadcast only if at least this many replicas crashed while they ran
-# it. A crash cuts off dozens of requests, which would otherwise cause a message each although none
-# of them is close to being quarantined.
+# A request that is served is cleared of its crashes, which is broadcast, only if it has at least
+# this many. A crash cuts off dozens of requests, which would otherwise cause a broadcast each
+# although none of them is close to being quarantined.
 CRASHES_TO_BROADCAST_CLEARING = 2
-# How long the first quarantine of a request lasts; each further crash doubles it. A replica
-# restarts within some seconds, so that a request which is retried every two minutes costs a pool of
-# five a hundredth of its time.
+# Duration of the first quarantine of a request; each further crash doubles it. A replica restarts
+# within some seconds, so that a request which is retried every two minutes costs a pool of five
+# replicas a hundredth of its time.
 INITIAL_QUARANTINE_SECONDS = 120.0
 MAX_QUARANTINE_SECONDS = 3600.0
 # Crashes are forgotten after this time.
@@ -88,9 +88,10 @@
 
 
 class SuspectRequest(msgspec.Struct, frozen=True):
-    """A request that replicas crashed under: the crashes, and until when it is quarantined.
+    """A request and the crashes that count against it, and until when it is quarantined.
 
-    ``held_until`` is in seconds of this node's clock, 0 if the request was never quarantined.
+    ``ends`` are its crashes. ``held_until`` is in seconds of this node's clock, 0 if there are too
+    few crashes for a quarantine.
     """
 
     request: int
@@ -111,7 +112,7 @@
 
     def __init__(self) -> None:
         self._crashes: OrderedDict[CrashKey, ReplicaCrash] = OrderedDict()
-        # The crashes at which each request ran and was not cleared, simultaneous ones included.
+        # By request, the crashes that it is not cleared of. Failures of hosts are included.
         self._by_request: dict[int, set[CrashKey]] = {}
         self._served_at: OrderedDict[int, float] = OrderedDict()
         self.digest = 0
--- a/railsail/quarantine/trials.py
+++ b/railsail/quarantine/trials.py
@@ -1,4 +1,4 @@
-"""The dispatchers' side of the quarantine: reported results of calls, and tickets to hold back."""
+"""The interface between dispatchers and the quarantine."""
 
 from railsail.quarantine.observer import EndObserver
 from railsail.quarantine.service import Quarantine
@@ -9,7 +9,7 @@
 
 
 class Trials:
-    """Pass results of calls to the quarantine, and check tickets for requests under suspicion."""
+    """Pass results of calls to the quarantine, and check tickets for suspect requests."""
 
     def __init__(self, quarantine: Quarantine, detector: EndObserver) -> None:
         self._quarantine = quarantine
@@ -20,9 +20,9 @@
         return self._detector.is_probing(request)
 
     def is_second(self, dispatcher: CellDispatcher, ticket: Ticket) -> bool:
-        """Return True if ``ticket`` is for a suspect request of which another ticket is here.
+        """Return True if another ticket of the same suspect request waits or runs here.
 
-        Run one at a time, a suspect request shows whether it crashes replicas, and costs one at
+        Run once at a time, a suspect request shows whether it crashes replicas, and crashes one at
         most.
         """
         if not self._quarantine.is_suspect(ticket.fingerprint):
--- a/tests/quarantine/test_service.py
+++ b/tests/quarantine/test_service.py
@@ -94,7 +94,7 @@
         self.assertFalse(any(self.links.quarantined()))
 
     def test_served_request_with_a_single_crash_sends_no_message(self):
-        """A crash cuts off dozens of requests; each of them was broadcast when it was served."""
+        """Guards against a broadcast for each of the dozens of requests that a crash cuts off."""
         node = self.links.nodes["c"]
         self.assertTrue(node.is_suspect(101))
         before = self.links.delivered
