--- a/railsail/quarantine/ledger.py
+++ b/railsail/quarantine/ledger.py
@@ -37,7 +37,7 @@
 WATCH_SECONDS = 10.0
 
 
-class StoredEnd(msgspec.Struct, frozen=True):
+class StoredCrash(msgspec.Struct, frozen=True):
     """The crash of a replica; ``at`` is in milliseconds since the Unix epoch.
 
     ``life`` is the start id of the replica.
@@ -53,7 +53,7 @@
 class StoredQuarantine(msgspec.Struct, frozen=True):
     """The value of the stored object: the crashes."""
 
-    ends: list[StoredEnd] = []
+    ends: list[StoredCrash] = []
 
 
 class CrashRequest(msgspec.Struct, frozen=True):
@@ -120,7 +120,7 @@
         # With the crashes of others, a request of this node's may now have enough to be stored.
         self._on_change()
 
-    def _from_stored(self, crash: StoredEnd) -> ReplicaCrash:
+    def _from_stored(self, crash: StoredCrash) -> ReplicaCrash:
         # The wall clocks of nodes differ, but no crash lies in the future.
         age = max(0.0, self._clock.wall() - crash.at / 1000)
         requests = frozenset(int(name, 16) for name in crash.requests)
@@ -149,9 +149,9 @@
         crashes = [crash for crash in self._quarantine.table.crashes() if crash.requests & blamed]
         return StoredQuarantine([self._to_stored(crash, blamed) for crash in crashes])
 
-    def _to_stored(self, crash: ReplicaCrash, blamed: set[int]) -> StoredEnd:
+    def _to_stored(self, crash: ReplicaCrash, blamed: set[int]) -> StoredCrash:
         age = self._clock.monotonic() - crash.at
-        return StoredEnd(
+        return StoredCrash(
             crash.replica,
             crash.start_id,
             round((self._clock.wall() - age) * 1000),
