--- a/railsail/configuration/spreading.py
+++ b/railsail/configuration/spreading.py
@@ -1,8 +1,9 @@
-"""Pass configurations on to neighbours: whole within a region, announced to other regions.
+"""Dissemination of configurations: sent whole within a region, announced to other regions.
 
-Each node passes a new configuration on to all its neighbours, so that most get it several times.
-Between regions that is most of what daemons send. So neighbours in other regions are told the
-version alone, a moment later: whoever lacks it by then asks for it.
+Each node forwards a new configuration to all its neighbours, so that most nodes receive it several
+times. Between regions that would be most of the traffic of the daemons. Neighbours in other regions
+are therefore only sent the version, a moment later, and request the configuration if they still
+lack it.
 """
 
 import asyncio
@@ -11,38 +12,40 @@
 from railsail.peers.hub import PeerHub
 from railsail.peers.messages import ConfigurationNews
 
-# Within a region a configuration is passed on to all in a few hops, of milliseconds each.
-ANNOUNCE_SECONDS = 0.1
+# Delay of announcements. Within a region, a configuration reaches all nodes in a few hops of some
+# milliseconds each.
+ANNOUNCE_DELAY_SECONDS = 0.1
 
 
 class ConfigurationSpread:
-    """Send configuration news to the neighbours of this node."""
+    """Send configuration updates to the neighbours of this node."""
 
     def __init__(self, membership: Membership, hub: PeerHub) -> None:
         self._membership = membership
         self._hub = hub
-        self._newest = 0
-        self._due = False
+        self._newest_version = 0
+        self._announcement_pending = False
 
-    def send(self, news: ConfigurationNews, source: str = "") -> None:
-        """Send ``news`` to all neighbours but ``source``."""
-        self._newest = news.version
-        far = self._far()
+    def send(self, update: ConfigurationNews, source: str = "") -> None:
+        """Send ``update`` to all neighbours but ``source``."""
+        self._newest_version = update.version
+        elsewhere = self._neighbours_in_other_regions()
         for node in self._membership.neighbours():
-            if node != source and node not in far:
-                self._hub.send(node, news)
-        if far and not self._due:
-            self._due = True
-            asyncio.get_running_loop().call_later(ANNOUNCE_SECONDS, self._announce)
+            if node != source and node not in elsewhere:
+                self._hub.send(node, update)
+        if elsewhere and not self._announcement_pending:
+            self._announcement_pending = True
+            asyncio.get_running_loop().call_later(ANNOUNCE_DELAY_SECONDS, self._announce)
 
-    def _far(self) -> set[str]:
+    def _neighbours_in_other_regions(self) -> set[str]:
         table = self._membership.table
         members = [table.get(node) for node in self._membership.neighbours()]
         return {m.node for m in members if m is not None and m.region != table.own.region}
 
     def _announce(self) -> None:
-        self._due = False
-        # It builds on what it brings, so that whoever is behind asks, and nobody reads its body.
-        announced = ConfigurationNews(self._newest, self._newest, b"")
-        for node in sorted(self._far()):
-            self._hub.send(node, announced)
+        self._announcement_pending = False
+        # ``since`` is the announced version itself, so that a node that is behind requests the
+        # changes, and no node parses the empty body.
+        announcement = ConfigurationNews(self._newest_version, self._newest_version, b"")
+        for node in sorted(self._neighbours_in_other_regions()):
+            self._hub.send(node, announcement)
--- a/railsail/membership/service.py
+++ b/railsail/membership/service.py
@@ -1,8 +1,8 @@
-"""Heartbeats, suspicion and news of members, over a bounded set of neighbours.
+"""Gossip membership: heartbeats, suspicion and member updates among a bounded set of neighbours.
 
 Each node exchanges a small heartbeat a second with at most eight neighbours, whatever the size of
-the fleet. A neighbour that is silent is suspected, aloud; it refutes that, or is declared dead. The
-platform's node list and the seed setting only say whom to ask first.
+the fleet. A neighbour that falls silent becomes suspect, which is broadcast; it refutes that, or is
+declared dead. The platform's node list and the seed setting only say which nodes to dial first.
 """
 
 import asyncio
@@ -24,25 +24,25 @@
 from railsail.store.base import Listing, WatchEvent
 
 KIND = "node"
-HEARTBEAT_SECONDS = 1.0
-SILENT_SECONDS = 3.0
-# A node that is silent for this long is given no tickets by this node; it need not be suspect yet,
-# for no promise rests on who dispatches.
-AVOID_SECONDS = 1.8
-# A node that hears that it is suspected takes it that nobody hears it, for this long or until a new
-# link shows that both directions work.
-DOUBT_SECONDS = 5.0
-SUSPECT_SECONDS = 3.0
-FORGET_SECONDS = 600.0
-SEEDS_AT_ONCE = 3
-# Neighbours whose sums differ for this many heartbeats exchange all they have.
-DIFFERENCES_TO_ASK = 3
-# After a pause a node asks so many neighbours what it has missed; one of them may be gone.
-NEIGHBOURS_TO_ASK = 2
+HEARTBEAT_INTERVAL_SECONDS = 1.0
+SUSPECT_AFTER_SECONDS = 3.0
+# A node that has been silent for this long is sent no tickets by this node. It need not be suspect
+# yet, since no guarantee depends on which node dispatches.
+AVOID_AFTER_SECONDS = 1.8
+# A node that receives a suspicion of itself assumes that its messages do not arrive, for this long
+# or until a new link shows that both directions work.
+SELF_SUSPECT_SECONDS = 5.0
+SUSPICION_TIMEOUT_SECONDS = 3.0
+FORGET_DEAD_SECONDS = 600.0
+MAX_SEEDS_DIALLED = 3
+# A node requests all state of a neighbour after this many heartbeats in a row with other digests.
+DIFFERENCES_TO_SYNC = 3
+# After a pause of its process a node requests the state of this many neighbours: one may be down.
+NEIGHBOURS_TO_SYNC = 2
 
 
 class Membership:
-    """Keep the member table of this node up to date, and its neighbours' too."""
+    """Keep the member table of this node up to date, and send updates to its neighbours."""
 
     def __init__(
         self,
@@ -60,11 +60,11 @@
         self._heartbeat: Callable[[], Heartbeat] = lambda: Heartbeat(0, 0, 0)
         self._listeners: list[Callable[[], None]] = []
         self._dead_at: dict[str, float] = {}
-        self._differences: dict[str, int] = {}
+        self._digest_differences: dict[str, int] = {}
         self._neighbours: list[str] = []
-        self._watched_since: dict[str, float] = {}
-        self._dispatchers: Callable[[], set[str]] = set
-        self._doubted_until = 0.0
+        self._monitored_since: dict[str, float] = {}
+        self._extra_monitored: Callable[[], set[str]] = set
+        self._suspected_until = 0.0
         hub.handle(MemberNews, self._received)
         hub.on_up(self._link_up)
         kernel.pauses.on_end(self._resumed)
@@ -74,29 +74,29 @@
         self._listeners.append(listener)
 
     def describe_with(self, heartbeat: Callable[[], Heartbeat]) -> None:
-        """Take the content of heartbeats from ``heartbeat``."""
+        """Call ``heartbeat`` for the content of each heartbeat."""
         self._heartbeat = heartbeat
 
     def watch_also(self, nodes: Callable[[], set[str]]) -> None:
-        """Watch the nodes that ``nodes`` gives as well, with heartbeats that ask for a reply."""
-        self._dispatchers = nodes
+        """Also monitor the nodes that ``nodes`` returns, by heartbeats that request a reply."""
+        self._extra_monitored = nodes
 
     def add_seeds(self, nodes: list[str]) -> None:
-        """Take note of nodes that may be members."""
+        """Record nodes that may be members, to be dialled."""
         self._seeds.update(node for node in nodes if node != self.table.own.node)
 
     def listed(self, listing: Listing) -> None:
-        """Take in the platform's list of nodes."""
+        """Apply a listing of the platform's nodes."""
         self.add_seeds([stored.name for stored in listing.objects])
-        self._ask_seeds()
+        self._dial_seeds()
 
     def seen(self, event: WatchEvent) -> None:
-        """Take in a change of the platform's list of nodes."""
+        """Apply a watch event of the platform's nodes."""
         if event.value is not None:
             self.add_seeds([event.name])
 
     def neighbours(self) -> list[str]:
-        """Return the members with which news and heartbeats are exchanged."""
+        """Return the members with which this node exchanges updates and heartbeats."""
         return self._neighbours
 
     def flood(self, message: Message, source: str = "") -> None:
@@ -106,118 +106,118 @@
                 self._hub.send(node, message)
 
     def news(self) -> MemberNews:
-        """Return all beliefs, for a peer that asks."""
+        """Return the records of all members, for a peer that requests them."""
         return MemberNews([_to_record(member) for member in self.table.all()])
 
     def change_own(self, **changes: object) -> None:
-        """Change fields of this node's own entry, and tell all."""
-        self._pass_on([self.table.change_own(**changes)], "")
+        """Change fields of this node's own record, and broadcast it."""
+        self._publish([self.table.change_own(**changes)], "")
 
     def reachable(self, node: str) -> bool:
-        """Say whether ``node`` may be given work, and no link to it has failed just now."""
+        """Return True if ``node`` may be given work and is not known to be silent."""
         member = self.table.get(node)
         if member is None or not member.usable:
             return False
-        return node == self.table.own.node or not self._silent(node, AVOID_SECONDS)
+        return node == self.table.own.node or not self._is_silent(node, AVOID_AFTER_SECONDS)
 
     @property
     def doubted(self) -> bool:
-        """Say whether others have told that they do not hear this node."""
-        return self._clock.monotonic() < self._doubted_until
+        """Return True if another node recently suspected this one."""
+        return self._clock.monotonic() < self._suspected_until
 
     @property
     def alone(self) -> bool:
-        """Say whether this node hears less than half of those that would tell it news."""
-        silent = sum(self._silent(node, AVOID_SECONDS) for node in self._neighbours)
+        """Return True if more than half of the neighbours are silent."""
+        silent = sum(self._is_silent(node, AVOID_AFTER_SECONDS) for node in self._neighbours)
         return 2 * silent > len(self._neighbours)
 
     def gone(self, node: str, start_id: int) -> bool:
-        """Say whether the process of ``node`` that began as ``start_id`` is known to have ended."""
+        """Return True if the process of ``node`` with ``start_id`` is known to have ended."""
         member = self.table.get(node)
         if member is None or member.state is MemberState.DEAD:
             return True
         linked = self._hub.start_id(node)
         return start_id not in (member.start_id, linked)
 
-    def _silent(self, node: str, seconds: float) -> bool:
-        since = self._watched_since.get(node)
+    def _is_silent(self, node: str, seconds: float) -> bool:
+        since = self._monitored_since.get(node)
         if since is None:
             return False
         last = max(self._hub.last_heard(node), since)
         return self._clock.monotonic() - last > seconds
 
     async def run(self) -> None:
-        """Beat until cancelled."""
+        """Send heartbeats and check for silent nodes every second, until cancelled."""
         while True:
-            self._beat()
-            await asyncio.sleep(HEARTBEAT_SECONDS)
+            self._run_round()
+            await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS)
 
-    def _beat(self) -> None:
+    def _run_round(self) -> None:
         now = self._clock.monotonic()
-        self._renew_neighbours(now)
-        self._ask_seeds()
+        self._update_neighbours(now)
+        self._dial_seeds()
         heartbeat = self._heartbeat()
         for node in self._neighbours:
             self._hub.send(node, heartbeat)
-        self._ask_dispatchers(now, heartbeat)
+        self._probe_monitored(now, heartbeat)
         self._suspect_silent(now)
-        self._pass_on(self.table.expire(now, SUSPECT_SECONDS), "")
+        self._publish(self.table.expire(now, SUSPICION_TIMEOUT_SECONDS), "")
         self._forget_dead(now)
         self._hub.close_unused(self._neighbours)
 
-    def _renew_neighbours(self, now: float) -> None:
+    def _update_neighbours(self, now: float) -> None:
         ring = [member.node for member in self.table.present()]
         own = self.table.own.node
         self._neighbours = overlay.neighbours(ring, own) if own in ring else []
-        watched = {*self._neighbours, *self._dispatchers()} - {own}
-        for node in watched:
-            if node not in self._watched_since:
-                self._watched_since[node] = now
-        for node in set(self._watched_since) - watched:
-            del self._watched_since[node]
+        monitored = {*self._neighbours, *self._extra_monitored()} - {own}
+        for node in monitored:
+            if node not in self._monitored_since:
+                self._monitored_since[node] = now
+        for node in set(self._monitored_since) - monitored:
+            del self._monitored_since[node]
 
     def _resumed(self, paused_seconds: float) -> None:
-        """Begin anew after a pause of this process: nobody was silent, and much may have changed.
+        """Restart all timeouts after a pause of this process, and request what it missed.
 
-        A node that took its own pause for the others' would suspect all of them aloud.
+        A node that took its own pause for silence of the others would broadcast suspicions of all.
         """
         now = self._clock.monotonic()
-        for node in self._watched_since:
-            self._watched_since[node] = now
-        self.table.resumed(now)
+        for node in self._monitored_since:
+            self._monitored_since[node] = now
+        self.table.restart_suspicions(now)
         request = StateRequest(self._heartbeat().configuration)
-        for node in self._neighbours[:NEIGHBOURS_TO_ASK]:
+        for node in self._neighbours[:NEIGHBOURS_TO_SYNC]:
             self._hub.send(node, request)
 
-    def _ask_dispatchers(self, now: float, heartbeat: Heartbeat) -> None:
-        # A link on which answers come needs no heartbeat of its own.
-        for node in set(self._watched_since) - set(self._neighbours):
-            if now - self._hub.last_heard(node) >= HEARTBEAT_SECONDS:
+    def _probe_monitored(self, now: float, heartbeat: Heartbeat) -> None:
+        # A node that sends other messages in the meantime needs no heartbeat.
+        for node in set(self._monitored_since) - set(self._neighbours):
+            if now - self._hub.last_heard(node) >= HEARTBEAT_INTERVAL_SECONDS:
                 self._hub.send(node, msgspec.structs.replace(heartbeat, wants_reply=True))
 
-    def _ask_seeds(self) -> None:
-        # Nodes that are listed but not members are dialled, a few at a time.
-        strangers = [node for node in sorted(self._seeds) if self._is_stranger(node)]
-        for node in self._rng.sample(strangers, min(SEEDS_AT_ONCE, len(strangers))):
+    def _dial_seeds(self) -> None:
+        # Seeds that are not members are dialled, a few at a time.
+        candidates = [node for node in sorted(self._seeds) if self._is_unknown_or_dead(node)]
+        for node in self._rng.sample(candidates, min(MAX_SEEDS_DIALLED, len(candidates))):
             self._hub.dial(node)
 
-    def _is_stranger(self, node: str) -> bool:
+    def _is_unknown_or_dead(self, node: str) -> bool:
         member = self.table.get(node)
         return member is None or member.state is MemberState.DEAD
 
     def _suspect_silent(self, now: float) -> None:
-        for node in list(self._watched_since):
-            if self._silent(node, SILENT_SECONDS):
+        for node in list(self._monitored_since):
+            if self._is_silent(node, SUSPECT_AFTER_SECONDS):
                 self._hub.drop(node)
-                belief = self.table.suspect(node, now)
-                if belief is not None:
-                    self._pass_on([belief], "")
+                update = self.table.suspect(node, now)
+                if update is not None:
+                    self._publish([update], "")
 
     def _forget_dead(self, now: float) -> None:
         for member in self.table.all():
             if member.state is MemberState.DEAD:
                 since = self._dead_at.setdefault(member.node, now)
-                if now - since > FORGET_SECONDS:
+                if now - since > FORGET_DEAD_SECONDS:
                     self.table.forget([member.node])
                     self._hub.forget(member.node)
             else:
@@ -225,67 +225,71 @@
 
     def _link_up(self, peer: Identity) -> None:
         own = self.table.own
-        self._doubted_until = 0.0
+        self._suspected_until = 0.0
         self._hub.send(peer.node, MemberNews([_to_record(own)]))
         known = self.table.get(peer.node)
         if known is None or known.start_id != peer.start_id or known.state is MemberState.DEAD:
             self._hub.send(peer.node, StateRequest(self._heartbeat().configuration))
 
     def compare(self, node: str, heartbeat: Heartbeat) -> None:
-        """Ask ``node`` for all it knows if its sums have differed from ours for a while."""
+        """Compare a heartbeat of ``node`` with this node's state.
+
+        Request all state of ``node`` if its configuration is newer, or if its digests have differed
+        for ``DIFFERENCES_TO_SYNC`` heartbeats.
+        """
         own = self._heartbeat()
         if heartbeat.wants_reply:
             self._hub.send(node, own)
         same = heartbeat.members == own.members and heartbeat.upstreams == own.upstreams
         ahead = heartbeat.configuration > own.configuration
-        count = 0 if same and not ahead else self._differences.get(node, 0) + 1
-        if ahead or count >= DIFFERENCES_TO_ASK:
+        count = 0 if same and not ahead else self._digest_differences.get(node, 0) + 1
+        if ahead or count >= DIFFERENCES_TO_SYNC:
             count = 0
             self._hub.send(node, StateRequest(own.configuration))
-        self._differences[node] = count
+        self._digest_differences[node] = count
 
-    def _received(self, node: str, news: MemberNews) -> None:
+    def _received(self, node: str, message: MemberNews) -> None:
         now = self._clock.monotonic()
         own = self.table.own
-        if any(_doubts(record, own) for record in news.members):
-            self._doubted_until = now + DOUBT_SECONDS
-        beliefs = [self.table.merge(_from_record(record), now) for record in news.members]
+        if any(_suspects_own(record, own) for record in message.members):
+            self._suspected_until = now + SELF_SUSPECT_SECONDS
+        updates = [self.table.merge(_from_record(record), now) for record in message.members]
         if self.table.own.start_id != own.start_id:
             self._hub.own = Identity(own.node, self.table.own.start_id)
-        self._pass_on([belief for belief in beliefs if belief is not None], node)
+        self._publish([update for update in updates if update is not None], node)
 
-    def _pass_on(self, beliefs: list[Member], source: str) -> None:
-        if not beliefs:
+    def _publish(self, updates: list[Member], source: str) -> None:
+        if not updates:
             return
-        for belief in beliefs:
-            self._tell(belief)
-        self._renew_neighbours(self._clock.monotonic())
-        self.flood(MemberNews([_to_record(belief) for belief in beliefs]), source)
+        for update in updates:
+            self._log_update(update)
+        self._update_neighbours(self._clock.monotonic())
+        self.flood(MemberNews([_to_record(update) for update in updates]), source)
         for listener in self._listeners:
             listener()
 
-    def _tell(self, belief: Member) -> None:
-        state = belief.state.name.lower()
+    def _log_update(self, update: Member) -> None:
+        state = update.state.name.lower()
         self._events.emit(
             Kind.MEMBER,
-            member=belief.node,
+            member=update.node,
             state=state,
-            start_id=belief.start_id,
-            sequence=belief.sequence,
-            speed=belief.speed,
+            start_id=update.start_id,
+            sequence=update.sequence,
+            speed=update.speed,
         )
         for each in MemberState:
             count = sum(member.state is each for member in self.table.all())
             self._metrics.members.set({"state": each.name.lower()}, count)
 
 
-def _doubts(record: MemberRecord, own: Member) -> bool:
-    mine = record.node == own.node and record.start_id == own.start_id
-    return mine and record.state >= MemberState.SUSPECT
+def _suspects_own(record: MemberRecord, own: Member) -> bool:
+    is_own = record.node == own.node and record.start_id == own.start_id
+    return is_own and record.state >= MemberState.SUSPECT
 
 
-# Both have the same fields, in the same order. ``dataclasses.astuple`` would copy each one deeply:
-# 15.7 microseconds a record, with this 0.7 (best of five runs of 20,000, one core).
+# ``Member`` and ``MemberRecord`` have the same fields in the same order. ``dataclasses.astuple``
+# would copy each of them deeply, which takes 15.7 microseconds per record instead of 0.7.
 _fields = attrgetter(*(field.name for field in fields(Member)))
 
 
--- a/railsail/policy/programs.py
+++ b/railsail/policy/programs.py
@@ -1,8 +1,8 @@
-"""CEL programs: check them when they are accepted, run them per request.
+"""CEL programs: checked when a configuration is committed, and evaluated for each request.
 
-A program sees three typed inputs, documented in ``docs/ref/policies.md``: ``workspace``,
-``request`` and ``load``. Comprehension macros are refused, so that the cost of a program grows no
-faster than its length.
+A program has three typed inputs, documented in ``docs/ref/policies.md``: ``workspace``, ``request``
+and ``load``. Comprehension macros are rejected, so that the cost of a program grows no faster than
+its length.
 """
 
 import functools
@@ -14,10 +14,11 @@
 
 from railsail.core.checks import Finding, error
 
-LONGEST_WAIT = 86_400.0
-# Results of a program that are kept, of those that read only fields with few values.
-MOST_RESULTS_KEPT = 64
-_FEW_VALUES = frozenset(
+MAX_WAIT_SECONDS = 86_400.0
+# Cached results per program. Only programs that read nothing but fields with few distinct values
+# have a cache.
+MAX_CACHED_RESULTS = 64
+_LOW_CARDINALITY_FIELDS = frozenset(
     {
         ("workspace", "name"),
         ("workspace", "priority_class"),
@@ -32,7 +33,7 @@
     }
 )
 
-_COLUMN = re.compile(r"<input>:(\d+):(\d+): (?:Syntax error: )?([^\n]*)")
+_ERROR_LOCATION = re.compile(r"<input>:(\d+):(\d+): (?:Syntax error: )?([^\n]*)")
 _MACRO = re.compile(r"\.\s*(all|exists|exists_one|map|filter)\s*\(")
 _RUN_TIME_ERRORS = (RuntimeError, ValueError, KeyError, TypeError, ZeroDivisionError, OverflowError)
 
@@ -48,9 +49,9 @@
 class RequestInput(msgspec.Struct, frozen=True):
     """The input ``request``.
 
-    ``kind`` is the upstream kind of the pool; ``deadline`` is in seconds from the request's start,
-    0 for none; ``max_tokens`` is 0 where the caller gave none. ``priority``, ``objective`` in
-    seconds and ``repeatable`` are those of the request's route, where it has one.
+    ``kind`` is the upstream kind of the pool. ``deadline`` is in seconds from the start of the
+    request, 0 for none. ``max_tokens`` is 0 if the caller gave none. ``priority``, ``objective``,
+    which is in seconds, and ``repeatable`` are those of the route of the request, if it has one.
     """
 
     pool: str = ""
@@ -68,7 +69,7 @@
 
 
 class LoadInput(msgspec.Struct, frozen=True):
-    """The input ``load``: requests that wait at this node, of the workspace and in whole."""
+    """The input ``load``: requests that wait at this node, of the workspace and in total."""
 
     workspace_waiting: int = 0
     waiting: int = 0
@@ -83,7 +84,7 @@
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """What a policy says of one request; ``failed`` names the programs that went wrong."""
+    """The decision of a policy on one request; ``failed`` names the programs that failed."""
 
     rank: float
     may_wait: float
@@ -92,12 +93,14 @@
 
 
 def check_program(field: str, source: str, place: str) -> list[Finding]:
-    """Return the findings about the program ``source`` of the policy's ``field``."""
+    """Return the findings about ``source``, the program of a policy's ``field``."""
     macro = _MACRO.search(source)
     if macro:
-        where = f"{place} column {macro.start(1) + 1}"
+        location = f"{place} column {macro.start(1) + 1}"
         message = f"the macro {macro.group(1)!r} is not allowed"
-        return [error("railsail.E030", message, where, "the cost of a program must stay bounded")]
+        return [
+            error("railsail.E030", message, location, "the cost of a program must stay bounded")
+        ]
     try:
         program = cel.compile(source)
     except ValueError as problem:
@@ -106,7 +109,7 @@
 
 
 def _syntax_error(text: str, place: str) -> Finding:
-    match = _COLUMN.search(text)
+    match = _ERROR_LOCATION.search(text)
     if match is None:
         return error("railsail.E031", text.splitlines()[0], place)
     line, column, message = match.groups()
@@ -114,7 +117,7 @@
 
 
 def _check_result(field: str, program: cel.Program, place: str) -> list[Finding]:
-    # A trial run on sample inputs finds unknown names and wrong types before any request does.
+    # Evaluated with sample inputs, to detect unknown names and wrong types before any request.
     try:
         result = program.execute(msgspec.to_builtins(Inputs()))
     except KeyError as problem:
@@ -122,21 +125,21 @@
         return [error("railsail.E032", f"there is no field {problem}", place, known)]
     except _RUN_TIME_ERRORS as problem:
         return [error("railsail.E033", str(problem).split(". ")[0], place)]
-    wanted = bool if field == "never_repeat" else float
-    if not _fits(result, wanted):
-        message = f"gives {type(result).__name__}, wanted is {wanted.__name__}"
+    expected = bool if field == "never_repeat" else float
+    if not _has_type(result, expected):
+        message = f"gives {type(result).__name__}, expected {expected.__name__}"
         return [error("railsail.E034", message, place)]
     return []
 
 
-def _fits(result: object, wanted: type) -> bool:
-    if wanted is bool:
+def _has_type(result: object, expected: type) -> bool:
+    if expected is bool:
         return isinstance(result, bool)
     return isinstance(result, int | float) and not isinstance(result, bool)
 
 
 class PolicySource(Protocol):
-    """A policy as operators write it: its name, and the source of each program."""
+    """A policy as operators write it: its name and the sources of its programs."""
 
     name: str
     rank: str
@@ -145,25 +148,26 @@
 
 
 class _Program:
-    """One program, and the inputs that it reads."""
+    """A compiled program, and the input fields that it may read."""
 
     def __init__(self, source: str) -> None:
         self._program = cel.compile(source)
         read = {name: _fields_read(source, name) for name in Inputs.__struct_fields__}
-        self._reads = [(name, field) for name, fields in read.items() for field in fields]
-        self._run = self._run_now
-        if _FEW_VALUES.issuperset(self._reads):
-            # What a program gives depends on nothing else.
-            self._run = functools.lru_cache(MOST_RESULTS_KEPT, typed=True)(self._run_now)
+        self._fields = [(name, field) for name, fields in read.items() for field in fields]
+        self._run = self._evaluate
+        if _LOW_CARDINALITY_FIELDS.issuperset(self._fields):
+            # The result depends on these fields only.
+            self._run = functools.lru_cache(MAX_CACHED_RESULTS, typed=True)(self._evaluate)
 
     def execute(self, inputs: Inputs) -> object:
-        """Return the result for ``inputs``; raise one of ``_RUN_TIME_ERRORS``."""
-        return self._run(*[getattr(getattr(inputs, name), field) for name, field in self._reads])
+        """Return the result for ``inputs``, or raise one of ``_RUN_TIME_ERRORS``."""
+        return self._run(*[getattr(getattr(inputs, name), field) for name, field in self._fields])
 
-    def _run_now(self, *values: object) -> object:
-        # The library copies all that it is given, which takes far longer than a run of the program.
+    def _evaluate(self, *values: object) -> object:
+        # The library copies its whole context, which takes far longer than evaluating the program,
+        # so that only the fields that are read are passed.
         context: dict[str, dict[str, object]] = {name: {} for name in Inputs.__struct_fields__}
-        for (name, field), value in zip(self._reads, values, strict=True):
+        for (name, field), value in zip(self._fields, values, strict=True):
             context[name][field] = value
         return self._program.execute(context)
 
@@ -174,7 +178,7 @@
     read = set()
     for match in re.finditer(rf"\b{name}\b(?:\.(\w+)\b(?!\s*\())?", source):
         if match.group(1) not in known:
-            # It is not plain which one is read.
+            # The source does not show which fields are read.
             return known
         read.add(match.group(1))
     return tuple(field for field in known if field in read)
@@ -190,23 +194,25 @@
         self._never_repeat = _Program(policy.never_repeat)
 
     def judge(self, inputs: Inputs) -> Verdict:
-        """Return the verdict on a request.
+        """Return the decision on a request.
 
-        A program that fails takes the safe side: rank 0, wait 60 s, and never repeat.
+        A program that fails is replaced by a safe default: rank 0, wait 60 s, and never repeat.
         """
         failed: list[str] = []
-        rank = _run(self._rank, inputs, float, 0.0, "rank", failed)
-        may_wait = _run(self._may_wait, inputs, float, 60.0, "may_wait", failed)
-        never_repeat = _run(self._never_repeat, inputs, bool, True, "never_repeat", failed)
-        may_wait = min(max(float(may_wait), 0.0), LONGEST_WAIT)
+        rank = _run_or_default(self._rank, inputs, float, 0.0, "rank", failed)
+        may_wait = _run_or_default(self._may_wait, inputs, float, 60.0, "may_wait", failed)
+        never_repeat = _run_or_default(
+            self._never_repeat, inputs, bool, True, "never_repeat", failed
+        )
+        may_wait = min(max(float(may_wait), 0.0), MAX_WAIT_SECONDS)
         return Verdict(float(rank), may_wait, bool(never_repeat), tuple(failed))
 
 
-def _run(
+def _run_or_default(
     program: _Program,
     inputs: Inputs,
-    wanted: type,
-    safe: float | bool,
+    expected: type,
+    default: float | bool,
     field: str,
     failed: list[str],
 ) -> float | bool:
@@ -214,8 +220,8 @@
         result = program.execute(inputs)
     except _RUN_TIME_ERRORS:
         failed.append(field)
-        return safe
-    if not _fits(result, wanted) or result != result:
+        return default
+    if not _has_type(result, expected) or result != result:
         failed.append(field)
-        return safe
+        return default
     return result
--- a/railsail/quarantine/table.py
+++ b/railsail/quarantine/table.py
@@ -1,17 +1,20 @@
-"""Which replicas ended, which requests ran on them, and what follows for these requests.
+"""The crashes of replicas, the requests that ran on them, and which of these are quarantined.
 
-The load that this answers: a request ends each replica that begins to run it, and comes again and
-again, under other ids and at any node. Each replica that ends takes along all that it runs, so that
-one caller takes the pool from all others: 94 engines of nine in 24 s, at one send in 0.4 s.
+Some requests crash every replica that starts to run them, and their callers send them again and
+again, with other ids and through any node. Each crash also fails all other requests on the replica,
+so that a single caller can take a whole pool away from the others: a caller that sent such a
+request every 0.4 s crashed the engines of a pool of nine 94 times in 24 s.
 
-What tells the request that is to blame from those that only ran beside it:
+A request that causes crashes differs from those that only ran beside it:
 
-- It is among those of every replica that ended; the others are not, unless many ask for the same.
-- It is never served. Whatever is served whole ends no replicas; what many ask for is served often.
-- Where many replicas end in one moment, a host or a failure domain has failed. Only a request that
-  ran on all of them may be why.
+- It ran on every replica that crashed. Other requests did not, unless many callers send the same
+  one.
+- It is never served. A request that was served to its end crashes no replica, and one that many
+  callers send is served often.
+- If many replicas crash at the same time, a host or a failure domain has failed. Only a request
+  that ran on all of them can be the cause.
 
-Nodes merge what they know by union, so that repeats and reorderings do no harm.
+Nodes merge their tables by union, so that duplicated and reordered updates do no harm.
 """
 
 import math
@@ -21,214 +24,229 @@
 
 import msgspec
 
-# A request is held back once so many replicas have ended under it. After two it may be chance: of
-# requests that were cut off twice in a pool whose replicas crash at random, some are served by
-# their third attempt.
-ENDS_TO_HOLD = 3
-# Where fewer replicas ended under a request that is served, only this node takes note of that: each
-# of the dozens that a replica takes along would be told of otherwise, and none is near to be held.
-ENDS_TO_TELL = 2
-# For so many seconds a request is held back first; each replica that ends under it after that
-# doubles the time. A replica is back after some seconds, so that a request which is tried again
-# every two minutes costs a pool of five a hundredth of its time.
-HOLD_SECONDS = 120.0
-MOST_HOLD_SECONDS = 3600.0
-# For so many seconds the end of a replica counts.
-KEPT_SECONDS = 3600.0
-# Ends that are kept; of more, the oldest that no held request needs are forgotten. With 64 requests
-# each, which is a large batch of an engine, they take half a megabyte, and 75 KB to tell them all.
-MOST_ENDS = 128
-# Requests that are told of one end: twice the largest batch of an engine.
-MOST_REQUESTS = 512
-# Ends so many seconds apart are of one moment: a host that fails takes its replicas along at once,
-# and their callers notice within this time.
-MOMENT_SECONDS = 0.25
-# So many ends in one moment have a cause of their own, but for a request that ran on all of them.
-# Two may be two requests, each of which ends its replica.
-MANY_ENDS = 3
-# A request that was served so lately is not why a replica ends.
-SERVED_SECONDS = 30.0
-# Served requests that are remembered: those of ten seconds at 400 a second, in under a megabyte.
-# What many ask for is served again within that time.
-MOST_SERVED = 4096
-
-EndKey = tuple[str, int]
+# A request is quarantined after this many crashes of replicas that ran it. Two may be chance: in a
+# pool whose replicas crash at random, some requests that were cut off twice are served by their
+# third attempt.
+CRASHES_TO_QUARANTINE = 3
+# A request that is served is cleared of its crashes, which is broadcast, only if it has at least
+# this many. A crash cuts off dozens of requests, which would otherwise cause a broadcast each
+# although none of them is close to being quarantined.
+CRASHES_TO_BROADCAST_CLEARING = 2
+# Duration of the first quarantine of a request; each further crash doubles it. A replica restarts
+# within some seconds, so that a request which is retried every two minutes costs a pool of five
+# replicas a hundredth of its time.
+INITIAL_QUARANTINE_SECONDS = 120.0
+MAX_QUARANTINE_SECONDS = 3600.0
+# Crashes are forgotten after this time.
+CRASH_RETENTION_SECONDS = 3600.0
+# Beyond this number of crashes, the oldest that concerns no quarantined request is dropped. With 64
+# requests each, a large batch of an engine, they take half a megabyte of memory, and a message with
+# all of them takes 75 KB.
+MAX_CRASHES = 128
+# Requests recorded for one crash: twice the largest batch of an engine.
+MAX_REQUESTS_PER_CRASH = 512
+# Crashes at most this far apart are simultaneous: a host that fails takes all its replicas down at
+# once, and their callers notice within this time.
+SIMULTANEOUS_SECONDS = 0.25
+# This many simultaneous crashes are taken for the failure of a host, unless one request ran on all
+# of its replicas. Two may come from two requests that crash a replica each.
+HOST_FAILURE_CRASHES = 3
+# A request that was served this recently is not blamed for a crash.
+RECENTLY_SERVED_SECONDS = 30.0
+# Served requests that are remembered: those of ten seconds at 400 requests a second, in less than a
+# megabyte. A request that many callers send is served again within that time.
+MAX_SERVED = 4096
+
+CrashKey = tuple[str, int]
 
 
 @dataclass(frozen=True)
-class ReplicaEnd:
-    """The end of a replica, at ``at`` seconds of this node's clock.
+class ReplicaCrash:
+    """The crash of a replica, at the time ``at`` of this node's clock in seconds.
 
-    ``life`` is when the replica had started, in milliseconds since the Unix epoch, 0 where it does
-    not say so; ``requests`` are the fingerprints of what ran on it, of which those ``cleared`` are
-    not why it ended.
+    ``start_id`` identifies the process of the replica: it is the time when it had started, in
+    milliseconds since the Unix epoch, or 0 if the replica does not report that. ``requests`` are
+    the fingerprints of the requests that ran on it; those in ``cleared`` are known not to have
+    caused the crash.
     """
 
     replica: str
-    life: int
+    start_id: int
     at: float
     requests: frozenset[int]
     cleared: frozenset[int] = frozenset()
 
     @property
-    def key(self) -> EndKey:
-        """Return what tells the end from others."""
-        return (self.replica, self.life)
+    def key(self) -> CrashKey:
+        """Return the key that identifies the crash."""
+        return (self.replica, self.start_id)
 
-    def joined(self, other: "ReplicaEnd") -> "ReplicaEnd":
-        """Return this end with all that ``other`` tells of the same."""
+    def union(self, other: "ReplicaCrash") -> "ReplicaCrash":
+        """Return the union of this record and ``other``, which is about the same crash."""
         requests = self.requests | other.requests
         return replace(self, requests=requests, cleared=self.cleared | other.cleared)
 
 
 class SuspectRequest(msgspec.Struct, frozen=True):
-    """What is known of one request: the replicas that ended under it, and until when it is held.
+    """A request and the crashes that count against it, and until when it is quarantined.
 
-    ``held_until`` is in seconds of this node's clock, 0 where it is not held.
+    ``ends`` are its crashes. ``held_until`` is in seconds of this node's clock, 0 if there are too
+    few crashes for a quarantine.
     """
 
     request: int
-    ends: tuple[ReplicaEnd, ...]
+    ends: tuple[ReplicaCrash, ...]
     held_until: float
 
     @property
     def replicas(self) -> list[str]:
-        """Return the names of the replicas that ended, the first one first."""
-        return [end.replica for end in self.ends]
+        """Return the names of the replicas that crashed, in order of time."""
+        return [crash.replica for crash in self.ends]
 
 
 class QuarantineTable:
-    """Hold what one node knows; times are in seconds of its clock, which counts a suspension."""
+    """The crashes that one node has recorded, and the state of the requests that ran on them.
+
+    Times are in seconds of the node's clock, which goes on while the machine is suspended.
+    """
 
     def __init__(self) -> None:
-        self._ends: OrderedDict[EndKey, ReplicaEnd] = OrderedDict()
-        # The ends that count against each request, unless they are of a moment with many ends.
-        self._by_request: dict[int, set[EndKey]] = {}
+        self._crashes: OrderedDict[CrashKey, ReplicaCrash] = OrderedDict()
+        # By request, the crashes that it is not cleared of. Failures of hosts are included.
+        self._by_request: dict[int, set[CrashKey]] = {}
         self._served_at: OrderedDict[int, float] = OrderedDict()
         self.digest = 0
 
-    def ends(self) -> list[ReplicaEnd]:
-        """Return all ends that are kept."""
-        return list(self._ends.values())
+    def crashes(self) -> list[ReplicaCrash]:
+        """Return all recorded crashes."""
+        return list(self._crashes.values())
 
-    def known(self, request: int) -> bool:
-        """Say whether any replica ended while it ran ``request``."""
+    def has_crashes(self, request: int) -> bool:
+        """Return True if a replica crashed while it ran ``request``, which is not cleared of it."""
         return request in self._by_request
 
-    def standing(self, request: int) -> SuspectRequest:
-        """Return what is known of ``request``."""
-        ends = sorted(self._counted(request), key=lambda end: (end.at, end.key))
+    def status(self, request: int) -> SuspectRequest:
+        """Return the crashes that count against ``request``, and its quarantine."""
+        crashes = sorted(self._counted_crashes(request), key=lambda crash: (crash.at, crash.key))
         held_until = 0.0
-        if len(ends) >= ENDS_TO_HOLD:
-            hold = HOLD_SECONDS * 2 ** (len(ends) - ENDS_TO_HOLD)
-            held_until = ends[-1].at + min(hold, MOST_HOLD_SECONDS)
-        return SuspectRequest(request, tuple(ends), held_until)
-
-    def standings(self, least: int = 1) -> list[SuspectRequest]:
-        """Return the requests under which ``least`` replicas ended, those with most ends first."""
-        candidates = [r for r, keys in self._by_request.items() if len(keys) >= least]
-        found = [self.standing(request) for request in candidates]
-        ended = [standing for standing in found if len(standing.ends) >= least]
-        return sorted(ended, key=lambda standing: (-len(standing.ends), standing.request))
-
-    def _counted(self, request: int) -> list[ReplicaEnd]:
-        ends = [self._ends[key] for key in self._by_request.get(request, ())]
-        return [end for end in ends if self._may_be_why(request, end)]
-
-    def _may_be_why(self, request: int, end: ReplicaEnd) -> bool:
-        together = [
-            other for other in self._ends.values() if abs(other.at - end.at) <= MOMENT_SECONDS
+        if len(crashes) >= CRASHES_TO_QUARANTINE:
+            duration = INITIAL_QUARANTINE_SECONDS * 2 ** (len(crashes) - CRASHES_TO_QUARANTINE)
+            held_until = crashes[-1].at + min(duration, MAX_QUARANTINE_SECONDS)
+        return SuspectRequest(request, tuple(crashes), held_until)
+
+    def suspects(self, min_crashes: int = 1) -> list[SuspectRequest]:
+        """Return the requests with at least ``min_crashes`` crashes, those with the most first."""
+        candidates = [r for r, keys in self._by_request.items() if len(keys) >= min_crashes]
+        found = [self.status(request) for request in candidates]
+        matching = [suspect for suspect in found if len(suspect.ends) >= min_crashes]
+        return sorted(matching, key=lambda suspect: (-len(suspect.ends), suspect.request))
+
+    def _counted_crashes(self, request: int) -> list[ReplicaCrash]:
+        crashes = [self._crashes[key] for key in self._by_request.get(request, ())]
+        return [crash for crash in crashes if self._may_be_cause(request, crash)]
+
+    def _may_be_cause(self, request: int, crash: ReplicaCrash) -> bool:
+        simultaneous = [
+            other
+            for other in self._crashes.values()
+            if abs(other.at - crash.at) <= SIMULTANEOUS_SECONDS
         ]
-        return len(together) < MANY_ENDS or all(request in other.requests for other in together)
+        return len(simultaneous) < HOST_FAILURE_CRASHES or all(
+            request in other.requests for other in simultaneous
+        )
 
-    def ended(self, end: ReplicaEnd, now: float) -> ReplicaEnd | None:
-        """Take in an end that this node has seen itself, and return what is new of it.
+    def record_crash(self, crash: ReplicaCrash, now: float) -> ReplicaCrash | None:
+        """Record a crash that this node observed; return it merged, or ``None`` if nothing is new.
 
-        Requests that were served lately are left out.
+        Requests that were served recently are left out.
         """
-        blamed = [r for r in end.requests if not self._was_served(r, now)]
-        return self.merge(replace(end, requests=frozenset(blamed[:MOST_REQUESTS])), now)
+        blamed = [r for r in crash.requests if not self._was_recently_served(r, now)]
+        return self.merge(replace(crash, requests=frozenset(blamed[:MAX_REQUESTS_PER_CRASH])), now)
 
-    def _was_served(self, request: int, now: float) -> bool:
+    def _was_recently_served(self, request: int, now: float) -> bool:
         served_at = self._served_at.get(request)
-        return served_at is not None and now - served_at <= SERVED_SECONDS
+        return served_at is not None and now - served_at <= RECENTLY_SERVED_SECONDS
 
-    def merge(self, end: ReplicaEnd, now: float) -> ReplicaEnd | None:
-        """Take in an end, and return the whole of it if anything about it is new."""
+    def merge(self, crash: ReplicaCrash, now: float) -> ReplicaCrash | None:
+        """Merge a crash into the table; return it merged, or ``None`` if nothing is new."""
         self._expire(now)
-        if now - end.at > KEPT_SECONDS or not self._has_room(end, now):
+        if now - crash.at > CRASH_RETENTION_SECONDS or not self._ensure_capacity(crash, now):
             return None
-        known = self._ends.get(end.key)
+        known = self._crashes.get(crash.key)
         if known is not None:
-            end = known.joined(end)
-            if end == known:
+            crash = known.union(crash)
+            if crash == known:
                 return None
             self._drop(known.key)
-        self._put(end)
-        return end
-
-    def _put(self, end: ReplicaEnd) -> None:
-        self._ends[end.key] = end
-        self.digest ^= _digest_of(end)
-        for request in end.requests - end.cleared:
-            self._by_request.setdefault(request, set()).add(end.key)
-
-    def _drop(self, key: EndKey) -> None:
-        end = self._ends.pop(key)
-        self.digest ^= _digest_of(end)
-        for request in end.requests - end.cleared:
+        self._put(crash)
+        return crash
+
+    def _put(self, crash: ReplicaCrash) -> None:
+        self._crashes[crash.key] = crash
+        self.digest ^= _digest_of(crash)
+        for request in crash.requests - crash.cleared:
+            self._by_request.setdefault(request, set()).add(crash.key)
+
+    def _drop(self, key: CrashKey) -> None:
+        crash = self._crashes.pop(key)
+        self.digest ^= _digest_of(crash)
+        for request in crash.requests - crash.cleared:
             keys = self._by_request[request]
             keys.discard(key)
             if not keys:
                 del self._by_request[request]
 
     def _expire(self, now: float) -> None:
-        for end in self.ends():
-            if now - end.at > KEPT_SECONDS:
-                self._drop(end.key)
+        for crash in self.crashes():
+            if now - crash.at > CRASH_RETENTION_SECONDS:
+                self._drop(crash.key)
 
-    def _has_room(self, end: ReplicaEnd, now: float) -> bool:
-        """Say whether ``end`` may be kept, and forget an older one for it where there are many.
+    def _ensure_capacity(self, crash: ReplicaCrash, now: float) -> bool:
+        """Return True if ``crash`` can be recorded; drop an older crash if the table is full.
 
-        All nodes keep the newest: whoever took in what another one forgot would be told it again.
+        All nodes keep the newest crashes. Otherwise nodes would send each other again and again
+        what the receiver had dropped.
         """
-        if end.key in self._ends or len(self._ends) < MOST_ENDS:
+        if crash.key in self._crashes or len(self._crashes) < MAX_CRASHES:
             return True
-        held = {s.request for s in self.standings(ENDS_TO_HOLD) if s.held_until > now}
-        needless = [kept for kept in self._ends.values() if not kept.requests & held]
-        oldest = min(needless or self._ends.values(), key=lambda kept: kept.at)
-        if end.at < oldest.at:
+        quarantined = {
+            s.request for s in self.suspects(CRASHES_TO_QUARANTINE) if s.held_until > now
+        }
+        droppable = [kept for kept in self._crashes.values() if not kept.requests & quarantined]
+        oldest = min(droppable or self._crashes.values(), key=lambda kept: kept.at)
+        if crash.at < oldest.at:
             return False
         self._drop(oldest.key)
         return True
 
-    def served(self, request: int, now: float) -> list[ReplicaEnd]:
-        """Take note that ``request`` was served whole; return the ends that it is cleared of."""
+    def record_served(self, request: int, now: float) -> list[ReplicaCrash]:
+        """Record that ``request`` was served to its end; return the crashes it is cleared of."""
         self._served_at.pop(request, None)
         self._served_at[request] = now
-        if len(self._served_at) > MOST_SERVED:
+        if len(self._served_at) > MAX_SERVED:
             self._served_at.popitem(last=False)
-        if len(self._by_request.get(request, ())) < ENDS_TO_TELL:
+        if len(self._by_request.get(request, ())) < CRASHES_TO_BROADCAST_CLEARING:
             return []
         return self.clear(request, now)
 
-    def suspected(self, request: int) -> bool:
-        """Say whether a replica ended under ``request``, which was not served here since then."""
+    def is_suspect(self, request: int) -> bool:
+        """Return True if a crash counts against ``request`` and it was not served here since."""
         if request not in self._by_request:
             return False
-        ends = self.standing(request).ends
-        return bool(ends) and ends[-1].at > self._served_at.get(request, -math.inf)
+        crashes = self.status(request).ends
+        return bool(crashes) and crashes[-1].at > self._served_at.get(request, -math.inf)
 
-    def clear(self, request: int, now: float) -> list[ReplicaEnd]:
-        """Let no end until now count against ``request``, and return those that did.
+    def clear(self, request: int, now: float) -> list[ReplicaCrash]:
+        """Clear ``request`` of all crashes up to now, and return those that counted against it.
 
-        A clearing names its ends: told as a moment it would be later at each node that hears of it.
+        A clearing names its crashes. If it were sent as a time instead, each hop would make that
+        time later, so that nodes would take it for a new clearing and forward it without end.
         """
-        ends = [self._ends[key] for key in self._by_request.get(request, ())]
-        cleared = [replace(end, cleared=end.cleared | {request}) for end in ends]
-        return [end for end in cleared if self.merge(end, now) is not None]
+        crashes = [self._crashes[key] for key in self._by_request.get(request, ())]
+        cleared = [replace(crash, cleared=crash.cleared | {request}) for crash in crashes]
+        return [crash for crash in cleared if self.merge(crash, now) is not None]
 
 
-def _digest_of(end: ReplicaEnd) -> int:
-    text = f"{end.replica} {end.life} {sorted(end.requests)} {sorted(end.cleared)}"
+def _digest_of(crash: ReplicaCrash) -> int:
+    text = f"{crash.replica} {crash.start_id} {sorted(crash.requests)} {sorted(crash.cleared)}"
     return zlib.crc32(text.encode())
--- a/railsail/quarantine/trials.py
+++ b/railsail/quarantine/trials.py
@@ -1,4 +1,4 @@
-"""What dispatchers learn of requests from calls that end, and which may be tried now."""
+"""The interface between dispatchers and the quarantine."""
 
 from railsail.quarantine.observer import EndObserver
 from railsail.quarantine.service import Quarantine
@@ -9,33 +9,34 @@
 
 
 class Trials:
-    """Tell the ends of calls to those who watch for replicas that end under requests."""
+    """Pass results of calls to the quarantine, and check tickets for suspect requests."""
 
-    def __init__(self, quarantine: Quarantine, ends: EndObserver) -> None:
+    def __init__(self, quarantine: Quarantine, detector: EndObserver) -> None:
         self._quarantine = quarantine
-        self._ends = ends
+        self._detector = detector
 
     def undecided(self, request: int) -> bool:
-        """Say whether it will be known in a moment if a replica has ended under ``request``."""
-        return self._ends.checks(request)
+        """Return True if a probe is running that may show a crash under ``request``."""
+        return self._detector.is_probing(request)
 
     def is_second(self, dispatcher: CellDispatcher, ticket: Ticket) -> bool:
-        """Say whether ``ticket`` asks to run beside another of a request that may end replicas.
+        """Return True if another ticket of the same suspect request waits or runs here.
 
-        One at a time shows whether it does, and costs one replica at most.
+        Run once at a time, a suspect request shows whether it crashes replicas, and crashes one at
+        most.
         """
-        if not self._quarantine.suspected(ticket.fingerprint):
+        if not self._quarantine.is_suspect(ticket.fingerprint):
             return False
         known = ticket.key in dispatcher.queue or ticket.key in dispatcher.flights
         return not known and dispatcher.holds(ticket.fingerprint)
 
     def ended(self, flight: Flight | None, result: CallResult) -> None:
-        """Take note of what the end of a call tells of its request."""
+        """Record the result of a call for the quarantine of its request."""
         if flight is None or not flight.fingerprint or not flight.replica:
             return
         if result is CallResult.GOOD:
-            self._quarantine.served(flight.fingerprint)
+            self._quarantine.record_served(flight.fingerprint)
         elif result is CallResult.BROKE_OFF:
-            self._ends.broke_off(flight.replica, flight.fingerprint)
+            self._detector.record_broken_call(flight.replica, flight.fingerprint)
         elif result is CallResult.CALLER_LEFT and flight.unread:
-            self._ends.given_up(flight.replica, flight.fingerprint)
+            self._detector.record_abandoned_call(flight.replica, flight.fingerprint)
