--- a/railsail/rollouts/__init__.py
+++ b/railsail/rollouts/__init__.py
@@ -1,1 +1,1 @@
-"""Rollouts: a service moves to a new version of its software, or back if that version is bad."""
+"""Rollouts: moving a service to a new software version, or back if that version is bad."""
--- a/railsail/rollouts/allotments.py
+++ b/railsail/rollouts/allotments.py
@@ -1,7 +1,7 @@
 """How the calls that may go to the target version are divided among the dispatchers.
 
-What a dispatcher was given counts as used, also where it is not heard any more: it may have sent
-those calls, and another one may still send them while its allowance has not lapsed.
+The quota of a dispatcher stays counted after it has fallen silent: the dispatcher may have sent
+those calls, and may still send them until its allowance expires.
 """
 
 from collections.abc import Mapping
@@ -10,22 +10,22 @@
 
 
 class Allotments:
-    """Hold how many calls each dispatcher may send in all in one term."""
+    """The number of calls that each dispatcher may send in total in one term."""
 
     def __init__(self) -> None:
         self._given: dict[Source, int] = {}
 
     @property
     def total(self) -> int:
-        """Return how many calls were given away."""
+        """Return how many calls have been assigned to dispatchers."""
         return sum(self._given.values())
 
     def of(self, source: Source) -> int:
-        """Return how many calls ``source`` may send in all."""
+        """Return how many calls ``source`` may send in total."""
         return self._given.get(source, 0)
 
     def divide(self, free: int, weights: Mapping[Source, float]) -> None:
-        """Give ``free`` calls away in proportion to ``weights``, whole calls and no more."""
+        """Assign ``free`` more calls in proportion to ``weights``, by the largest remainders."""
         total = sum(weights.values())
         if free <= 0 or total <= 0:
             return
--- a/railsail/rollouts/book.py
+++ b/railsail/rollouts/book.py
@@ -1,8 +1,9 @@
-"""What is known of all rollouts: the operator's orders, and how they stand.
+"""The operator's rollout orders and their states, as this node knows them.
 
-The platform's store holds one object for each service. Records merge, so that repeats and
-reorderings do no harm: the newest object tells the order, and a state that has ended stays. Nodes
-pass them on, so that they hold while the store is away and for nodes that start meanwhile.
+The platform's store holds one object for each service. Records are merged, so that repeated and
+reordered updates do no harm: the newest object determines the order, and the end of a rollout is
+never reverted. Nodes forward the records, so that they survive an outage of the store and reach
+nodes that start during it.
 """
 
 import math
@@ -20,15 +21,15 @@
 from railsail.store.base import Listing, WatchEvent
 
 KIND = "rollout"
-# The platform stops the replicas of other versions once a rollout succeeded, and they leave its
-# list within so many seconds. What is started later with another version takes work again.
+# When a rollout succeeds, the platform stops the replicas of other versions, and they leave its
+# list within this time. Replicas that start later with another version receive calls again.
 REPLACED_SECONDS = 30.0
 
 Flood = Callable[[RolloutUpdate, str], None]
 
 
 class RolloutBook:
-    """Hold the rollout of each service; ``flood`` passes updates to all peers but the one named."""
+    """The rollout of each service; ``flood`` sends an update to all peers except the one named."""
 
     def __init__(self, flood: Flood, kernel: Kernel) -> None:
         self._flood = flood
@@ -38,26 +39,26 @@
         self._listeners: list[Callable[[], None]] = []
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Call ``listener`` after each change."""
+        """Register ``listener`` to be called after each change."""
         self._listeners.append(listener)
 
     def get(self, service: str) -> Rollout | None:
-        """Return the rollout of ``service``, ended ones and ones taken away included."""
+        """Return the rollout of ``service``, also if it has ended or was withdrawn."""
         return self._known.get(service)
 
     def all(self) -> list[Rollout]:
-        """Return all rollouts, by service."""
+        """Return all rollouts, ordered by service."""
         return [self._known[service] for service in sorted(self._known)]
 
     def running(self, service: str) -> Order | None:
-        """Return the order of ``service`` that is neither taken away nor ended."""
+        """Return the order of ``service`` if it was not withdrawn and has not ended."""
         rollout = self._known.get(service)
         if rollout is None or rollout.gone or rollout.current.ended:
             return None
         return rollout.order
 
     def unwritten(self) -> list[Rollout]:
-        """Return the rollouts that have ended, and whose status in the store does not say so."""
+        """Return the rollouts that have ended, but whose status in the store does not say so."""
         return [
             rollout
             for rollout in self.all()
@@ -65,7 +66,7 @@
         ]
 
     def takes_work(self, service: str, software_version: str) -> bool:
-        """Say whether replicas of ``software_version`` may get new calls of ``service`` at all."""
+        """Return True if replicas of ``software_version`` may receive new calls of ``service``."""
         rollout = self._known.get(service)
         if rollout is None:
             return True
@@ -78,14 +79,14 @@
         return not self._replaces(rollout)
 
     def _replaces(self, rollout: Rollout) -> bool:
-        """Say whether the replicas of versions that ``rollout`` does not name are being stopped."""
+        """Return True if the platform is stopping the replicas of all other versions."""
         if rollout.gone or rollout.current is not State.SUCCEEDED:
             return False
         since = self._succeeded_at.get(rollout.order.service, -math.inf)
         return self._kernel.clock.monotonic() < since + REPLACED_SECONDS
 
     def tick(self) -> None:
-        """Tell the listeners where versions take work again because time has passed."""
+        """Notify the listeners if other versions may receive calls again by the passage of time."""
         due = self._kernel.clock.monotonic() - REPLACED_SECONDS
         passed = [service for service, at in self._succeeded_at.items() if at <= due]
         for service in passed:
@@ -98,9 +99,10 @@
             listener()
 
     def listed(self, listing: Listing) -> None:
-        """Take in a listing of the store; a rollout that it lacks was taken away.
+        """Apply a listing of the store; a rollout that it lacks was withdrawn.
 
-        One that is not settled yet may lack orders that the operator writes again.
+        A listing that is not settled yet may lack orders that the operator will write again, so
+        nothing is withdrawn by it.
         """
         for stored in listing.objects:
             self.seen(WatchEvent(KIND, stored.name, stored.version, stored.value))
@@ -110,7 +112,7 @@
                 self._take([replace(rollout, gone=True, stored=listing.version)], "")
 
     def seen(self, event: WatchEvent) -> None:
-        """Take in a watch event of the store."""
+        """Apply a watch event of the store."""
         known = self._known.get(event.name)
         if event.value is None:
             if known is not None:
@@ -124,15 +126,15 @@
         self._take([rollout], "")
 
     def received(self, node: str, update: RolloutUpdate) -> None:
-        """Take in records of the peer ``node``."""
+        """Merge the records that the peer ``node`` has sent."""
         self._take([_from_record(record) for record in update.rollouts], node)
 
     def update(self) -> RolloutUpdate:
-        """Return all records, for a peer that connects."""
+        """Return all records, for a peer that has connected."""
         return RolloutUpdate([_to_record(rollout) for rollout in self.all()])
 
     def decide(self, order: Order, state: State) -> None:
-        """Note that ``order`` stands at ``state``, as the ledger has it."""
+        """Record that ``order`` has ``state`` according to the ledger."""
         known = self._known.get(order.service)
         if known is None or known.order != order:
             return
@@ -140,7 +142,7 @@
         self._take([decided], "")
 
     def status_stored(self, order: Order, state: State, version: int) -> None:
-        """Note that the status of ``order`` says ``state`` from ``version`` of its object on."""
+        """Record that the status of ``order`` is ``state`` as of ``version`` of its object."""
         known = self._known.get(order.service)
         if known is None or known.order != order or version <= known.stored:
             return
--- a/railsail/rollouts/canaries.py
+++ b/railsail/rollouts/canaries.py
@@ -1,7 +1,8 @@
 """Which replicas of the target version are its canaries.
 
-A failure domain may be slow or lose messages. Canaries that were all in it would speak against a
-good version, whose baseline is spread over the domains; and they would all be lost with it.
+Canaries are spread over the failure domains. A failure domain may be slow or lose messages. If all
+canaries were in it, a good version would look bad beside a baseline that covers all domains, and
+the loss of the domain would take all canaries.
 """
 
 from collections import Counter
@@ -9,7 +10,10 @@
 
 
 def over_domains(ranked: Iterable[str], domains: Mapping[str, str]) -> list[str]:
-    """Return the replicas ``ranked`` so that the first ones are in as many domains as can be."""
+    """Return ``ranked`` reordered so that its first replicas cover as many domains as possible.
+
+    Within a domain the ranking stays. ``domains`` maps each replica to its failure domain.
+    """
     before: Counter[str] = Counter()
     turns: dict[str, int] = {}
     for name in ranked:
--- a/railsail/rollouts/coordination.py
+++ b/railsail/rollouts/coordination.py
@@ -1,7 +1,7 @@
-"""One node's part in the coordination of one rollout: to lead it, or to stand by.
+"""One node's part in the coordination of one rollout: as its leader or on standby.
 
-The holder of the ledger leads. The others read the ledger now and then, and the one that is ranked
-first takes over where it has not changed for a while, the next ones a little later.
+The holder of the ledger leads. The other candidates poll the ledger. If it has not changed for the
+length of a lease, the candidate ranked first takes over, and the next ones follow a little later.
 """
 
 import asyncio
@@ -27,26 +27,26 @@
 
 TICK_SECONDS = 0.1
 TICK_SECONDS_IN_SHIFT = 0.05
-# The ledger is written more often while the target gets all calls, which are then reserved soon
-# before they come.
+# The leader writes the ledger at this interval, and more often while the target receives all calls,
+# because these are reserved shortly before they arrive.
 RENEW_SECONDS = 0.8
 RENEW_SECONDS_IN_SHIFT = 0.4
-# The next candidate follows so much later, the one after it twice as late.
+# The candidates' attempts to take over are staggered by this time, in the order of their rank.
 STEP_SECONDS = 0.4
-# The first candidates read the ledger so often, each later one a little more seldom; reads are
-# priced. The rest of the fleet leaves it to them, and looks now and then.
+# The first candidates poll the ledger, each one at a slightly longer interval than the one ranked
+# before it. All other nodes read it only rarely, because reads of the store are billed.
 CANDIDATES = 6
 POLL_SECONDS = 1.0
 POLL_STEP_SECONDS = 0.5
 REST_SECONDS = 30.0
-# To look at the members costs no call.
+# The interval at which a node checks whether it may coordinate, which takes no store call.
 LOOK_SECONDS = 1.0
 FIRST_PAUSE_SECONDS = 0.1
 MOST_PAUSE_SECONDS = 0.5
 
 
 class Coordination:
-    """Lead the rollout of ``service`` or stand by, until the order that runs now runs no more."""
+    """Lead the rollout of a service or stand by, until its present order no longer runs."""
 
     def __init__(
         self,
@@ -69,29 +69,29 @@
         self._ledger = Ledger(store, order.service, kernel.clock.monotonic)
         self._backoff = Backoff(kernel.rng, FIRST_PAUSE_SECONDS, MOST_PAUSE_SECONDS)
         self._wake = asyncio.Event()
-        # Whether this node has written that the order runs.
+        # Whether this node has written the running status of the order.
         self._began_here = False
         self._ticking: asyncio.Task | None = None
-        # When this node, as none of the first candidates, reads the ledger.
+        # When this node next reads the ledger if it is not one of the first candidates.
         self._rests_until = kernel.clock.monotonic() + REST_SECONDS
 
     @property
     def holder(self) -> str:
-        """Return the node that leads, as far as the ledger was read here."""
+        """Return the node that leads according to the ledger as last read, or an empty string."""
         entry = self._ledger.entry
         return entry.holder if entry is not None else ""
 
     def wake(self) -> None:
-        """Look again at once."""
+        """Make the next step at once."""
         self._wake.set()
 
     def received(self, node: str, evidence: RolloutEvidence) -> None:
-        """Take in ``evidence`` of the dispatcher at ``node``."""
+        """Record ``evidence`` of the dispatcher at ``node`` if this node leads."""
         if self.tenure is not None:
             self.tenure.received(node, evidence)
 
     async def run(self) -> None:
-        """Lead or stand by until the order ends, or another takes its place."""
+        """Lead or stand by until the order has ended or was replaced."""
         try:
             while self._still_ordered():
                 await self._sleep(await self._try_step())
@@ -106,7 +106,7 @@
             await asyncio.sleep(TICK_SECONDS_IN_SHIFT if shifts else TICK_SECONDS)
 
     def tick(self) -> None:
-        """Do what needs no store: judge, plan and allow calls."""
+        """Do what needs no store call: judge the version, plan, and send allowances."""
         tenure = self.tenure
         if tenure is None or not self._still_ordered():
             return
@@ -114,8 +114,8 @@
         try:
             tenure.tick()
         except Exception:
-            # The store's part goes on: without it another one would take over, and fail alike.
-            get_logger().exception("rollout not planned", service=self.order.service)
+            # The ledger is still written: otherwise another node would take over and fail alike.
+            get_logger().exception("rollout planning failed", service=self.order.service)
         if tenure.writes_now():
             self.wake()
 
@@ -142,13 +142,13 @@
             return FIRST_PAUSE_SECONDS
         except StoreUnavailable as problem:
             reason = str(problem)
-            get_logger().info("rollout not written", service=self.order.service, reason=reason)
+            get_logger().info("rollout step failed", service=self.order.service, reason=reason)
             return self._backoff.pause()
         self._backoff.reset()
         return pause
 
     async def step(self) -> float:
-        """Make the store calls that are due, and return after how many seconds to look again."""
+        """Make the store calls that are due, and return the seconds until the next step."""
         if self.tenure is None:
             place = self._place()
             return LOOK_SECONDS if place is None else await self._stand_by(place)
@@ -158,7 +158,7 @@
         return await self._lead() if self.tenure is not None else FIRST_PAUSE_SECONDS
 
     def _place(self) -> int | None:
-        """Return this node's place among the candidates, ``None`` where it leaves it to others."""
+        """Return this node's rank among the candidates, ``None`` if it need not read the ledger."""
         ranked = ranked_candidates(self._fleet, self.order.service)
         if self._fleet.own not in ranked:
             return None
@@ -172,14 +172,14 @@
         return place
 
     def _note_read(self) -> None:
-        """Step back where another node holds the ledger."""
+        """Step down if another node has taken over according to the ledger that was just read."""
         tenure, entry = self.tenure, self._ledger.entry
         if tenure is None:
             return
         if not self._may_lead() or (entry is not None and _is_later(entry, tenure.entry)):
             self._step_back()
         elif entry is not None and _is_own(entry, tenure.entry):
-            # A write that was not answered may have taken effect.
+            # A write without an answer may have taken effect.
             tenure.stored(entry, self._ledger.changed_at - LEASE_SECONDS)
 
     def _step_back(self) -> None:
@@ -190,17 +190,18 @@
         return self._fleet.own in self._fleet.candidates()
 
     def _is_new(self, entry: Entry | None) -> bool:
-        """Say whether the order came after that of ``entry``.
+        """Return True if this order was given after the order of ``entry``.
 
-        A node that starts may know the same order by a later version. The status of an order is
-        written before any call is reserved for it, so that an order which has none is a new one.
+        A node that has just started may know the same order by a later version than the entry's.
+        The status of an order is written before any call is reserved for it, so an order without a
+        status is new.
         """
         if entry is None or not entry.same_order(self.order):
             return True
         return entry.order < self.order.version and not self._begun()
 
     def _begun(self) -> bool:
-        """Say whether the operator's object tells that the order runs."""
+        """Return True if the operator's object has a status of this order."""
         rollout = self._book.get(self.order.service)
         return rollout is not None and rollout.written is not State.NONE
 
@@ -210,7 +211,7 @@
         if entry is not None and entry.state.ended and not self._is_new(entry):
             return await self._heard_end(entry)
         if entry is not None and entry.order > self.order.version and self._is_new(entry):
-            # The ledger is about an order that is not known here yet.
+            # The ledger is about an order that this node has not received yet.
             return POLL_SECONDS
         left = self._patience(entry) + place * STEP_SECONDS - self._ledger.age
         if left <= 0:
@@ -218,7 +219,7 @@
         return min(left, POLL_SECONDS + place * POLL_STEP_SECONDS)
 
     def _patience(self, entry: Entry | None) -> float:
-        """Return for how long the ledger must stand still before it is taken over."""
+        """Return for how many seconds the ledger must be unchanged before a takeover."""
         if entry is None or entry.holder == self._fleet.own or self._is_new(entry):
             return 0.0
         return LEASE_SECONDS
@@ -251,7 +252,7 @@
         if self._lacks_status():
             self._began_here = await self._status.write(self.order, State.RUNNING)
             if not self._began_here:
-                # The store has another order, of which the book hears in a moment.
+                # The store has another order, which this node will receive in a moment.
                 return POLL_SECONDS
         began = self._kernel.clock.monotonic()
         await self._ledger.write(tenure.next_entry())
@@ -262,10 +263,10 @@
         return RENEW_SECONDS_IN_SHIFT if tenure.stage >= Stage.SHIFT else RENEW_SECONDS
 
     def _lacks_status(self) -> bool:
-        """Say whether it is to be written that the order runs, for the first time or again.
+        """Return True if the running status has to be written, for the first time or again.
 
-        A store that came back from a copy may have lost it. Where the status of an earlier order
-        said the same, it was written and nothing changed.
+        A store that was restored from a copy may have lost it. If an earlier order has left the
+        same status, writing it does not change the object, and it is not written again.
         """
         rollout = self._book.get(self.order.service)
         if rollout is None or rollout.written is not State.NONE:
@@ -273,14 +274,14 @@
         return not self._began_here or rollout.stored > self.order.version
 
     async def _carry_out(self, entry: Entry) -> None:
-        """Do what the ledger says was decided; the order then runs no more."""
+        """Apply the decision in the ledger, which ends the order."""
         labels = {"service": self.order.service, "state": entry.state.name.lower()}
         self._kernel.metrics.rollout_ends.inc(labels)
         self._book.decide(self.order, entry.state)
         await self._status.write(self.order, entry.state)
 
     async def _heard_end(self, entry: Entry) -> float:
-        """Tell what another holder decided, and write it where that one does not."""
+        """Apply the decision of another holder, and write the status if that node does not."""
         self._book.decide(self.order, entry.state)
         left = self._patience(entry) - self._ledger.age
         if left > 0:
@@ -312,7 +313,10 @@
 
 
 def _is_later(entry: Entry, own: Entry) -> bool:
-    """Say whether another holder wrote ``entry`` after ``own``; a restored one is earlier."""
+    """Return True if another holder wrote ``entry`` after ``own``.
+
+    An entry of a store that was restored from a copy is earlier.
+    """
     if entry.holder == own.holder and entry.term == own.term:
         return False
     return entry.term >= own.term
--- a/railsail/rollouts/coordinator.py
+++ b/railsail/rollouts/coordinator.py
@@ -1,4 +1,4 @@
-"""All rollouts that this node leads or stands by for."""
+"""The coordination of all rollouts at this node, as their leader or on standby."""
 
 import asyncio
 import contextlib
@@ -17,14 +17,14 @@
 from railsail.store.base import Store
 
 LOOK_SECONDS = 1.0
-# An end that the store's object does not tell is written by one of so many nodes. The coordinator
-# writes it at once; each of the others waits so much longer.
+# If the status in the store lacks the end of a rollout, one of this many nodes writes it. The
+# rollout's coordinator writes it at once, and the others are staggered by this time.
 WRITERS = 3
 WRITER_STEP_SECONDS = 0.7
 
 
 class Coordinator:
-    """Start a coordination for each order that runs, and write ends that the store lacks."""
+    """Start a coordination for each running order, and write the ends that the store lacks."""
 
     def __init__(
         self,
@@ -47,19 +47,19 @@
         book.on_change(self.wake)
 
     def wake(self) -> None:
-        """Look at all rollouts again at once."""
+        """Check all rollouts again at once."""
         self._changed.set()
         for coordination in self._coordinations.values():
             coordination.wake()
 
     def received(self, node: str, evidence: RolloutEvidence) -> None:
-        """Take in ``evidence`` of the dispatcher at ``node``."""
+        """Pass ``evidence`` of the dispatcher at ``node`` to the coordination of its service."""
         coordination = self._coordinations.get(evidence.service)
         if coordination is not None:
             coordination.received(node, evidence)
 
     def coordination(self, service: str) -> Coordination | None:
-        """Return the coordination of the order of ``service`` that runs."""
+        """Return the coordination of the running order of ``service``, if there is one."""
         return self._coordinations.get(service)
 
     async def run(self) -> None:
@@ -68,13 +68,14 @@
             self._changed.clear()
             self._book.tick()
             self._look()
-            # Another way to wait would lose a cancellation that comes with the event.
+            # A cancellation that arrives together with the event must not be lost, as it would be
+            # by other ways to wait.
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(LOOK_SECONDS):
                     await self._changed.wait()
 
     def stop(self) -> None:
-        """Coordinate nothing any more."""
+        """Cancel all coordination, and start none from now on."""
         self._stopped = True
         self._tasks.cancel()
 
@@ -99,14 +100,14 @@
         try:
             await coordination.run()
         except Exception:
-            get_logger().exception("coordination failed and begins anew", service=service)
+            get_logger().exception("rollout coordination failed; restarting it", service=service)
             await asyncio.sleep(LOOK_SECONDS)
         finally:
             del self._coordinations[service]
             self._changed.set()
 
     async def _write(self, rollout: Rollout) -> None:
-        """Write the end of ``rollout``, if this is one of the few nodes that do so."""
+        """Write the end of ``rollout`` to the store if this node is one of those that do so."""
         order = rollout.order
         try:
             ranked = ranked_candidates(self._fleet, order.service)
--- a/railsail/rollouts/evidence.py
+++ b/railsail/rollouts/evidence.py
@@ -1,27 +1,27 @@
-"""What became of the calls that each software version of a service was sent.
+"""Evidence about the software versions of a service: how the calls that they received ended.
 
-Evidence is kept by route, because a version may be bad on one route only, and the replicas of the
-target version are also told apart, because one sick replica makes no version bad.
+Evidence is kept by route, because a version may be bad on a single route. For the target version it
+is also kept by replica, because one faulty replica does not make the version bad.
 """
 
 import math
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-# Times are counted in classes whose bounds rise by a factor of the square root of two, from one
-# millisecond on; the last class has no upper bound.
+# Times are counted in a histogram. Its bucket bounds start at one millisecond and grow by a factor
+# of the square root of two; the last bucket has no upper bound.
 CLASSES = 32
 CLASSES_PER_OCTAVE = 2
 
 
 def time_class(seconds: float) -> int:
-    """Return the class of a time."""
+    """Return the number of the bucket that a time in seconds falls into."""
     milliseconds = max(1.0, seconds * 1000)
     return min(CLASSES - 1, int(CLASSES_PER_OCTAVE * math.log2(milliseconds)))
 
 
 def median_class(counts: Sequence[float]) -> float:
-    """Return the class of the median, and as its fraction where in that class the median lies."""
+    """Return the bucket of the median; the fraction is the median's position in that bucket."""
     half = sum(counts) / 2
     passed = 0.0
     for number, count in enumerate(counts):
@@ -32,7 +32,7 @@
 
 
 def class_end(number: float) -> float:
-    """Return the upper bound in seconds of the class that ``number`` lies in."""
+    """Return the upper bound, in seconds, of the bucket that ``number`` lies in."""
     return 2 ** (math.ceil(number) / CLASSES_PER_OCTAVE) / 1000
 
 
@@ -42,9 +42,10 @@
 
 @dataclass
 class Tally:
-    """Answers of one route on one version: how many, how many failed, and how long they took.
+    """Answers on one route by one version: how many, how many failed, and how long they took.
 
-    ``first`` and ``whole`` count the good ones by their times to the first byte and to the end.
+    ``first`` and ``whole`` are histograms of the good answers' times to the first byte and to the
+    end.
     """
 
     answers: int = 0
@@ -53,7 +54,7 @@
     whole: list[int] = field(default_factory=_no_times)
 
     def add(self, failed: bool, first_seconds: float, whole_seconds: float) -> None:
-        """Count one answer; times of a failed one are not counted."""
+        """Count one answer; the times of a failed answer are not counted."""
         self.answers += 1
         if failed:
             self.failed += 1
@@ -78,7 +79,11 @@
 
 @dataclass(frozen=True)
 class RouteEvidence:
-    """The tallies of one route: of the versions that run already, and of each target replica."""
+    """The tallies of one route.
+
+    ``baseline`` is the tally of the versions already in use, and ``target`` has one tally for each
+    replica of the target version.
+    """
 
     route: int
     baseline: Tally
--- a/railsail/rollouts/fleet.py
+++ b/railsail/rollouts/fleet.py
@@ -1,4 +1,4 @@
-"""What the coordination of rollouts sees of the fleet."""
+"""The view of the fleet that the coordination of rollouts uses."""
 
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class Replica:
-    """A replica that may get new calls; ``cell`` is the number of its cell."""
+    """A replica that may receive new calls; ``cell`` is the number of its cell."""
 
     name: str
     cell: int
@@ -25,21 +25,21 @@
 
 
 class Fleet:
-    """Answer from the parts of ``node``."""
+    """The fleet as the parts of ``node`` know it."""
 
     def __init__(self, node: "Node") -> None:
         self._node = node
 
     @property
     def own(self) -> str:
-        """Return this node."""
+        """Return the id of this node."""
         return self._node.settings.node_id
 
     def candidates(self) -> list[str]:
-        """Return the nodes that may coordinate; none where this node is not fit to.
+        """Return the nodes that may coordinate, none if this node may not.
 
-        One that is about to stop hands over, and one that is cut off from its peers reaches no
-        dispatchers, though the store may still answer it.
+        A node that is about to stop leaves coordination to others. A node that is cut off from its
+        peers reaches no dispatchers, although it may still reach the store.
         """
         membership = self._node.membership
         if self._node.lifecycle.state is not State.READY:
@@ -49,12 +49,12 @@
         return self._node.view.usable()
 
     def dispatchers(self, service: str) -> dict[int, str]:
-        """Return the dispatcher of each cell of ``service``."""
+        """Return the node that dispatches each cell of ``service``, by cell number."""
         cells = self._node.cells
         return {cell.number: cells.dispatcher(cell) for cell in cells.cells(service)}
 
     def replicas(self, service: str) -> list[Replica]:
-        """Return the replicas of ``service`` that may get new calls."""
+        """Return the replicas of ``service`` that may receive new calls."""
         cells = self._node.cells.cells(service)
         found = [self._replica(cell, name) for cell, names in cells.items() for name in names]
         return [replica for replica in found if replica is not None]
@@ -75,19 +75,19 @@
         )
 
     def _cold_after_evacuation(self, service: str) -> float:
-        """Return for how many seconds replicas are cold whose failure domain was taken back."""
+        """Return for how many seconds a replica is cold after its domain's evacuation has ended."""
         pool = self._node.carrier.catalog.pool(service)
         return pool.cold_seconds if pool is not None and pool.warmup_rate else 0.0
 
     def send(self, node: str, message: Message) -> bool:
-        """Queue ``message`` for ``node``, and return whether there is a link."""
+        """Queue ``message`` for ``node``; return True if there is a link to the node."""
         return self._node.hub.send(node, message)
 
     def start_id(self, node: str) -> int:
-        """Return what tells the process of ``node`` from earlier ones, 0 where it is not known."""
+        """Return the start id of the process at ``node``, 0 if it is not known."""
         return self._node.hub.start_id(node)
 
 
 def ranked_candidates(fleet: Fleet, service: str) -> list[str]:
-    """Return the candidates for the rollout of ``service``, in an order that all nodes agree on."""
+    """Return the candidates for the rollout of ``service``, in the same order on all nodes."""
     return rank(f"rollout of {service}", fleet.candidates())
--- a/railsail/rollouts/gathering.py
+++ b/railsail/rollouts/gathering.py
@@ -1,4 +1,4 @@
-"""The evidence that the coordinator of a rollout has heard in its term."""
+"""The evidence that the coordinator of a rollout has received in its term."""
 
 from collections import defaultdict, deque
 from collections.abc import Iterable, Mapping
@@ -8,19 +8,20 @@
 from railsail.peers.records import TallyRecord
 from railsail.rollouts.evidence import RouteEvidence, Tally
 
-# Dispatchers tell four times a second; one that told nothing for so long is not heard.
+# Dispatchers send evidence four times a second. One that has sent none for this long is silent.
 HEARD_SECONDS = 1.0
-# The fingerprint of calls whose route is not known.
+# The route fingerprint of calls whose route is not known.
 UNKNOWN_ROUTE = 0
-# The rate of calls is that of the last seconds.
+# The period over which the arrival rate is measured.
 RATE_SECONDS = 3.0
 
 
 @dataclass(frozen=True)
 class Source:
-    """A dispatcher of a cell, as it follows the order of one ``version``.
+    """A dispatcher of a cell that follows the order of one ``version``.
 
-    ``start`` tells it from others of the same node and cell, and ``process`` its process.
+    ``start`` identifies the series of counts that it sends, and ``process`` is the start id of its
+    node's process.
     """
 
     cell: int
@@ -32,7 +33,7 @@
 
 @dataclass
 class _Heard:
-    """The first and the newest evidence of a source."""
+    """The first and the newest evidence of a source; the newest was received at ``at``."""
 
     first: RolloutEvidence
     newest: RolloutEvidence
@@ -44,14 +45,17 @@
 
 
 class Gathering:
-    """Hold the newest sums of each dispatcher; times are seconds of the monotonic clock."""
+    """The newest evidence of each dispatcher; times are seconds of the monotonic clock."""
 
     def __init__(self) -> None:
         self._heard: dict[Source, _Heard] = {}
         self._samples: deque[tuple[float, int]] = deque()
 
     def received(self, node: str, process: int, evidence: RolloutEvidence, now: float) -> None:
-        """Take in ``evidence`` of the dispatcher in the ``process`` at ``node``."""
+        """Record ``evidence`` of the dispatcher at ``node``, whose process has the given start id.
+
+        Evidence that newer evidence has overtaken on the way is ignored.
+        """
         source = Source(evidence.cell, node, evidence.start, evidence.version, process)
         known = self._heard.get(source)
         if known is None:
@@ -67,40 +71,40 @@
             self._samples.popleft()
 
     def lately(self, now: float) -> list[Source]:
-        """Return the dispatchers that were heard lately, those heard first to the front."""
+        """Return the dispatchers that recently sent evidence, the most recent last."""
         found = [s for s, heard in self._heard.items() if heard.at > now - HEARD_SECONDS]
         return sorted(found, key=lambda source: self._heard[source].at)
 
     def arrivals_of(self, source: Source) -> int:
-        """Return how many calls ``source`` granted since it was first heard."""
+        """Return how many calls ``source`` has granted since its first evidence."""
         return self._heard[source].arrivals
 
     def exposed_of(self, source: Source, term: int) -> int:
-        """Return how many calls ``source`` sent to the target version in ``term``."""
+        """Return how many calls ``source`` has sent to the target version in ``term``."""
         newest = self._heard[source].newest
         return newest.exposed if newest.term == term else 0
 
     @property
     def arrivals(self) -> int:
-        """Return how many calls have arrived since the dispatchers were first heard, at least."""
+        """Return how many calls have arrived since each dispatcher's first evidence, at least."""
         return sum(heard.arrivals for heard in self._heard.values())
 
     def rate(self, now: float) -> float:
-        """Return how many calls a second arrived lately."""
+        """Return the recent arrival rate in calls per second."""
         if not self._samples:
             return 0.0
         since, before = self._samples[0]
         return (self.arrivals - before) / (now - since) if now > since else 0.0
 
     def running(self, sources: Iterable[Source]) -> int:
-        """Return how many calls run on other versions, as ``sources`` told."""
+        """Return how many calls are in flight on other versions, as reported by ``sources``."""
         return sum(self._heard[source].newest.running for source in sources)
 
     def routes(self, target_version: str) -> list[RouteEvidence]:
-        """Return the sums of all dispatchers by route.
+        """Return the evidence of all dispatchers added up by route.
 
-        Calls that were placed before the order have no known route. Where none of these went to the
-        target they tell nothing of it, and there will be none to compare them with.
+        Calls granted before the order have no known route. They are left out unless the target has
+        such calls, too: otherwise it would never have answers to compare with them.
         """
         baseline: dict[int, Tally] = defaultdict(Tally)
         target: dict[int, dict[str, Tally]] = defaultdict(dict)
--- a/railsail/rollouts/ledger.py
+++ b/railsail/rollouts/ledger.py
@@ -1,7 +1,8 @@
-"""The ledger of a rollout: who coordinates it, what may have been spent, and what was decided.
+"""The ledger of a rollout: who coordinates it, the calls reserved, and what was decided.
 
-It is one object of the store for each service, which its holder changes by conditional writes
-alone. Each write changes ``beat``, so that the others see that the holder lives.
+The store has one ledger object for each service. Its holder, the rollout's coordinator, changes it
+by conditional writes only. Each write increments ``beat``, so that other nodes see that the holder
+is alive.
 """
 
 from collections.abc import Callable
@@ -21,12 +22,14 @@
 
 
 class Entry(msgspec.Struct, frozen=True):
-    """The value of the object.
-
-    ``holder`` coordinates in ``term``, which rises with each holder. ``order`` is the version of
-    the order, which was first ``seen`` and has its deadline at ``ends``, both in milliseconds since
-    the Unix epoch. ``reserved`` calls at most went to the target version, of ``arrivals`` calls at
-    least. ``state`` is what was decided, and ``reason`` the figures that decided it.
+    """The value of the ledger object.
+
+    ``holder`` is the node that coordinates in ``term``; the term increases with each takeover.
+    ``beat`` increases with each write. ``order`` is the version of the order. A coordinator first
+    read the order at ``seen``, and its deadline is ``ends``, both in milliseconds since the Unix
+    epoch; ``duration`` is in milliseconds. At most ``reserved`` calls went to the target version,
+    of at least ``arrivals`` calls of the service. ``state`` is the decision, and ``reason`` gives
+    the figures behind it.
     """
 
     holder: str
@@ -44,7 +47,7 @@
     reason: str = ""
 
     def same_order(self, order: Order) -> bool:
-        """Say whether the entry is about ``order`` or one like it."""
+        """Return True if the entry is about ``order`` or an order that requests the same."""
         return (self.target_version, self.duration) == _terms(order)
 
 
@@ -53,7 +56,11 @@
 
 
 def taken(entry: Entry | None, order: Order, holder: str, wall: float, new: bool) -> Entry:
-    """Return the entry with which ``holder`` takes over; a ``new`` order begins at ``wall``."""
+    """Return the entry with which ``holder`` takes over from ``entry``.
+
+    ``new`` is True if ``entry`` is not about ``order``. The order then starts at ``wall``, in
+    seconds since the Unix epoch, with nothing reserved.
+    """
     term = entry.term + 1 if entry is not None else 1
     beat = entry.beat + 1 if entry is not None else 1
     if entry is not None and not new:
@@ -65,10 +72,11 @@
 
 
 class Ledger:
-    """Read and write the ledger of one service, each call once.
+    """Read and write the ledger of one service; nothing is retried.
 
-    After ``StoreUnavailable`` a write may take effect later, until the object has another version:
-    ``unsure`` says so, and it is read before anything else is done. ``monotonic`` tells seconds.
+    A write that raised ``StoreUnavailable`` may still take effect until the version of the object
+    changes. ``unsure`` is then True, and the ledger has to be read before anything else is done.
+    ``monotonic`` returns the time in seconds.
     """
 
     def __init__(self, store: Store, service: str, monotonic: Callable[[], float]) -> None:
@@ -78,16 +86,16 @@
         self._version = 0
         self.entry: Entry | None = None
         self.unsure = True
-        # When this node first saw the present version.
+        # When this node first read the current version of the object, or wrote it.
         self.changed_at = monotonic()
 
     @property
     def age(self) -> float:
-        """Return for how many seconds the entry has not changed, as seen here."""
+        """Return the seconds since this node last saw the entry change."""
         return self._monotonic() - self.changed_at
 
     async def read(self) -> None:
-        """Read the entry; raise what the store raises."""
+        """Read the entry; errors of the store propagate."""
         stored = await self._store.get(KIND, self._service)
         self.unsure = False
         if stored is None:
@@ -96,7 +104,10 @@
             self._note(stored.version, _read(stored))
 
     async def write(self, entry: Entry) -> None:
-        """Write ``entry`` over the one that was read last; raise what the store raises."""
+        """Replace the entry that was last read or written; errors of the store propagate.
+
+        Raise ``StoreConflict`` if another node has changed the object since.
+        """
         self.unsure = True
         value = msgspec.to_builtins(entry)
         version = await self._store.put(KIND, self._service, value, self._version)
--- a/railsail/rollouts/load.py
+++ b/railsail/rollouts/load.py
@@ -1,8 +1,8 @@
-"""Whether replicas of the target version have room for all calls of a service.
+"""Whether the replicas of the target version have capacity for all calls of a service.
 
-While the target takes calls over, those that run on other versions become fewer, and tell no more
-what the target must have room for. So the calls that ran when the shift began are followed by how
-many come a second: by Little's law, as many more or fewer run at once.
+While the target takes over calls, fewer are in flight on other versions, and their number no longer
+shows how much capacity the target needs. So the number in flight at the start of the shift is
+scaled with the arrival rate: by Little's law the two are proportional.
 """
 
 import math
@@ -11,13 +11,16 @@
 
 from railsail.rollouts.fleet import Replica
 
-# Before the shift, the target must have this much more room than the calls that run.
+# Before the shift, the target's slots must exceed the calls in flight by this factor.
 ROOM_MARGIN = 1.1
 
 
 @dataclass(frozen=True)
 class Load:
-    """The calls that ran on other versions when a shift began, at ``rate`` new ones a second."""
+    """The load at the start of a shift: calls in flight on other versions, and arrivals per second.
+
+    Both are 0 before the shift.
+    """
 
     running: int = 0
     rate: float = 0.0
@@ -25,11 +28,12 @@
     def fits(
         self, targets: Sequence[Replica], others: Sequence[Replica], running: int, rate: float
     ) -> bool:
-        """Say whether ``targets`` have room for all calls.
+        """Return True if ``targets`` have capacity for all calls.
 
-        ``running`` calls run on other versions now, and ``rate`` come a second. Replicas that tell
-        no slots take any. A target that is no smaller than the ``others`` always has room: what
-        they bear it bears as well, also while a flood fills them.
+        ``running`` calls are in flight on other versions now, and calls arrive at ``rate`` per
+        second. A replica that announces no slots takes any number of calls. If ``targets`` have at
+        least as many slots as ``others``, they have capacity even while a flood of calls fills the
+        others.
         """
         if any(replica.slots == 0 for replica in targets):
             return True
@@ -43,9 +47,10 @@
 
 
 def _most(others: Sequence[Replica]) -> float:
-    """Return how many calls ``others`` bear at once, infinite where that is not known.
+    """Return how many calls ``others`` can run at once, infinite if that is not known.
 
-    Cold ones bear little now, and soon all that their slots tell.
+    It is not known if one of them announces no slots or is cold: a cold replica can run few calls
+    now, but soon as many as it has slots.
     """
     known = all(replica.slots and replica.warm for replica in others)
     return sum(replica.slots for replica in others) if known else math.inf
--- a/railsail/rollouts/merging.py
+++ b/railsail/rollouts/merging.py
@@ -1,8 +1,8 @@
-"""How two records of a service's rollout are merged, alike at all nodes.
+"""How two records of a service's rollout are merged, with the same result on all nodes.
 
-The stored object changes with each write of its status, so that nodes may have read the same order
-first at different versions. They agree on the lowest of them. A status is about an order only if
-the object was written after the order was given: the first status of an order is ``running``, and
+Each write of the status changes the version of the stored object, so that nodes may first read the
+same order at different versions. They agree on the lowest of them. A status belongs to an order
+only if it was written after the order was given. The first status of an order is ``running``, and
 it is written before the order can end.
 """
 
@@ -11,12 +11,13 @@
 from railsail.rollouts.orders import Rollout, State
 from railsail.store.versions import era_of
 
-# Replicas of earlier versions are soon stopped; a message holds so many.
+# The number of dropped versions that a record in a message can hold. Older ones can be forgotten,
+# because replicas of earlier versions are soon stopped.
 MOST_DROPPED = 64
 
 
 def merge(known: Rollout | None, candidate: Rollout) -> Rollout:
-    """Return what holds, given both records."""
+    """Return the record that results from both."""
     if known is None:
         return candidate
     newer, older = _by_age(known, candidate)
@@ -35,10 +36,10 @@
 
 
 def _not_succeeded(older: Rollout, held: bool) -> frozenset[str]:
-    """Return the version of the order before, where it did not succeed.
+    """Return the target version of the ``older`` record if its rollout did not succeed.
 
-    An order that runs is replaced only where its record was ``held`` when the next order came: one
-    that comes later may be of before its end.
+    A running order counts as replaced without success only if its record was ``held`` when the next
+    order came. A record that arrives later may date from before the order's end.
     """
     replaced = held and older.current is not State.SUCCEEDED
     if replaced or older.current is State.ROLLED_BACK:
@@ -47,19 +48,22 @@
 
 
 def _without_proved(dropped: frozenset[str], merged: Rollout, in_use: str) -> frozenset[str]:
-    """Return the versions that get no calls, the latest of them."""
+    """Return ``dropped`` without the target of the order and the version in use, within limits."""
     proved = {merged.order.target_version, in_use}
     return frozenset(sorted(dropped - proved)[-MOST_DROPPED:])
 
 
 def _in_use(rollout: Rollout) -> tuple[int, str]:
-    """Return the version that succeeded last, as ``rollout`` tells, after that of its order."""
+    """Return the version that succeeded last according to ``rollout``, with its order's version.
+
+    The order's version comes first, so that the greatest pair is the latest success.
+    """
     known = (rollout.in_use_order, rollout.in_use)
     if rollout.state is not State.SUCCEEDED:
         return known
     version = rollout.order.version
     if rollout.current is State.NONE:
-        # The status is left from an order before this one.
+        # The state is left over from an order before this one.
         version -= 1
     return max(known, (version, rollout.decided_version))
 
@@ -71,23 +75,25 @@
 
 
 def _age(rollout: Rollout) -> tuple[int, bool, int, State, State]:
-    # Nodes that read different orders before an object went must agree on one.
+    # The order's version is compared, too: nodes that read different orders before the object was
+    # deleted must agree on one.
     version = rollout.order.version
     return (rollout.stored, rollout.gone, version, rollout.written, rollout.state)
 
 
 def _same_order(newer: Rollout, older: Rollout) -> bool:
-    """Say whether both are about one order, which may have been taken away meanwhile."""
+    """Return True if both are about the same order, which may since have been withdrawn."""
     if older.gone and not newer.gone:
         return False
     return newer.order.asks_same(older.order)
 
 
 def _furthest(newer: Rollout, older: Rollout) -> Rollout:
-    """Return ``newer`` with the state of the order that got further."""
+    """Return ``newer`` with the more advanced state of the two records of the same order."""
     written = newer.written
     if newer.stored == older.stored:
-        # Whoever has read the object both before and after the order knows whose status it is.
+        # A node that has read the object both before and after the order was given knows which
+        # order the status belongs to. If it is left over, that node's record has the lower state.
         written = min(newer.written, older.written)
     pairs = ((newer, older), (older, newer))
     trusted = [one for one, other in pairs if not _is_earlier(one, other, newer.order.version)]
@@ -96,10 +102,11 @@
 
 
 def _is_earlier(rollout: Rollout, other: Rollout, version: int) -> bool:
-    """Say whether the state of ``rollout`` is a status left from an order before it.
+    """Return True if the state of ``rollout`` is a status left over from an earlier order.
 
-    It may be where it was read together with the order, and ``other``, read then or later, has no
-    such status. A store that came back from a copy may have lost the status of this order.
+    That is so if the status was read together with the order, and ``other``, which was read at the
+    same time or later, does not have it. The exception is a store that was restored from a copy,
+    which may have lost the status of this order.
     """
     if rollout.current is not rollout.written or rollout.stored > version:
         return False
@@ -109,7 +116,7 @@
 
 
 def _without_earlier_state(newer: Rollout, older: Rollout) -> Rollout:
-    """Return ``newer``, whose status may still be that of an order before it.
+    """Return ``newer`` without a state that is left over from the ``older`` order.
 
     An operator who orders the same version again means a new rollout.
     """
--- a/railsail/rollouts/orders.py
+++ b/railsail/rollouts/orders.py
@@ -1,11 +1,11 @@
-"""What operators order, and how each rollout stands."""
+"""The rollouts that operators order, and the state of each."""
 
 import enum
 from dataclasses import dataclass
 
 
 class State(enum.IntEnum):
-    """How a rollout stands; nodes send these numbers. ``NONE`` is that of a new order."""
+    """The state of a rollout; nodes send the numbers. ``NONE`` is the state of a new order."""
 
     NONE = 0
     RUNNING = 1
@@ -14,16 +14,16 @@
 
     @property
     def ended(self) -> bool:
-        """Say whether the rollout has been decided."""
+        """Return True if the rollout has been decided."""
         return self in (State.SUCCEEDED, State.ROLLED_BACK)
 
 
 @dataclass(frozen=True)
 class Order:
-    """Move the traffic of ``service`` to the replicas of ``target_version``.
+    """An operator's order to move the traffic of ``service`` to replicas of ``target_version``.
 
-    It is to be decided ``duration`` seconds after it was given. ``version`` is that of the stored
-    object whose specification first held this order: it tells orders apart.
+    The rollout is to be decided ``duration`` seconds after the order was given. ``version`` is the
+    version of the stored object that first contained this order, and identifies the order.
     """
 
     service: str
@@ -32,21 +32,25 @@
     duration: float
 
     def asks_same(self, other: "Order") -> bool:
-        """Say whether ``other`` asks for the same, at whichever version it was read."""
+        """Return True if ``other`` requests the same, whichever version it was read at."""
         return (self.target_version, self.duration) == (other.target_version, other.duration)
 
 
 @dataclass(frozen=True)
 class Rollout:
-    """An order and how it stands; ``gone`` says that the operator took the order away.
-
-    ``state`` is about ``decided_version``, which is another than that of the order where the state
-    is left from an earlier order. ``stored`` is the version of the stored object that was read
-    last, which changes with the status too, and ``written`` the state of this order that its
-    status tells. ``dropped`` names versions whose rollouts did not succeed before this order: they
-    are not proved, and get no calls. ``in_use`` is the version that succeeded last, as far as it is
-    known, by the order of version ``in_use_order``: a node that missed that end must not take it
-    for one that did not succeed.
+    """An order and the state of its rollout.
+
+    ``gone`` is True once the operator has withdrawn the order. ``state`` refers to the software
+    version ``decided_version``, which is not the target of the order if the state is left over
+    from an earlier order.
+
+    ``stored`` is the version of the stored object that was last read; writing the status changes
+    it, too. ``written`` is the state of this order according to that object's status.
+
+    ``dropped`` holds the targets of earlier rollouts that did not succeed: they are unproven and
+    receive no calls. ``in_use`` is the software version that succeeded last, as far as is known,
+    under the order of version ``in_use_order``. Without it, a node that missed that success would
+    drop the version.
     """
 
     order: Order
@@ -61,7 +65,7 @@
 
     @property
     def current(self) -> State:
-        """Return the state of this order, ``NONE`` where the state is that of an earlier one."""
+        """Return the state of this order, ``NONE`` if ``state`` is that of an earlier order."""
         if self.decided_version != self.order.target_version:
             return State.NONE
         return self.state
--- a/railsail/rollouts/part.py
+++ b/railsail/rollouts/part.py
@@ -1,6 +1,6 @@
-"""The rollouts' part of a daemon.
+"""The part of a daemon for rollouts.
 
-It keeps the book of orders, coordinates those that run, and follows allowances in the cells that
+It keeps track of all orders, coordinates those that run, and applies allowances in the cells that
 this node dispatches.
 """
 
@@ -21,13 +21,14 @@
     from railsail.node import Node
 
 NAME = "rollouts"
-# Orders are rare. A watch is answered at once when there is one; one that has died unnoticed is
-# made good by those of other nodes.
+# The duration of one watch request on the store. It may be long: orders are rare, the store answers
+# a watch at once when there is one, and if a watch has died unnoticed, other nodes forward the
+# order.
 WATCH_SECONDS = 10.0
 
 
 class RolloutsPart:
-    """Follow the operator's rollouts and coordinate them, where the bounds on exposure are set."""
+    """Follow the operator's rollouts and coordinate them, if bounds on exposure are configured."""
 
     def __init__(self, node: "Node") -> None:
         settings = node.settings
@@ -58,7 +59,7 @@
             self._hub.send(peer.node, update)
 
     def rows(self) -> list[dict[str, object]]:
-        """Return all rollouts as this node knows them, for operators."""
+        """Return a report on each rollout as this node knows it, for operators."""
         return [row(rollout, self.coordinator) for rollout in self.book.all()]
 
     async def run(self) -> None:
@@ -69,7 +70,7 @@
         await asyncio.gather(self.coordinator.run(), self._dispatch.run())
 
     def stop(self) -> None:
-        """Coordinate nothing any more."""
+        """Stop coordinating rollouts and sending evidence."""
         self.coordinator.stop()
         if self._dispatch is not None:
             self._dispatch.stop()
@@ -77,5 +78,5 @@
 
 @PARTS.register(NAME)
 def build(node: "Node") -> RolloutsPart:
-    """Return the rollouts' part of ``node``."""
+    """Return the part of ``node`` for rollouts."""
     return RolloutsPart(node)
--- a/railsail/rollouts/plan.py
+++ b/railsail/rollouts/plan.py
@@ -1,9 +1,9 @@
-"""What is to be done next about a rollout.
+"""Which stage a rollout enters next, and when it ends.
 
-The traffic is moved as late as possible: what a bad version receives between order and deadline is
-bounded, so that all calls can go to the target only for the short time that is left of the bound.
-After the deadline nothing bounds them, and what still runs on other versions is waited for, since
-their replicas are stopped at once when the rollout succeeds.
+Traffic is shifted as late as possible. The calls that the target version may receive before the
+deadline are bounded, so that all calls can go to it only for the short time that the rest of the
+bound lasts. After the deadline they are not bounded. Calls in flight on other versions are then
+waited for, because the replicas of those versions are stopped as soon as the rollout succeeds.
 """
 
 from dataclasses import dataclass
@@ -13,35 +13,40 @@
 from railsail.rollouts.stages import Stage
 from railsail.rollouts.verdict import Verdict
 
-# An order is known here a little after the store took it, so that its deadline as counted here is
-# late already; clocks of nodes differ a little. So long after it calls are bounded still.
+# Calls stay bounded for this long after the deadline, because the clocks of nodes differ a little.
+# It can be short, since a node's deadline is already late: it reads an order after the store has
+# accepted it.
 FREE_AFTER_SECONDS = 0.1
-# Calls of a moment may be more than those of the last seconds. Where they are, the bounds still
-# hold: other versions get the rest again.
+# Allows for the arrival rate to rise above that of the last seconds. If it rises further, the
+# bounds still hold: other versions receive the rest.
 RATE_MARGIN = 1.05
-# A version may be bad under load only. Before other versions get no calls any more, the target has
-# had the load for so long; and for so long before the rollout succeeds.
+# A version may be bad only under load. The target version must have been under full load for the
+# first time before the other versions stop receiving calls, and for the second time before the
+# rollout succeeds.
 SHIFT_SECONDS = 0.2
 LOADED_SECONDS = 0.45
-# The shift begins at most so long before the deadline: the longer it lasts, the more calls end on
-# other versions by themselves, and the more a version that turns bad receives.
+# The shift starts at most this long before the deadline. In a longer shift more calls on other
+# versions end by themselves, but a version that turns bad receives more calls.
 MOST_SHIFT_SECONDS = 15.0
-# So many calls may be cut when the rollout succeeds at its deadline; callers go before the deadline
-# of a rollout, so that none are.
+# Calls on other versions that may be cut off when the rollout succeeds. None are: a rollout ends
+# late rather than fail the calls of callers.
 MOST_CUT_CALLS = 0
-# A stream may be without end; so long after the deadline it is not waited for any more.
+# Streams may never end, so calls in flight are not waited for longer than this after the deadline.
 MOST_DRAIN_SECONDS = 30.0
 
 
 @dataclass(frozen=True)
 class Situation:
-    """What is known of a rollout; times are in seconds of one clock.
+    """What the coordinator knows of a rollout; times are in seconds of one clock.
 
-    The deadline is at ``ends``. Calls of the service, ``arrivals`` of them so far, came at ``rate``
-    a second lately, and ``spent`` calls have gone to the target or may have. It has ``ready``
-    replicas, and ``room`` for all calls; ``others`` replicas of other versions may be given calls.
-    ``heard`` says that all dispatchers told lately what runs at them, which is ``running`` calls on
-    other versions. The target has had the load since ``loaded_at``, 0 where it has not.
+    ``ends`` is the deadline. The service has received ``arrivals`` calls so far, recently at
+    ``rate`` per second. At most ``spent`` calls have gone to the target version, which has
+    ``ready`` warm replicas; ``room`` is True if these have capacity for all calls. ``others`` is
+    the number of replicas of other versions that may receive calls.
+
+    ``heard`` is True if all dispatchers have recently reported their calls in flight on other
+    versions, ``running`` in total. The target version has been under full load since
+    ``loaded_at``, 0 before that.
     """
 
     now: float
@@ -61,7 +66,7 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """The stage that is next, and the state in which the rollout ends, ``NONE`` while it runs."""
+    """The next stage, and the state in which the rollout ends (``NONE`` while it runs)."""
 
     stage: Stage
     reason: str
@@ -69,7 +74,7 @@
 
 
 def plan(situation: Situation, bounds: ExposureBounds) -> Plan:
-    """Return what to do next."""
+    """Return the next stage of the rollout, with the reason for it."""
     if situation.verdict is Verdict.BAD:
         return Plan(Stage.HOLD, "the target version is bad", State.ROLLED_BACK)
     if situation.ready == 0:
@@ -82,7 +87,7 @@
 
 
 def full_seconds(situation: Situation, bounds: ExposureBounds) -> float:
-    """Return for how long all calls can go to the target within the bounds."""
+    """Return for how many seconds all calls can go to the target version within the bounds."""
     if situation.now >= _free_at(situation):
         return float("inf")
     left = bounds.shift_calls(situation.arrivals) - situation.spent
@@ -96,13 +101,13 @@
 
 
 def _lasts(situation: Situation, bounds: ExposureBounds) -> bool:
-    """Say whether the bounds last until nothing is bounded any more."""
+    """Return True if all calls can go to the target version until they are no longer bounded."""
     return full_seconds(situation, bounds) >= _free_at(situation) - situation.now
 
 
 def _before_shift(situation: Situation, bounds: ExposureBounds) -> Plan:
     if situation.others == 0 and situation.now >= _free_at(situation):
-        # Callers would find no replica at all, and nothing to compare with will come.
+        # Callers would find no replica, and there will be no baseline to compare with.
         return Plan(Stage.SHIFT, "no other version has a replica ready")
     if situation.verdict is not Verdict.GOOD:
         return Plan(Stage.CANARY, "the evidence decides nothing yet")
@@ -135,7 +140,7 @@
     if full_seconds(situation, bounds) <= 0:
         return Plan(Stage.SHIFT, "the bounds are used up")
     if not situation.room:
-        # A failure domain with replicas of the target may be evacuated or lost by now.
+        # A failure domain with replicas of the target may have been evacuated or lost since.
         return Plan(Stage.SHIFT, "the target version lacks room")
     if situation.verdict is not Verdict.GOOD:
         return Plan(Stage.DRAIN, "the evidence decides nothing under load")
--- a/railsail/rollouts/publishing.py
+++ b/railsail/rollouts/publishing.py
@@ -1,4 +1,4 @@
-"""How a rollout stands is written to the operator's object, on a condition."""
+"""Writing the status of a rollout to the operator's object, by conditional writes."""
 
 from railsail.core.exceptions import StoreConflict
 from railsail.core.logs import get_logger
@@ -9,20 +9,25 @@
 
 
 class StatusWriter:
-    """Write the status of one order; whatever the store raises is raised, and to be tried again.
+    """Write the status of one order; errors of the store propagate, and the caller has to retry.
 
-    The version of its last write is remembered, so that the end of a rollout takes one call.
+    The object's version after the last write is remembered, so that the end of a rollout takes one
+    store call.
     """
 
     def __init__(self, store: Store, book: RolloutBook) -> None:
         self._store = store
         self._book = book
         self._version = 0
-        # The version of the software as the operator wrote it, text or a number.
+        # The target version as the operator wrote it, text or a number.
         self._target: object = ""
 
     async def write(self, order: Order, state: State) -> bool:
-        """Write that ``order`` stands at ``state``; return false where the store has another."""
+        """Write ``state`` as the status of ``order``; return False if it must not be written.
+
+        That is so if the store has another order, or if ``state`` is running and the order has
+        ended.
+        """
         if self._version:
             try:
                 await self._put(order, state)
@@ -39,10 +44,10 @@
             return False
         self._book.seen(WatchEvent(KIND, stored.name, stored.version, stored.value))
         if found.stored > order.version and found.written >= min(state, State.SUCCEEDED):
-            # Both ends are final, whichever it is.
+            # The object has this status, or an end, which is final.
             return True
         if state is State.RUNNING and self._book.running(order.service) is None:
-            # It has ended meanwhile, and an end is never taken back.
+            # The order has ended in the meantime, and an end is never reverted.
             return False
         self._version = stored.version
         self._target = stored.value["target_version"]
--- a/railsail/rollouts/report.py
+++ b/railsail/rollouts/report.py
@@ -1,4 +1,4 @@
-"""What operators are told of rollouts, as plain data."""
+"""The report on rollouts for operators, as plain data."""
 
 from railsail.rollouts.coordinator import Coordinator
 from railsail.rollouts.orders import Rollout, State
@@ -6,7 +6,7 @@
 
 
 def row(rollout: Rollout, coordinator: Coordinator) -> dict[str, object]:
-    """Return how ``rollout`` stands; stage and figures are known to its coordinator only."""
+    """Return the report on ``rollout``; only its coordinator adds the stage and the figures."""
     order = rollout.order
     told: dict[str, object] = {
         "service": order.service,
--- a/railsail/rollouts/stages.py
+++ b/railsail/rollouts/stages.py
@@ -1,14 +1,15 @@
-"""The stages that a running rollout passes through."""
+"""The stages of a running rollout."""
 
 import enum
 
 
 class Stage(enum.IntEnum):
-    """Which version of a service new calls go to; nodes send these numbers.
+    """Which versions of a service receive new calls; nodes send the numbers.
 
-    ``HOLD`` sends the target version nothing. ``CANARY`` sends it as many calls as are allowed, on
-    few replicas. ``SHIFT`` sends it all calls that it has room for, and the rest to the others.
-    ``DRAIN`` sends the other versions nothing, so that what runs there ends.
+    In ``HOLD`` the target version receives none. In ``CANARY`` a few of its replicas receive as
+    many as the exposure bounds allow. In ``SHIFT`` it receives all calls that it has capacity for,
+    and the other versions the rest. In ``DRAIN`` the other versions receive none, so that their
+    calls in flight can finish.
     """
 
     HOLD = 0
--- a/railsail/rollouts/stored.py
+++ b/railsail/rollouts/stored.py
@@ -1,4 +1,4 @@
-"""Rollouts as the store holds them."""
+"""The format of rollouts in the store."""
 
 import math
 from collections.abc import Mapping
@@ -14,41 +14,41 @@
 
 
 class BadRollout(RailsailError):
-    """A stored rollout cannot be read."""
+    """The value of a stored rollout is invalid."""
 
 
 def parse_rollout(name: str, version: int, value: Mapping[str, object]) -> Rollout:
-    """Return the rollout of the object ``name``; raise ``BadRollout`` if there is none in it."""
+    """Parse the value of the object ``name``; raise ``BadRollout`` if it is invalid."""
     if value.get("service") != name:
-        raise BadRollout(f"it names the service {value.get('service')!r:.80}")
+        raise BadRollout(f"service is {value.get('service')!r:.80}, not the object's name")
     target = _text(value.get("target_version"), "target_version")
     order = Order(name, version, target, _duration(value.get("duration")))
     status = value.get("status")
     if not isinstance(status, Mapping) or status.get("state") not in _STATES:
         return Rollout(order, stored=version)
-    decided = _text(status.get("target_version"), "the status' target_version")
+    decided = _text(status.get("target_version"), "target_version of the status")
     rollout = Rollout(order, False, _STATES[status["state"]], decided, version)
     return replace(rollout, written=rollout.current)
 
 
 def status_value(state: State, target_version: object) -> dict[str, object]:
-    """Return the status to be stored; the version has the form in which the order names it."""
+    """Return the status to store; ``target_version`` is text or a number, as in the order."""
     return {"state": _WORDS[state], "target_version": target_version}
 
 
 def _text(value: object, field: str) -> str:
     if isinstance(value, bool) or not isinstance(value, str | int):
-        raise BadRollout(f"{field} is neither text nor a whole number")
+        raise BadRollout(f"{field} is neither text nor an integer")
     text = str(value)
     if not 0 < len(text) <= MOST_TEXT or UNREADABLE in text:
-        raise BadRollout(f"{field} is empty, too long or holds what cannot be read")
+        raise BadRollout(f"{field} is empty, too long or has undecodable characters")
     return text
 
 
 def _duration(value: object) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise BadRollout("the duration is not a number")
+        raise BadRollout("duration is not a number")
     if not math.isfinite(value) or value <= 0:
-        raise BadRollout("the duration is not above 0")
-    # Nodes tell each other whole milliseconds, and an order must be the same at all of them.
+        raise BadRollout("duration is not a finite number above 0")
+    # Nodes exchange durations in whole milliseconds, and an order must be equal on all of them.
     return max(1, round(value * 1000)) / 1000
--- a/railsail/rollouts/tallies.py
+++ b/railsail/rollouts/tallies.py
@@ -1,4 +1,4 @@
-"""What one dispatcher has seen of the versions of a service since an order was given."""
+"""The results of calls that one dispatcher has counted by version since an order was given."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -7,11 +7,11 @@
 from railsail.scheduling.decisions import Flight
 from railsail.scheduling.health import CallResult
 
-# Routes beyond so many are counted together, as a route that is not known: evidence of a service
-# with 30 replicas of the target version then still fits into one message.
+# Routes beyond this number are counted together as the unknown route, so that the evidence of a
+# service with 30 replicas of the target version fits into one message.
 MOST_ROUTES = 60
-# A caller that left before its answer began tells of a slow version where it had waited for so many
-# times as long as usual, and so many answers have shown what is usual.
+# A caller that left before the first byte counts as a slow answer if it waited this many times the
+# median time to the first byte on other versions, once these have given this many answers.
 LATE_FACTOR = 3.0
 LEAST_ANSWERS = 10
 
@@ -27,9 +27,9 @@
 
 @dataclass
 class CellTallies:
-    """Count what became of calls, in sums that ``start`` tells from earlier ones.
+    """Counts of the results of calls in one cell; ``start`` identifies this series of counts.
 
-    Replicas of ``target_version`` are counted each for itself, those of the others together.
+    Replicas of ``target_version`` are counted separately, those of the other versions together.
     ``arrivals`` counts the calls granted on any version.
     """
 
@@ -41,14 +41,14 @@
     _routes: set[int] = field(default_factory=set)
 
     def items(self) -> Iterator[tuple[TallyKey, Tally]]:
-        """Give all tallies."""
+        """Yield each tally with its key."""
         yield from self._tallies.items()
 
     def ended(self, flight: Flight, now: float, result: CallResult, was_cold: bool = False) -> None:
-        """Count the end of a granted call at ``now``, if it tells of the version that ran it.
+        """Count the end of a granted call at ``now`` if it is evidence about the version.
 
-        A replica that could not be connected to has answered nothing. One that ``was_cold`` is slow
-        whichever version it runs, so that of its answers only those that fail tell anything.
+        A failed connection is not counted, because the replica gave no answer. A replica that
+        ``was_cold`` is slow whichever version it runs, so only its failures are counted.
         """
         if was_cold and not result.failed:
             return
@@ -75,7 +75,7 @@
         return route
 
     def _is_late(self, route: int, waited: float) -> bool:
-        """Say whether ``waited`` seconds are far more than answers of the others usually take."""
+        """Return True if ``waited`` seconds is much longer than other versions usually take."""
         route = self._route(route)
         usual = Tally().merged(
             tally
--- a/railsail/rollouts/tenure.py
+++ b/railsail/rollouts/tenure.py
@@ -1,7 +1,7 @@
-"""One term of the coordinator of a rollout: what it has heard, plans, allows and is to write.
+"""One term of the coordinator of a rollout: its evidence, plan, allowances and ledger entries.
 
-Calls are reserved in the ledger before any dispatcher may send them, so that whoever coordinates
-next knows how many may have been sent.
+Calls are reserved in the ledger before any dispatcher may send them, so that the next coordinator
+knows how many may have been sent.
 """
 
 import math
@@ -26,18 +26,18 @@
 from railsail.rollouts.stages import Stage
 from railsail.rollouts.verdict import Judgement, Verdict, VersionJudge
 
-# An allowance is renewed several times before it lapses.
+# The interval at which allowances are renewed, a fraction of the time after which they expire.
 ALLOW_SECONDS = 0.25
-# Dispatchers answer an allowance with what runs at them; the end of a drain is awaited.
+# Dispatchers answer an allowance with their calls in flight, whose end is awaited in the drain.
 ALLOW_SECONDS_IN_DRAIN = 0.1
-# A ledger that was not written for so long may have been taken over.
+# A coordinator that has not written the ledger for this long may have been replaced.
 LEASE_SECONDS = 2.5
-# While the target gets all calls, those of so many seconds are reserved beforehand, and some more:
-# the ledger is written about twice a second, and a call of the store may take a while.
+# While the target receives all calls, the calls of this many seconds are reserved in advance, and
+# a few more: the ledger is written about twice a second, and a store call may take a while.
 AHEAD_SECONDS = 1.5
 AHEAD_CALLS = 10
-# One sick replica makes no version bad, so that the canary has several. They get about as many
-# calls each as they would among all replicas.
+# The canary has several replicas, because one faulty replica does not make the version bad. In the
+# canary a replica receives about as many calls as it would if calls went to all replicas.
 LEAST_CANARIES = 3
 MOST_NAMED = 64
 UNLIMITED_CALLS = 1 << 40
@@ -46,21 +46,25 @@
 
 @dataclass
 class _Progress:
-    """What changes in a term, beside evidence and allotments; times are monotonic seconds."""
+    """The state that changes in a term, except evidence and quotas; times are monotonic seconds."""
 
     plan: Plan
     judgement: Judgement
     loaded_at: float = 0.0
-    # Calls that ran on other versions when the shift began, and how many came a second then.
+    # The load at the start of the shift.
     load: Load = field(default_factory=Load)
     serial: int = 0
     sent_at: float = -math.inf
-    # Whether evidence came that was not judged yet.
+    # Whether evidence has arrived since the last judgement.
     unjudged: bool = True
 
 
 class Tenure:
-    """Coordinate ``order`` from the ledger's ``entry`` on, written at ``began`` (monotonic)."""
+    """The coordination of ``order`` in the term of the ledger's ``entry``.
+
+    The write of ``entry`` began at ``began`` (seconds of the monotonic clock). ``judging`` replaces
+    the test of the version.
+    """
 
     def __init__(
         self,
@@ -89,22 +93,22 @@
 
     @property
     def stage(self) -> Stage:
-        """Return the present stage."""
+        """Return the current stage."""
         return self._progress.plan.stage
 
     @property
     def reason(self) -> str:
-        """Return why the rollout is at its stage, and what the evidence shows."""
+        """Return why the rollout is in its stage, and the reason of the judgement."""
         return f"{self._progress.plan.reason}; {self._progress.judgement.reason}"
 
     @property
     def verdict(self) -> Verdict:
-        """Return what the evidence shows."""
+        """Return the current verdict on the target version."""
         return self._progress.judgement.verdict
 
     @property
     def arrivals(self) -> int:
-        """Return how many calls of the service arrived since the order, at least."""
+        """Return how many calls of the service have arrived since the order, at least."""
         return self._arrivals_before + self._gathering.arrivals
 
     @property
@@ -114,27 +118,27 @@
 
     @property
     def seconds_left(self) -> float:
-        """Return the time until the deadline."""
+        """Return the seconds until the deadline, negative after it."""
         return self.entry.ends / _MS - self._kernel.clock.wall()
 
     def received(self, node: str, evidence: RolloutEvidence) -> None:
-        """Take in ``evidence`` of the dispatcher at ``node``."""
+        """Record ``evidence`` of the dispatcher at ``node`` if it is about this order."""
         process = self._fleet.start_id(node)
         if evidence.version == self.order.version:
             self._gathering.received(node, process, evidence, self._now())
             self._progress.unjudged = True
 
     def stored(self, entry: Entry, began: float) -> None:
-        """Note that the ledger holds ``entry``, by a write that began at ``began``."""
+        """Record that the ledger contains ``entry``, by a write that began at ``began``."""
         self.entry = entry
         self._began = began
 
     def leads(self) -> bool:
-        """Say whether no other can have taken over."""
+        """Return True if the lease is valid, so that no other node can have taken over."""
         return self._now() < self._began + LEASE_SECONDS
 
     def tick(self) -> None:
-        """Judge, plan, and allow calls; without the lease nothing is allowed any more."""
+        """Judge the version, plan, and send allowances; do nothing without a valid lease."""
         if not self.leads():
             return
         if self._progress.unjudged:
@@ -147,7 +151,7 @@
         self._allow()
 
     def _plan(self, situation: Situation) -> Plan:
-        # A decision may be on its way to the store, so that it stands whatever is seen since.
+        # A decision may be on its way to the store, so later evidence must not change it.
         return self.decided or plan(situation, self._bounds)
 
     def _follow(self, chosen: Plan, situation: Situation) -> None:
@@ -185,9 +189,9 @@
         )
 
     def _ready(self) -> tuple[list[Replica], list[Replica]]:
-        """Return the warm replicas of the target version, and all others.
+        """Return the warm replicas of the target version, and all replicas of other versions.
 
-        Cold ones of the target are slow and show nothing.
+        Cold replicas of the target are slow and give no evidence about the version.
         """
         replicas = self._fleet.replicas(self.order.service)
         target = self.order.target_version
@@ -198,10 +202,10 @@
         return self._ready()[0]
 
     def _heard(self) -> dict[int, Source]:
-        """Return the dispatchers that were heard lately, by cell.
+        """Return the present dispatchers that have recently sent evidence, by cell.
 
-        One that starts anew, or follows the order by another version, counts what it sends from 0:
-        it must not be told what the one before it was allowed.
+        A dispatcher that has restarted, or knows the order by another version, counts the calls
+        that it sends from 0, so it must not be given the quota of its predecessor.
         """
         dispatchers = self._fleet.dispatchers(self.order.service)
         return {
@@ -234,7 +238,7 @@
             self._fleet.send(node, self._allowance(cell, heard.get(cell)))
 
     def _allowance(self, cell: int, source: Source | None) -> RolloutAllowance:
-        # One that was not heard yet tells with its answer whether it is new, and may send nothing.
+        # A dispatcher without recent evidence may send no calls; its answer shows if it is new.
         return RolloutAllowance(
             self.order.service,
             cell,
@@ -265,13 +269,13 @@
         return chosen[: min(MOST_NAMED, max(LEAST_CANARIES, count))]
 
     def writes_now(self) -> bool:
-        """Say whether the ledger is to be written at once: for a decision, or for more calls."""
+        """Return True if the ledger has to be written at once, for a decision or for more calls."""
         if self.decided is not None:
             return not self.entry.state.ended
         return self._wanted() > self.entry.reserved and self._unused() <= self._ahead() / 2
 
     def next_entry(self) -> Entry:
-        """Return what the ledger is to hold next."""
+        """Return the next entry to write to the ledger."""
         ends = self.decided
         return msgspec.structs.replace(
             self.entry,
@@ -285,7 +289,7 @@
         )
 
     def _wanted(self) -> int:
-        """Return how many calls are to be reserved in all."""
+        """Return how many calls have to be reserved in total."""
         if self.stage is Stage.CANARY:
             return self._canary_calls()
         if self.stage is Stage.HOLD or self._is_free():
@@ -295,24 +299,28 @@
 
     def _canary_calls(self) -> int:
         if self._is_free():
-            # The shift needs none of the bounds any more.
+            # Calls are no longer bounded in the shift, so nothing has to be left for it.
             return self._bounds.shift_calls(self.arrivals)
         rate = self._gathering.rate(self._now())
         return self._bounds.canary_calls(self.arrivals, rate, self._elapsed())
 
     def _elapsed(self) -> float:
-        """Return which part of the order's time is over, above 1 after its deadline."""
+        """Return the part of the order's duration that has passed, above 1 after its deadline."""
         duration = (self.entry.ends - self.entry.seen) / _MS
         return 1.0 - self.seconds_left / duration if duration > 0 else 1.0
 
     def _ahead(self) -> int:
-        """Return how many calls are reserved before they come, while the target gets all."""
+        """Return how many calls are reserved in advance, 0 unless the target receives all calls."""
         if self.stage < Stage.SHIFT:
             return 0
         return int(AHEAD_SECONDS * self._gathering.rate(self._now())) + AHEAD_CALLS
 
     def _unused(self) -> int:
-        """Return how many reserved calls may still be sent by dispatchers that are heard."""
+        """Return how many reserved calls have not been sent yet.
+
+        These are the calls that are in no quota, and the rest of the quotas of dispatchers with
+        recent evidence. The whole quota of a silent dispatcher counts as sent.
+        """
         free = self.entry.reserved - self._reserved_before - self._allotments.total
         term = self.entry.term
         return free + sum(
--- a/railsail/rollouts/verdict.py
+++ b/railsail/rollouts/verdict.py
@@ -1,10 +1,11 @@
-"""Whether a new software version is bad: a sequential test against the versions beside it.
-
-Three things are looked at on each route: answers that fail, answers whose first byte is slow, and
-answers that are slow as a whole. Each is a yes or no for an answer, and a cumulative sum test
-(CUSUM; E. S. Page, 1954) tells soon when the share of yes has risen above that of the baseline,
-however many good answers came before. The baseline is what the other versions answered over the
-same seconds, so that what is slow or fails everywhere speaks against no version.
+"""Whether a new software version is bad: a sequential test against the versions already in use.
+
+Three aspects are tested on each route: failed answers, answers with a slow first byte, and answers
+that are slow in total. For each aspect an answer is a Bernoulli trial, bad or not. A cumulative sum
+test (CUSUM; E. S. Page, 1954) of the log-likelihood ratio soon detects that the share of bad
+answers has risen above that of the baseline, however many good answers came before. The baseline
+is the answers of the other versions in the same seconds, so that a failure or slowdown of all
+versions counts against none.
 """
 
 import enum
@@ -20,41 +21,45 @@
     median_class,
 )
 
-# What a sum must exceed, in natural units of the likelihood ratio: an alarm is false once in more
-# than e ** 10 answers of a version that is just as good as is asked, and more seldom of a better.
+# The alarm threshold of the cumulative sum, a log-likelihood ratio to the base e. A version whose
+# share of bad answers is exactly the highest tolerated one raises a false alarm less than once in
+# e ** 10 answers on average, and a better version still more rarely.
 ALARM = 10.0
-# A version is held for as good as the baseline while its share of bad answers exceeds the
-# baseline's by less than this, and is looked for as one that exceeds it by much more. Slow answers
-# must be more of all than failed ones: a version that is a little slower has some as well.
+# The two hypotheses of the test. A good version's share of bad answers exceeds the baseline's by at
+# most ``GOOD_EXCESS`` and one standard error. In a bad version the part ``FAILED_EXCESS`` or
+# ``SLOW_EXCESS`` of the answers that would otherwise be good is bad. The part is larger for slow
+# answers, because a version that is only a little slower has some, too.
 GOOD_EXCESS = 0.04
 FAILED_EXCESS = 0.25
 SLOW_EXCESS = 0.45
-# An answer is slow if it takes at least so many times the baseline's median.
+# An answer is slow if it takes at least this many times the baseline's median.
 SLOW_FACTOR = 2.4
-# One replica is left out where the others' share of bad answers is below this part of its own: it
-# is sick by itself.
+# A replica is left out as an outlier if the share of bad answers on all others is below this part
+# of its own: then the replica is faulty, not the version.
 ALONE = 1 / 3
-# What was learnt of the baseline before counts for this part at each update, of which there are
-# about four a second, and for less where an update has many answers: a sudden load changes what is
-# usual at once, for all versions.
+# Exponential decay of the baseline: at each update, about four a second, earlier answers are
+# multiplied by ``BASELINE_MEMORY``. An update of many answers, measured against
+# ``BASELINE_WINDOW``, reduces them further: a sudden load changes at once what is usual for all
+# versions.
 BASELINE_MEMORY = 0.92
 BASELINE_WINDOW = 100
-# A route's baseline with fewer answers tells nothing about times.
+# The times of a route are not tested if its baseline has fewer answers.
 LEAST_BASELINE = 20
-# So many answers must be known before a version counts as good, and so many of each route that has
-# ``COMMON_SHARE`` of the baseline's answers.
+# The answers that a version must have given before it counts as good: in total, and on each route
+# that has at least ``COMMON_SHARE`` of the baseline's answers.
 LEAST_ANSWERS = 40
 LEAST_ROUTE_ANSWERS = 8
 COMMON_SHARE = 0.01
-# A route that the others went on without for so many updates, about ten seconds, is not common any
-# more: its requests may come no longer, and no answers of the version on it either.
+# A route without answers of the baseline in this many updates, about ten seconds, no longer counts
+# as common: its requests may have ended, so that no answers of the version would come either.
 QUIET_UPDATES = 40
-# A route on which the share of bad answers exceeds the baseline's by more is not held for good.
+# While the version has few answers on a route, it does not count as good if its share of failed
+# answers there exceeds the baseline's by more than this.
 DOUBTFUL_EXCESS = 0.2
 
 
 class Verdict(enum.Enum):
-    """What is known of a version."""
+    """The result of the test of a version."""
 
     UNDECIDED = enum.auto()
     GOOD = enum.auto()
@@ -62,7 +67,7 @@
 
 
 class Aspect(enum.StrEnum):
-    """What may be bad about answers."""
+    """The ways in which answers may be bad."""
 
     FAILED = "answers fail"
     FIRST = "answers begin late"
@@ -71,7 +76,7 @@
 
 @dataclass(frozen=True)
 class Judgement:
-    """A verdict, with its reason for logs; ``route`` is the fingerprint where one decided it."""
+    """A verdict and its reason; ``route`` is the fingerprint of the route that decided it, or 0."""
 
     verdict: Verdict
     reason: str
@@ -80,7 +85,7 @@
 
 @dataclass
 class _Counts:
-    """How many answers there were, and how many of them were bad."""
+    """The number of answers, and how many of them were bad."""
 
     answers: float = 0.0
     bad: float = 0.0
@@ -99,10 +104,12 @@
 
 @dataclass
 class _Route:
-    """What is kept of one route: its last sums, its recent baseline, and the test of each aspect.
+    """The state of the test on one route.
 
-    ``bad`` counts the bad answers of the target version by replica and aspect. The last ``quiet``
-    updates brought no answers of the baseline.
+    ``before`` is the evidence at the last update, and ``baseline`` the answers of the other
+    versions with exponential decay. The baseline got no answers in the last ``quiet`` updates.
+    ``sums`` holds the cumulative sum of each aspect, and ``bad`` the counts of the target version
+    by aspect and replica.
     """
 
     before: RouteEvidence
@@ -113,18 +120,21 @@
 
 
 class VersionJudge:
-    """Judge one version by evidence that grows."""
+    """The sequential test of one version, which is fed with growing evidence."""
 
     def __init__(self) -> None:
         self._routes: dict[int, _Route] = {}
-        # The same test over all routes together: it needs fewer answers of each.
+        # The cumulative sums over all routes together, which need fewer answers on each route.
         self._sums: dict[Aspect, float] = {}
         self._alarm: Judgement | None = None
 
     def judge(self, evidence: Sequence[RouteEvidence]) -> Judgement:
-        """Return what is known once the sums of all routes are as in ``evidence``."""
+        """Update the test to the ``evidence`` of all routes, and return the judgement.
+
+        The tallies in ``evidence`` are cumulative.
+        """
         self._update(evidence)
-        # A version that was found bad once stays so.
+        # A version that was once found bad stays bad.
         return self._alarm or self._doubt() or Judgement(Verdict.GOOD, "as good as the baseline")
 
     def _update(self, evidence: Sequence[RouteEvidence]) -> None:
@@ -146,14 +156,14 @@
     def _learn_baseline(self, route: _Route, item: RouteEvidence) -> None:
         new = _difference(item.baseline, route.before.baseline)
         if not new.answers:
-            # All calls go to the target version now: the last ones of the others stay the measure.
+            # All calls may go to the target version by now: the last baseline stays in use.
             return
         route.quiet = 0
         _fade(route.baseline, new.answers)
         route.baseline = route.baseline.merged([new])
 
     def _test(self, route: _Route, news: dict[str, Tally], aspect: Aspect) -> float:
-        """Return by how much the answers of ``news`` speak for a bad version."""
+        """Test ``aspect`` with the answers in ``news``; return their log-likelihood ratio."""
         count = _counter(aspect, route.baseline)
         if count is None:
             return 0.0
@@ -182,7 +192,7 @@
         return str(total)
 
     def _doubt(self) -> Judgement | None:
-        """Return why the version is not known to be good yet, ``None`` if it is."""
+        """Return an undecided judgement if the version cannot be called good yet, else ``None``."""
         answers = sum(_target_answers(route) for route in self._routes.values())
         if answers < LEAST_ANSWERS:
             return Judgement(Verdict.UNDECIDED, f"{answers} answers of {LEAST_ANSWERS} are known")
@@ -200,7 +210,7 @@
         return None
 
     def _doubtful_aspect(self, route: _Route) -> Aspect | None:
-        """Return what seems worse than usual on ``route`` though no alarm was given yet."""
+        """Return the aspect that looks bad on ``route`` but has raised no alarm yet, if any."""
         for aspect, total in route.sums.items():
             if total > ALARM / 2:
                 return aspect
@@ -236,7 +246,7 @@
 
 
 def _difference(now: Tally, before: Tally) -> Tally:
-    """Return what was added to ``before``; all of ``now`` if its sums were begun anew."""
+    """Return what was added since ``before``; all of ``now`` if counting has restarted from 0."""
     if now.answers < before.answers:
         return now
     return Tally(
@@ -256,7 +266,7 @@
 
 
 def _counter(aspect: Aspect, baseline: Tally) -> Callable[[Tally], _Counts] | None:
-    """Return what counts bad answers, ``None`` where the baseline does not tell what is usual."""
+    """Return a function that counts bad answers, ``None`` if the baseline has too few times."""
     if aspect is Aspect.FAILED:
         return lambda tally: _Counts(tally.answers, tally.failed)
     usual = baseline.first if aspect is Aspect.FIRST else baseline.whole
@@ -269,27 +279,27 @@
 
 
 def _slow_class(usual: Sequence[float]) -> int:
-    """Return the first class of times that are all slow beside ``usual`` ones."""
+    """Return the lowest bucket in which all times are slow compared with the ``usual`` ones."""
     least = median_class(usual) + CLASSES_PER_OCTAVE * math.log2(SLOW_FACTOR)
     return min(CLASSES - 1, math.ceil(least))
 
 
 def _usual_share(baseline: _Counts) -> float:
-    """Return a share of bad answers that a version as good as the baseline hardly exceeds."""
-    # A few answers of which none was bad tell little: one standard error is added.
+    """Return the highest tolerated share of bad answers: that of the baseline plus a margin."""
+    # A few answers without a bad one say little about the share, so one standard error is added.
     error = math.sqrt((baseline.bad + 1) / (baseline.answers + 1) ** 2)
     return min(1 - 2 * GOOD_EXCESS, baseline.share + min(error, GOOD_EXCESS) + GOOD_EXCESS)
 
 
 def _gain(new: _Counts, usual: float, excess: float) -> float:
-    """Return by how much ``new`` answers speak for a version that is bad."""
+    """Return the log-likelihood ratio of ``new`` answers: a bad version against a good one."""
     bad = usual + excess * (1 - usual)
     good = new.answers - new.bad
     return new.bad * math.log(bad / usual) + good * math.log((1 - bad) / (1 - usual))
 
 
 def _sick_replica(counts: Mapping[str, _Counts]) -> str | None:
-    """Return the one replica that is worse than all others, ``None`` if there is none."""
+    """Return the one replica that is much worse than all others, ``None`` if there is none."""
     if sum(1 for item in counts.values() if item.answers) < 2:
         return None
     worst = max(counts, key=lambda name: (counts[name].share, name))
