--- a/tests/rollouts/base.py
+++ b/tests/rollouts/base.py
@@ -1,4 +1,4 @@
-"""A store, a fleet and dispatchers that follow a script, for tests of rollouts."""
+"""A fake store, fleet and dispatcher for tests of rollouts."""
 
 import random
 import unittest
@@ -30,14 +30,14 @@
 
 
 class FakeStore:
-    """Objects with one rising version, whose calls fail as a test wants."""
+    """A store with one increasing version for all objects, whose calls fail as a test requires."""
 
     def __init__(self) -> None:
         self.version = 0
         self.objects: dict[tuple[str, str], StoredObject] = {}
-        # Nodes that it turns away; nothing is done for them.
+        # Nodes whose calls are refused and have no effect.
         self.turned_away: set[str] = set()
-        # The next write is done, or held back, and not answered.
+        # Whether the next write gets no answer: it takes effect, or is held back until released.
         self.loses_answer = False
         self.holds_back = False
         self.held_back: list[Callable[[], None]] = []
@@ -61,7 +61,7 @@
         if self.holds_back:
             self.holds_back = False
             self.held_back.append(lambda: self._write(kind, name, value, expected))
-            raise StoreUnavailable("no answer; it is done later")
+            raise StoreUnavailable("no answer; the write takes effect later")
         held = self.objects.get((kind, name))
         if (held.version if held else 0) != expected:
             raise StoreConflict("another version")
@@ -69,17 +69,17 @@
         self.writes += 1
         if self.loses_answer:
             self.loses_answer = False
-            raise StoreUnavailable("no answer; it was done")
+            raise StoreUnavailable("no answer; the write has taken effect")
         return version
 
     def set(self, kind: str, name: str, value: dict) -> int:
-        """Write as the operator does, on no condition."""
+        """Write without a condition, as the operator does."""
         self.version += 1
         self.objects[(kind, name)] = StoredObject(kind, name, self.version, value)
         return self.version
 
     def release(self) -> None:
-        """Do the writes that were held back, where their conditions still hold."""
+        """Let the writes that were held back take effect if their conditions still hold."""
         for write in self.held_back:
             try:
                 write()
@@ -88,7 +88,7 @@
         self.held_back.clear()
 
     def order(self, target: object = "v2", seconds: float = 20.0, service: str = SERVICE) -> int:
-        """Write an order; the status of the object stays."""
+        """Write an order and keep the status of the object."""
         held = self.objects.get((ROLLOUT, service))
         status = held.value.get("status", {}) if held else {}
         spec = {"service": service, "target_version": target, "duration": seconds}
@@ -106,7 +106,7 @@
 
 
 class NodeStore:
-    """The store as one node reaches it."""
+    """The store as seen by one node."""
 
     def __init__(self, store: FakeStore, node: str) -> None:
         self._store = store
@@ -117,7 +117,7 @@
 
         async def checked(*args: object) -> object:
             if self._node in self._store.turned_away:
-                raise StoreUnavailable("turned away")
+                raise StoreUnavailable("refused")
             return await call(*args)
 
         return checked
@@ -131,7 +131,7 @@
         self.nodes = nodes
         self.sent: list[RolloutAllowance] = []
         self.cells = {0: "d"}
-        # What tells the dispatcher's process from earlier ones.
+        # The start id of the dispatcher's process.
         self.process = 1
         versions = {"old": "v1", "new": "v2"}
         self.all = [
@@ -165,7 +165,7 @@
 
 
 class FakeNode:
-    """A node that may coordinate the rollout; ``verdict`` is what it makes of the evidence."""
+    """A node that may coordinate the rollout; ``verdict`` replaces its test of the evidence."""
 
     def __init__(self, name: str, names: list[str], store: FakeStore, clock: ManualClock) -> None:
         self.name = name
@@ -179,7 +179,7 @@
         self.begin()
 
     def begin(self) -> None:
-        """Begin to coordinate the order that runs, as a process that starts does."""
+        """Start to coordinate the running order, as a process does when it starts."""
         self.coordination = Coordination(
             self.book.running(SERVICE),
             self.book,
@@ -194,7 +194,7 @@
         self.book.listed(self.store.listing())
 
     async def step(self) -> float | None:
-        """Do what is due; return ``None`` where the store failed."""
+        """Make the store calls that are due; return ``None`` if the store failed."""
         try:
             return await self.coordination.step()
         except (StoreConflict, StoreUnavailable):
@@ -241,14 +241,14 @@
         self.store = FakeStore()
         self.version = self.store.order()
         self.nodes = [FakeNode(name, NAMES, self.store, self.clock) for name in NAMES]
-        # What the dispatcher has granted and sent to the target since it started.
+        # The calls that the dispatcher has granted, and by term those sent to the target.
         self.arrivals = 0.0
         self.exposed: dict[int, int] = {}
         self.running = 0
         self.start = 1
 
     async def pass_time(self, seconds: float, nodes: list[FakeNode] | None = None) -> None:
-        """Let ``nodes`` work; the dispatcher sends the target all that it may."""
+        """Advance the time and let ``nodes`` work; the target receives all calls that it may."""
         for _ in range(round(seconds / STEP)):
             self.clock.advance(STEP)
             self.arrivals += RATE * STEP
@@ -259,7 +259,7 @@
                 self.answer(node)
 
     def answer(self, node: FakeNode) -> None:
-        """Be the dispatcher: use what the last allowance of ``node`` allows, and tell it."""
+        """Act as the dispatcher: use the last allowance of ``node``, and send evidence to it."""
         if not node.fleet.sent:
             return
         term = node.allowed.term
--- a/tests/rollouts/test_book.py
+++ b/tests/rollouts/test_book.py
@@ -1,4 +1,4 @@
-"""The book of rollouts: what merges, what ends, and which versions get calls."""
+"""The rollouts that a node knows: how records merge, and which versions receive calls."""
 
 import itertools
 import unittest
@@ -25,7 +25,7 @@
         self.store = FakeStore()
 
     def see(self, *changes: dict) -> None:
-        """Write the operator's object with ``changes``, and tell the book."""
+        """Write the operator's object with ``changes``, and pass its watch event to the book."""
         held = self.store.objects[("rollout", SERVICE)].value
         for change in changes:
             held = held | change
@@ -39,11 +39,11 @@
     def takes(self) -> set[str]:
         return {v for v in ("v1", "v2", "v3") if self.book.takes_work(SERVICE, v)}
 
-    def test_unknown_service_is_left_alone(self):
+    def test_unknown_service_has_no_order_and_takes_any_version(self):
         self.assertIsNone(self.book.running("other"))
         self.assertTrue(self.book.takes_work("other", "v9"))
 
-    def test_order_runs_and_is_passed_on(self):
+    def test_order_runs_and_is_forwarded(self):
         self.order()
         order = self.book.running(SERVICE)
         self.assertEqual(order, Order(SERVICE, 1, "v2", 20.0))
@@ -52,14 +52,14 @@
             other.received("n", update)
         self.assertEqual(other.all(), self.book.all())
 
-    def test_repeat_is_not_passed_on(self):
+    def test_repeated_record_is_not_forwarded(self):
         self.order()
         count = len(self.flooded)
         self.book.seen(event(self.store))
         self.book.listed(self.store.listing())
         self.assertEqual(len(self.flooded), count)
 
-    def test_status_gives_no_new_order(self):
+    def test_status_change_is_no_new_order(self):
         self.order()
         self.see(status("running"))
         self.assertEqual(self.book.running(SERVICE).version, 1)
@@ -75,7 +75,7 @@
         self.assertEqual(late.all(), self.book.all())
         self.assertEqual(late.running(SERVICE).version, 1)
 
-    def test_ended_order_runs_no_more(self):
+    def test_ended_order_no_longer_runs(self):
         for word, left in (("succeeded", {"v2"}), ("rolled_back", {"v1", "v3"})):
             with self.subTest(word):
                 self.setUp()
@@ -85,7 +85,7 @@
                 self.assertIsNone(self.book.running(SERVICE))
                 self.assertEqual(self.takes(), left)
 
-    def test_later_versions_take_work_once_the_old_ones_are_gone(self):
+    def test_other_versions_receive_calls_again_after_the_old_replicas_have_stopped(self):
         self.order()
         self.see(status("running"))
         self.see(status("succeeded"))
@@ -98,7 +98,7 @@
         self.book.tick()
         self.assertEqual(told, [True])
 
-    def test_decision_goes_before_the_status(self):
+    def test_decision_takes_effect_before_the_status_is_written(self):
         self.order()
         self.see(status("running"))
         self.book.decide(self.book.running(SERVICE), State.ROLLED_BACK)
@@ -107,7 +107,7 @@
         self.see(status("rolled_back"))
         self.assertEqual(self.book.unwritten(), [])
 
-    def test_end_does_not_go_back(self):
+    def test_end_is_not_reverted_by_an_earlier_status(self):
         self.order()
         self.see(status("running"))
         self.book.decide(self.book.running(SERVICE), State.ROLLED_BACK)
@@ -116,7 +116,7 @@
         self.assertIs(self.book.get(SERVICE).current, State.ROLLED_BACK)
         self.assertEqual(len(self.book.unwritten()), 1)
 
-    def test_restored_store_takes_no_end_back(self):
+    def test_end_is_not_reverted_by_a_restored_store(self):
         self.order()
         self.see(status("running"))
         self.see(status("succeeded"))
@@ -125,7 +125,7 @@
         self.assertIs(self.book.get(SERVICE).current, State.SUCCEEDED)
         self.assertEqual(len(self.book.unwritten()), 1)
 
-    def test_another_version_is_a_new_order_and_drops_the_target(self):
+    def test_order_of_another_version_is_new_and_drops_the_previous_target(self):
         self.order()
         self.see(status("running"))
         self.order("v3")
@@ -134,7 +134,7 @@
         self.see(status("running", "v3"))
         self.assertEqual(self.takes(), {"v1", "v3"})
 
-    def test_version_that_was_rolled_back_stays_out_in_the_next_order(self):
+    def test_rolled_back_version_receives_no_calls_during_the_next_order(self):
         self.order()
         self.see(status("running"))
         self.see(status("rolled_back"))
@@ -142,13 +142,13 @@
         self.see(status("running", "v3"))
         self.assertEqual(self.takes(), {"v1", "v3"})
 
-    def test_same_version_may_be_ordered_again(self):
+    def test_rolled_back_version_can_be_ordered_again(self):
         self.order()
         self.see(status("running"))
         self.see(status("rolled_back"))
         self.order("v2", 30.0)
         self.assertEqual(self.book.running(SERVICE).duration, 30.0)
-        # The status that the object still has is that of the order before, whoever tells it.
+        # The object still has the status of the previous order, whichever node reads or sends it.
         self.book.listed(self.store.listing())
         fresh = new_book(self.clock)
         fresh.listed(self.store.listing())
@@ -159,26 +159,26 @@
         fresh.received("n", self.book.update())
         self.assertEqual(fresh.running(SERVICE), self.book.running(SERVICE))
 
-    def test_order_that_is_taken_away_leaves_its_target_out(self):
+    def test_target_of_a_withdrawn_order_receives_no_calls(self):
         self.order()
         self.see(status("running"))
         self.book.listed(Listing(9, ()))
         self.assertIsNone(self.book.running(SERVICE))
         self.assertEqual(self.takes(), {"v1", "v3"})
 
-    def test_success_that_is_taken_away_leaves_all_versions(self):
+    def test_all_versions_receive_calls_after_a_succeeded_order_was_withdrawn(self):
         self.order()
         self.see(status("running"))
         self.see(status("succeeded"))
         self.book.seen(WatchEvent("rollout", SERVICE, 9, None))
         self.assertEqual(self.takes(), {"v1", "v2", "v3"})
 
-    def test_list_that_is_not_settled_takes_nothing_away(self):
+    def test_listing_that_is_not_settled_withdraws_no_order(self):
         self.order()
         self.book.listed(Listing(9, (), settled=False))
         self.assertIsNotNone(self.book.running(SERVICE))
 
-    def test_order_given_again_after_it_was_taken_away_is_new(self):
+    def test_order_given_again_after_its_withdrawal_is_new(self):
         self.order()
         self.see(status("running"))
         self.book.seen(WatchEvent("rollout", SERVICE, 9, None))
@@ -187,7 +187,7 @@
         self.assertEqual(self.book.running(SERVICE).version, 10)
         self.assertEqual(self.book.get(SERVICE).current, State.NONE)
 
-    def test_bad_values_leave_the_last_good_order(self):
+    def test_invalid_values_are_refused_and_the_last_valid_order_stays(self):
         self.order()
         bad = (
             {"duration": 0},
@@ -211,7 +211,7 @@
         counted = self.book._kernel.metrics.rollouts_refused.get({"service": SERVICE})
         self.assertEqual(counted, len(bad) + 1)
 
-    def test_number_as_version(self):
+    def test_target_version_may_be_a_number(self):
         self.order(7)
         self.assertEqual(self.book.running(SERVICE).target_version, "7")
         self.see(status("rolled_back", 7))
@@ -219,7 +219,7 @@
 
 
 class MergeTests(unittest.TestCase):
-    def test_order_of_arrival_does_not_matter(self):
+    def test_result_is_the_same_in_any_order_of_arrival(self):
         first = Order(SERVICE, 10, "v2", 20.0)
         records = [
             Rollout(first, stored=10),
--- a/tests/rollouts/test_coordinator.py
+++ b/tests/rollouts/test_coordinator.py
@@ -1,4 +1,4 @@
-"""Who coordinates a rollout, and what outlasts a coordinator, an answer or the store's memory."""
+"""Who coordinates a rollout, and what survives a crash, a lost answer or a restored store."""
 
 import asyncio
 import unittest
@@ -27,20 +27,20 @@
 
 
 class CoordinationTests(CoordinationCase):
-    async def test_one_node_leads_and_writes_that_it_runs(self):
+    async def test_one_node_leads_and_writes_the_running_status(self):
         leader = await self.begin()
         self.assertEqual(self.store.ledger()["holder"], leader.name)
         self.assertEqual(self.store.status(), {"state": "running", "target_version": "v2"})
         self.assertEqual(leader.allowed.stage, Stage.CANARY)
 
-    async def test_nothing_is_allowed_before_it_is_reserved(self):
+    async def test_no_call_is_allowed_before_it_is_reserved(self):
         for _ in range(100):
             await self.pass_time(STEP)
             self.assertLessEqual(self.used, self.store.ledger()["reserved"])
         self.assertGreater(self.used, 0)
         self.assertLessEqual(self.store.ledger()["reserved"], BOUNDS.canary_calls(1000))
 
-    async def test_canary_names_few_replicas_and_no_cold_ones(self):
+    async def test_canary_names_three_replicas_of_the_target(self):
         leader = await self.begin()
         self.assertEqual(len(leader.allowed.replicas), 3)
         self.assertTrue(all(name.startswith("new-") for name in leader.allowed.replicas))
@@ -62,7 +62,7 @@
         self.assertEqual(self.store.status()["state"], "succeeded")
         self.assertLessEqual(self.used, 0.1 * RATE * 20 + 50)
 
-    async def test_order_that_nothing_decided_gets_more_calls_after_its_deadline(self):
+    async def test_undecided_order_gets_more_canary_calls_after_its_deadline(self):
         await self.begin()
         await self.pass_time(19.0)
         before = self.store.ledger()["reserved"]
@@ -82,7 +82,7 @@
         await self.pass_time(0.5)
         self.assertEqual(self.store.status()["state"], "succeeded")
 
-    async def test_version_that_turns_bad_in_the_shift_stays_within_the_bound(self):
+    async def test_version_that_turns_bad_in_the_shift_stays_within_the_bounds(self):
         leader = await self.begin()
         self.judge(Verdict.GOOD)
         while leader.coordination.tenure.stage < Stage.SHIFT:
@@ -92,7 +92,7 @@
         self.assertEqual(self.store.status()["state"], "rolled_back")
         self.assertLessEqual(self.used, 0.1 * self.arrivals + 50)
 
-    async def test_successor_follows_one_that_dies_and_spends_nothing_anew(self):
+    async def test_successor_of_a_crashed_coordinator_keeps_its_reserved_calls(self):
         dead = await self.begin()
         reserved = self.store.ledger()["reserved"]
         left = [node for node in self.nodes if node is not dead]
@@ -105,7 +105,7 @@
         self.assertLessEqual(self.used, BOUNDS.canary_calls(int(self.arrivals)))
         self.assertLessEqual(self.used, self.store.ledger()["reserved"])
 
-    async def test_paused_one_allows_nothing_and_steps_back(self):
+    async def test_paused_coordinator_allows_no_calls_and_steps_down(self):
         paused = await self.begin()
         left = [node for node in self.nodes if node is not paused]
         await self.pass_time(4.0, left)
@@ -117,7 +117,7 @@
         self.assertIsNone(paused.coordination.tenure)
         self.assertNotEqual(self.store.ledger()["holder"], paused.name)
 
-    async def test_one_that_is_turned_away_is_followed(self):
+    async def test_coordinator_refused_by_the_store_is_replaced(self):
         away = await self.begin()
         self.store.turned_away.add(away.name)
         await self.pass_time(4.0)
@@ -128,27 +128,27 @@
         self.assertIs(self.leader(), leader)
         self.assertIsNone(away.coordination.tenure)
 
-    async def test_one_that_is_about_to_stop_steps_back(self):
+    async def test_coordinator_that_is_about_to_stop_is_replaced(self):
         stopping = await self.begin()
         stopping.fleet.nodes = []
         await self.pass_time(4.0)
         self.assertIsNot(self.leader(), stopping)
 
-    async def test_allowances_lapse_before_another_may_lead(self):
+    async def test_allowances_expire_before_another_node_may_lead(self):
         self.assertLess(BOUNDS.valid_seconds, LEASE_SECONDS)
 
-    async def test_decision_whose_answer_is_lost_is_read_back(self):
+    async def test_decision_whose_write_got_no_answer_takes_effect(self):
         leader = await self.begin()
         self.judge(Verdict.BAD)
         leader.coordination.tick()
         self.store.loses_answer = True
         self.assertIsNone(await leader.step())
-        # What is seen later does not turn the decision round.
+        # Later evidence does not change the decision.
         self.judge(Verdict.GOOD)
         await self.pass_time(1.0)
         self.assertEqual(self.store.status()["state"], "rolled_back")
 
-    async def test_decision_that_is_done_late_is_not_turned_round(self):
+    async def test_decision_whose_write_was_delayed_is_not_changed(self):
         leader = await self.begin()
         self.judge(Verdict.BAD)
         leader.coordination.tick()
@@ -160,7 +160,7 @@
         self.assertEqual(self.store.ledger()["state"], State.ROLLED_BACK)
         self.assertEqual(self.store.status()["state"], "rolled_back")
 
-    async def test_successor_carries_a_decision_out(self):
+    async def test_successor_applies_a_decision(self):
         dead = await self.begin()
         self.judge(Verdict.BAD)
         dead.coordination.tick()
@@ -177,7 +177,7 @@
         await _let_write(left[0])
         self.assertEqual(self.store.status()["state"], "rolled_back")
 
-    async def test_restarted_fleet_goes_on_with_what_was_spent(self):
+    async def test_restarted_fleet_keeps_the_reserved_calls_and_the_deadline(self):
         await self.begin()
         await self.pass_time(5.0)
         before = self.store.ledger()
@@ -190,7 +190,7 @@
         self.assertGreaterEqual(after["reserved"], before["reserved"])
         self.assertLessEqual(self.used, BOUNDS.canary_calls(int(self.arrivals)))
 
-    async def test_restarted_fleet_carries_a_decision_out(self):
+    async def test_restarted_fleet_applies_a_decision(self):
         dead = await self.begin()
         self.judge(Verdict.BAD)
         dead.coordination.tick()
@@ -200,7 +200,7 @@
         self.assertIsNone(fresh.book.running(SERVICE))
         self.assertEqual(fresh.book.unwritten()[0].current, State.ROLLED_BACK)
 
-    async def test_restored_ledger_is_written_again(self):
+    async def test_ledger_restored_to_an_earlier_entry_is_written_again(self):
         leader = await self.begin()
         old = self.store.ledger()
         await self.pass_time(3.0)
@@ -210,14 +210,14 @@
         self.assertIs(self.leader(), leader)
         self.assertGreaterEqual(self.store.ledger()["reserved"], reserved)
 
-    async def test_restored_ledger_that_is_missing_is_written_again(self):
+    async def test_missing_ledger_is_written_again(self):
         leader = await self.begin()
         reserved = self.store.ledger()["reserved"]
         del self.store.objects[(LEDGER, SERVICE)]
         await self.pass_time(1.0, [leader])
         self.assertGreaterEqual(self.store.ledger()["reserved"], reserved)
 
-    async def test_status_that_was_lost_is_written_again(self):
+    async def test_lost_status_of_an_ended_order_is_written_again(self):
         leader = await self.begin()
         self.judge(Verdict.BAD)
         await self.pass_time(0.5)
@@ -227,7 +227,7 @@
         await _let_write(leader)
         self.assertEqual(self.store.status()["state"], "rolled_back")
 
-    async def test_order_that_changes_half_way_begins_anew(self):
+    async def test_changed_order_starts_a_new_rollout(self):
         await self.begin()
         await self.pass_time(5.0)
         self.store.order("v3")
@@ -242,7 +242,7 @@
         self.assertEqual(ledger["ends"] - ledger["seen"], 20_000)
         self.assertEqual(self.store.status(), {"state": "running", "target_version": "v3"})
 
-    async def test_order_given_again_after_it_was_taken_away_begins_anew(self):
+    async def test_order_given_again_after_its_withdrawal_starts_a_new_rollout(self):
         await self.begin()
         ends = self.store.ledger()["ends"]
         del self.store.objects[(ROLLOUT, SERVICE)]
@@ -257,7 +257,7 @@
         self.assertGreater(self.store.ledger()["ends"], ends + 90_000)
         self.assertEqual(self.leader().allowed.stage, Stage.CANARY)
 
-    async def test_order_that_is_taken_away_writes_nothing(self):
+    async def test_nothing_is_written_or_allowed_after_the_order_was_withdrawn(self):
         leader = await self.begin()
         del self.store.objects[(ROLLOUT, SERVICE)]
         self.judge(Verdict.BAD)
@@ -267,7 +267,7 @@
         await self.pass_time(1.0)
         self.assertEqual((len(leader.fleet.sent), self.store.writes), (count, writes))
 
-    async def test_status_of_another_order_is_not_written_over(self):
+    async def test_status_of_another_order_is_not_overwritten(self):
         leader = await self.begin()
         self.store.order("v3")
         self.judge(Verdict.BAD)
@@ -283,7 +283,7 @@
         self.assertEqual(self.store.status()["state"], "rolled_back")
         self.assertEqual(self.store.reads, reads)
 
-    async def test_end_is_written_after_the_operator_touched_the_object(self):
+    async def test_end_is_written_after_the_operator_changed_the_object(self):
         leader = await self.begin()
         self.judge(Verdict.BAD)
         leader.coordination.tick()
@@ -292,14 +292,14 @@
         await leader.step()
         self.assertEqual(self.store.status()["state"], "rolled_back")
 
-    async def test_status_names_the_version_as_the_order_does(self):
+    async def test_status_has_the_target_version_in_the_type_of_the_order(self):
         self.store.order(7)
         node = FakeNode("a", ["a"], self.store, self.clock)
         await node.step()
         await node.step()
         self.assertEqual(self.store.status(), {"state": "running", "target_version": 7})
 
-    async def test_version_without_replicas_gets_nothing_and_no_end(self):
+    async def test_version_without_replicas_receives_no_calls_and_keeps_running(self):
         for node in self.nodes:
             node.fleet.all = [r for r in node.fleet.all if r.software_version == "v1"]
         self.judge(Verdict.GOOD)
@@ -307,7 +307,7 @@
         self.assertEqual(self.leader().allowed.stage, Stage.HOLD)
         self.assertEqual((self.used, self.store.status()["state"]), (0, "running"))
 
-    async def test_dispatcher_that_starts_anew_gets_calls_of_its_own(self):
+    async def test_restarted_dispatcher_gets_a_quota_of_its_own(self):
         leader = await self.begin()
         await self.pass_time(2.0)
         before = self.used
@@ -316,14 +316,14 @@
             node.fleet.process = 2
         self.clock.advance(0.3)
         leader.coordination.tick()
-        # Until the new process has told of itself, it is allowed nothing.
+        # The new process may send no calls until it has sent evidence.
         self.assertEqual(leader.allowed.calls, 0)
         self.start, self.exposed, self.arrivals = 2, {}, 0.0
         for _ in range(30):
             await self.pass_time(STEP)
             self.assertLessEqual(before + self.used, self.store.ledger()["reserved"])
 
-    async def test_order_that_is_known_by_a_lower_version_allows_nothing_twice(self):
+    async def test_lower_version_of_the_order_does_not_repeat_a_quota(self):
         leader = await self.begin()
         await self.pass_time(2.0)
         tenure = leader.coordination.tenure
@@ -335,7 +335,7 @@
 
 
 async def _let_write(node: FakeNode) -> None:
-    """Let ``node`` write the ends that the store lacks."""
+    """Run the coordinator of ``node`` until the store has the status of all ended rollouts."""
     kernel = new_kernel(node.clock)
     coordinator = Coordinator(node.book, node.store, node.fleet, BOUNDS, kernel)
     running = asyncio.ensure_future(coordinator.run())
@@ -347,7 +347,7 @@
 
 
 class CoordinatorTests(unittest.IsolatedAsyncioTestCase):
-    async def test_several_services_at_once(self):
+    async def test_rollouts_of_several_services_run_at_once(self):
         clock = ManualClock(START)
         store = FakeStore()
         store.order()
@@ -363,7 +363,7 @@
         self.assertEqual(store.ledger("app")["target_version"], "v9")
         self.assertEqual(store.ledger()["target_version"], "v2")
 
-    async def test_nothing_is_coordinated_after_the_stop(self):
+    async def test_nothing_is_coordinated_after_stop(self):
         clock = ManualClock(START)
         store = FakeStore()
         store.order()
@@ -377,7 +377,7 @@
         async with asyncio.timeout(5.0):
             while not store.status(SERVICE):
                 await asyncio.sleep(0.02)
-        # As a daemon stops: its parts' tasks are cancelled, and its parts are stopped at once.
+        # As when a daemon stops: the tasks of its parts are cancelled, and its parts are stopped.
         running.cancel()
         coordinator.stop()
         await asyncio.sleep(0.1)
--- a/tests/rollouts/test_fleet.py
+++ b/tests/rollouts/test_fleet.py
@@ -1,4 +1,4 @@
-"""What the coordinator of a rollout is told of replicas."""
+"""The view of replicas that the coordinator of a rollout uses."""
 
 import unittest
 from types import SimpleNamespace
@@ -13,7 +13,7 @@
 
 
 class Directory:
-    """One replica, whose failure domain was taken back a while ago."""
+    """One replica, whose failure domain's evacuation ended ``SECONDS_SINCE_EVACUATION`` ago."""
 
     def get(self, name: str) -> Upstream:
         return Upstream(name, "lm", "10.0.0.1:80", "east", 1, Listed.LIVE, slots=8)
@@ -37,13 +37,13 @@
         self.assertEqual(replica.failure_domain, "east")
         return replica.warm
 
-    def test_replica_in_a_domain_that_was_taken_back_is_cold(self):
+    def test_replica_is_cold_just_after_its_domains_evacuation(self):
         self.assertFalse(self.warm(cold_seconds=10.0, warmup_rate=5.0))
 
-    def test_replica_is_warm_again_after_a_while(self):
+    def test_replica_is_warm_again_after_the_pools_cold_seconds(self):
         self.assertTrue(self.warm(cold_seconds=2.0, warmup_rate=5.0))
 
-    def test_pool_that_bears_any_number_of_calls_is_warm(self):
+    def test_replica_of_a_pool_without_warmup_rate_is_warm(self):
         self.assertTrue(self.warm(cold_seconds=10.0))
 
 
--- a/tests/rollouts/test_ledger.py
+++ b/tests/rollouts/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger: conditional writes, answers that are lost, and what a successor starts from."""
+"""The ledger: conditional writes, lost answers, and the entry that a successor starts from."""
 
 import unittest
 
@@ -13,19 +13,19 @@
 
 
 class TakenTests(unittest.TestCase):
-    def test_first_holder_begins_with_nothing_spent(self):
+    def test_first_holder_starts_with_nothing_reserved(self):
         entry = taken(None, ORDER, "a", START, True)
         self.assertEqual((entry.term, entry.reserved, entry.arrivals), (1, 0, 0))
         self.assertEqual((entry.seen, entry.ends), (1_000_000, 1_020_000))
 
-    def test_successor_keeps_what_was_reserved_and_the_deadline(self):
+    def test_successor_keeps_the_reserved_calls_and_the_deadline(self):
         entry = taken(None, ORDER, "a", START, True)
         spent = type(entry)(**{**_fields(entry), "reserved": 70, "stage": Stage.SHIFT})
         successor = taken(spent, ORDER, "b", START + 9, False)
         self.assertEqual((successor.holder, successor.term, successor.reserved), ("b", 2, 70))
         self.assertEqual((successor.ends, successor.stage), (entry.ends, Stage.HOLD))
 
-    def test_new_order_begins_anew_in_a_higher_term(self):
+    def test_new_order_starts_with_nothing_reserved_in_a_higher_term(self):
         entry = taken(None, ORDER, "a", START, True)
         ended = type(entry)(**{**_fields(entry), "reserved": 70, "state": State.ROLLED_BACK})
         other = Order(SERVICE, 9, "v3", 20.0)
@@ -50,7 +50,7 @@
         await self.other.read()
         self.assertEqual(self.other.entry.holder, "a")
 
-    async def test_age_is_that_of_the_last_change_as_seen_here(self):
+    async def test_age_counts_from_the_last_change_that_this_node_saw(self):
         await self.ledger.read()
         await self.ledger.write(taken(None, ORDER, "a", START, True))
         self.clock.advance(1.5)
@@ -59,7 +59,7 @@
         await self.ledger.read()
         self.assertEqual(self.ledger.age, 1.5)
 
-    async def test_lost_answer_leaves_unsure_until_read(self):
+    async def test_lost_answer_requires_a_read(self):
         await self.ledger.read()
         self.store.loses_answer = True
         with self.assertRaises(StoreUnavailable):
@@ -69,7 +69,7 @@
         self.assertFalse(self.ledger.unsure)
         self.assertEqual(self.ledger.entry.holder, "a")
 
-    async def test_write_that_comes_late_fails_after_the_next_one(self):
+    async def test_delayed_write_fails_after_a_write_of_another_node(self):
         await self.ledger.read()
         self.store.holds_back = True
         with self.assertRaises(StoreUnavailable):
@@ -79,7 +79,7 @@
         self.store.release()
         self.assertEqual(self.store.ledger()["holder"], "b")
 
-    async def test_entry_that_cannot_be_read_is_written_over(self):
+    async def test_invalid_entry_is_overwritten(self):
         self.store.set(KIND, SERVICE, {"holder": 7})
         await self.ledger.read()
         self.assertIsNone(self.ledger.entry)
--- a/tests/rollouts/test_merging.py
+++ b/tests/rollouts/test_merging.py
@@ -1,4 +1,4 @@
-"""Nodes that read the store at other times and tell each other come to agree."""
+"""Nodes that read the store at different times agree once they have exchanged their records."""
 
 import random
 import unittest
@@ -11,12 +11,13 @@
 NODES = 4
 STEPS = 30
 RUNS = 1500
-# Rounds in which each node tells each other all; news that goes round for longer never ends.
+# Rounds in which each node sends its record to each other node. Updates that still cause changes
+# after this many rounds would circulate forever.
 MOST_ROUNDS = 20
 
 
 class World:
-    """An operator's object, and what nodes know of it; a seed decides what happens."""
+    """An operator's object and each node's record of it; a seed determines what happens."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -80,7 +81,7 @@
         self.hear(teller, hearer)
 
     def hear(self, teller: int, hearer: int) -> bool:
-        """Let ``hearer`` hear what ``teller`` knows; say whether that was news."""
+        """Send the record of ``teller`` to ``hearer``; return True if that changed its record."""
         told, known = self.nodes[teller], self.nodes[hearer]
         if told is None or teller == hearer:
             return False
@@ -88,7 +89,7 @@
         return self.nodes[hearer] != known
 
     def tell_all(self) -> bool:
-        """Let all tell all; say whether anything was news."""
+        """Send all records to all nodes; return True if any record changed."""
         pairs = [(a, b) for a in range(NODES) for b in range(NODES)]
         news = [self.hear(teller, hearer) for teller, hearer in pairs]
         return any(news)
@@ -100,7 +101,7 @@
 
 
 class ConvergenceTests(unittest.TestCase):
-    def test_all_agree_and_news_ends(self):
+    def test_all_nodes_agree_and_updates_end(self):
         for seed in range(RUNS):
             world = World(seed)
             for _ in range(STEPS):
--- a/tests/rollouts/test_missed_end.py
+++ b/tests/rollouts/test_missed_end.py
@@ -1,4 +1,8 @@
-"""A rollout's record of before its end does not take the version in use from other nodes."""
+"""A record from before a rollout's end must not make other nodes drop the version in use.
+
+A node that is cut off from the fleet misses the success of a rollout. When the next order runs, the
+node takes the version that succeeded for one that did not, and sends its record to the others.
+"""
 
 import unittest
 
@@ -18,16 +22,16 @@
         succeeded = rollout("v2", 1, State.SUCCEEDED, 3)
         self.next = rollout("v3", 4, State.RUNNING, 5)
         self.knows = merge(merge(begun, succeeded), self.next)
-        # It was cut off, and reads the store again when the next order runs.
+        # The record of a node that was cut off and reads the store again when the next order runs.
         self.missed = merge(begun, self.next)
 
-    def test_premise_that_the_others_have_it_in_use(self):
+    def test_nodes_that_saw_the_success_do_not_drop_the_version(self):
         self.assertEqual(self.knows.dropped, frozenset())
 
-    def test_version_in_use_is_not_dropped_by_late_news_of_its_rollout(self):
+    def test_late_record_of_the_running_order_does_not_drop_the_version_in_use(self):
         self.assertNotIn("v2", merge(self.knows, self.begun).dropped)
 
-    def test_version_in_use_is_dropped_by_no_node_once_they_tell_each_other(self):
+    def test_record_of_a_node_that_missed_the_success_does_not_drop_the_version_in_use(self):
         self.assertNotIn("v2", merge(self.knows, self.missed).dropped)
         self.assertNotIn("v2", merge(self.missed, self.knows).dropped)
 
--- a/tests/rollouts/test_overlaps.py
+++ b/tests/rollouts/test_overlaps.py
@@ -1,4 +1,4 @@
-"""A rollout goes on while replicas of either version are evacuated, lost, cold or replaced."""
+"""Rollouts while replicas of either version are evacuated, lost, cold or overloaded."""
 
 from railsail.rollouts.fleet import Replica
 from railsail.rollouts.stages import Stage
@@ -9,10 +9,10 @@
 
 
 class OverlapTests(CoordinationCase):
-    """Calls of a quarter of a second: 24 run at once."""
+    """Calls that take a quarter of a second, so that ``CALLS`` are in flight at once."""
 
     def set_replicas(self, **numbers: int) -> None:
-        """Let each version have so many replicas of eight slots."""
+        """Set the number of replicas of each version; each has eight slots."""
         for node in self.nodes:
             node.fleet.all = [
                 Replica(f"{version}-{n}", 0, version, 8, True)
@@ -28,7 +28,7 @@
             await self.pass_time(STEP)
         return leader.coordination.tenure.stage
 
-    async def test_others_serve_on_where_a_domain_of_the_target_is_evacuated_in_the_shift(self):
+    async def test_drain_waits_while_a_domain_of_the_target_is_evacuated_in_the_shift(self):
         self.assertEqual(await self.begin_shift(), Stage.SHIFT)
         self.set_replicas(v1=4, v2=1)
         self.running = 12
@@ -38,7 +38,7 @@
         await self.pass_time(1.0)
         self.assertEqual(self.leader().allowed.stage, Stage.DRAIN)
 
-    async def test_others_serve_again_where_a_domain_of_the_target_is_evacuated_in_the_drain(self):
+    async def test_drain_reverts_to_shift_while_a_domain_of_the_target_is_evacuated(self):
         await self.begin_shift()
         await self.pass_time(1.0)
         self.assertEqual(self.leader().allowed.stage, Stage.DRAIN)
@@ -52,7 +52,7 @@
         await self.pass_time(2.0)
         self.assertEqual(self.store.status()["state"], "succeeded")
 
-    async def test_less_traffic_needs_less_room(self):
+    async def test_less_traffic_needs_less_capacity(self):
         await self.begin_shift()
         self.set_replicas(v1=4, v2=1)
         self.running = 0
@@ -62,14 +62,14 @@
             await self.pass_time(STEP)
         self.assertEqual(self.store.status()["state"], "succeeded")
 
-    async def test_flood_that_fills_the_others_keeps_no_equal_target_back(self):
+    async def test_flood_does_not_delay_the_shift_to_a_target_of_equal_size(self):
         self.running = 32
         leader = await self.begin()
         self.judge(Verdict.GOOD)
         await self.pass_time(18.5)
         self.assertGreaterEqual(leader.coordination.tenure.stage, Stage.SHIFT)
 
-    async def test_flood_keeps_a_smaller_target_back(self):
+    async def test_flood_delays_the_shift_to_a_smaller_target(self):
         self.set_replicas(v1=4, v2=3)
         self.running = 32
         leader = await self.begin()
@@ -77,7 +77,7 @@
         await self.pass_time(18.5)
         self.assertEqual(leader.coordination.tenure.stage, Stage.CANARY)
 
-    async def test_cold_others_make_no_target_large_enough(self):
+    async def test_cold_replicas_of_other_versions_do_not_make_a_target_large_enough(self):
         for node in self.nodes:
             node.fleet.all = [
                 Replica(f"{version}-{n}", 0, version, 8, version == "v2" or n == 0)
@@ -90,7 +90,7 @@
         await self.pass_time(18.5)
         self.assertEqual(leader.coordination.tenure.stage, Stage.CANARY)
 
-    async def test_canaries_are_in_several_domains(self):
+    async def test_canaries_are_spread_over_domains(self):
         for node in self.nodes:
             node.fleet.all = [
                 Replica(f"{version}-{domain}-{n}", 0, version, 8, True, domain)
@@ -103,7 +103,7 @@
         self.assertEqual({name.split("-")[1] for name in named}, {"east", "north", "west"})
         self.assertEqual(len(named), 3)
 
-    async def test_target_serves_after_the_deadline_where_nothing_else_can(self):
+    async def test_target_receives_all_calls_after_the_deadline_if_no_other_replica_is_left(self):
         await self.begin()
         self.set_replicas(v1=0, v2=4)
         await self.pass_time(18.0)
--- a/tests/rollouts/test_plan.py
+++ b/tests/rollouts/test_plan.py
@@ -1,4 +1,4 @@
-"""Which stage comes next, and when a rollout ends."""
+"""Which stage a rollout enters next, and when it ends."""
 
 import unittest
 from dataclasses import replace
@@ -17,7 +17,7 @@
 from railsail.rollouts.verdict import Verdict
 
 BOUNDS = ExposureBounds(0.1, 50)
-# In the canary of an order of 60 seconds, half a minute before its deadline.
+# In the canary stage of an order of 60 seconds, half a minute before its deadline.
 CANARY = Situation(
     now=130.0,
     ends=160.0,
@@ -37,13 +37,13 @@
 
 
 class BoundsTests(unittest.TestCase):
-    def test_canary_and_shift_stay_within_what_arrived(self):
+    def test_canary_and_shift_stay_within_the_bounds(self):
         for arrivals in (0, 10, 1000, 100_000):
             allowed = 0.1 * arrivals + 50
             self.assertLess(BOUNDS.canary_calls(arrivals), 0.5 * allowed)
             self.assertLess(BOUNDS.shift_calls(arrivals), allowed)
 
-    def test_few_calls_give_the_canary_more_and_leave_the_shift_its_part(self):
+    def test_canary_of_a_service_with_few_calls_gets_more_and_leaves_enough_for_the_shift(self):
         for rate in (0.5, 5.0, 26.0, 60.0, 500.0):
             for seconds in (1, 6, 12):
                 arrivals = int(rate * seconds)
@@ -54,7 +54,7 @@
                 self.assertTrue(found == usual or left >= int(KEPT_SECONDS * rate))
         self.assertGreater(BOUNDS.canary_calls(312, 26.0), BOUNDS.canary_calls(312))
 
-    def test_slack_of_the_canary_comes_over_time(self):
+    def test_slack_of_the_canary_grows_over_time(self):
         found = [BOUNDS.canary_calls(0, elapsed=share) for share in (-1.0, 0.0, 0.5, 1.0, 9.0)]
         self.assertEqual(found, [5, 5, 12, 20, 20])
 
@@ -73,11 +73,11 @@
         late = replace(DRAINING, now=165.0, verdict=Verdict.BAD, running=3)
         self.assert_plan(late, Stage.HOLD, State.ROLLED_BACK)
 
-    def test_no_replica_is_no_end(self):
+    def test_rollout_without_target_replicas_stays_on_hold(self):
         for now in (130.0, 159.0, 500.0):
             self.assert_plan(replace(CANARY, now=now, ready=0), Stage.HOLD)
 
-    def test_no_evidence_is_no_end(self):
+    def test_undecided_rollout_stays_in_the_canary(self):
         for now in (130.0, 159.0, 500.0):
             undecided = replace(CANARY, now=now, verdict=Verdict.UNDECIDED)
             self.assert_plan(undecided, Stage.CANARY)
@@ -85,7 +85,7 @@
     def test_good_version_waits_for_the_deadline(self):
         self.assert_plan(CANARY, Stage.CANARY)
 
-    def test_shift_begins_when_the_bounds_last(self):
+    def test_shift_starts_when_the_bounds_last_until_the_deadline(self):
         self.assert_plan(AT_END, Stage.SHIFT)
         self.assert_plan(replace(AT_END, now=150.0), Stage.CANARY)
 
@@ -95,7 +95,7 @@
                 self._assert_within_bounds(rate, duration)
 
     def _assert_within_bounds(self, rate: float, duration: float) -> None:
-        """Let the version turn bad right at the shift, and nobody notice."""
+        """Simulate a version that turns bad at the start of the shift and is not detected."""
         now, arrivals = 0.0, 0
         at = replace(CANARY, now=now, ends=duration, rate=rate, arrivals=0, spent=0)
         while now < duration and plan(at, BOUNDS).stage is Stage.CANARY:
@@ -106,38 +106,38 @@
         sent = at.spent + rate * max(0.0, duration - now)
         self.assertLessEqual(sent, 0.1 * rate * duration + 50, (rate, duration))
 
-    def test_shift_needs_room_and_all_dispatchers(self):
+    def test_shift_needs_capacity_and_evidence_of_all_dispatchers(self):
         self.assert_plan(replace(AT_END, room=False), Stage.CANARY)
         self.assert_plan(replace(AT_END, heard=False), Stage.CANARY)
 
-    def test_order_that_was_too_short_goes_on_after_its_deadline(self):
+    def test_order_of_too_short_a_duration_continues_after_its_deadline(self):
         short = replace(CANARY, now=160.0 + FREE_AFTER_SECONDS, arrivals=10, spent=21)
         self.assert_plan(replace(short, verdict=Verdict.UNDECIDED), Stage.CANARY)
         self.assert_plan(short, Stage.SHIFT)
 
-    def test_load_comes_before_the_drain(self):
+    def test_target_is_under_load_before_the_drain(self):
         early = replace(SHIFTING, now=158.0 + SHIFT_SECONDS / 2, spent=220)
         self.assert_plan(early, Stage.SHIFT)
         self.assert_plan(SHIFTING, Stage.DRAIN)
 
-    def test_undecided_under_load_goes_no_further(self):
+    def test_undecided_rollout_under_load_stays_in_its_stage(self):
         undecided = replace(SHIFTING, verdict=Verdict.UNDECIDED)
         self.assert_plan(undecided, Stage.SHIFT)
         self.assert_plan(replace(DRAINING, verdict=Verdict.UNDECIDED), Stage.DRAIN)
 
-    def test_bounds_that_are_used_up_end_the_drain(self):
+    def test_drain_ends_when_the_bounds_are_used_up_before_the_deadline(self):
         used = BOUNDS.shift_calls(5900)
         self.assert_plan(replace(DRAINING, spent=used, running=5), Stage.SHIFT)
         self.assert_plan(replace(SHIFTING, spent=used), Stage.SHIFT)
         self.assert_plan(replace(DRAINING, spent=used, running=5, now=161.0), Stage.DRAIN)
 
-    def test_succeeds_when_nothing_runs_on_other_versions(self):
+    def test_rollout_succeeds_when_no_calls_are_in_flight_on_other_versions(self):
         self.assert_plan(DRAINING, Stage.DRAIN, State.SUCCEEDED)
         self.assert_plan(replace(DRAINING, running=1), Stage.DRAIN)
         self.assert_plan(replace(DRAINING, heard=False), Stage.DRAIN)
         self.assert_plan(replace(DRAINING, loaded_at=159.0 - LOADED_SECONDS / 2), Stage.DRAIN)
 
-    def test_calls_are_waited_for_past_the_deadline_but_not_for_ever(self):
+    def test_calls_in_flight_are_waited_for_until_the_maximum_drain_time(self):
         running = replace(DRAINING, running=3)
         self.assert_plan(replace(running, now=170.0), Stage.DRAIN)
         late = replace(running, now=160.0 + MOST_DRAIN_SECONDS)
--- a/tests/rollouts/test_verdict.py
+++ b/tests/rollouts/test_verdict.py
@@ -1,4 +1,4 @@
-"""A version is judged by what its calls become beside those of the versions that run already."""
+"""A version is judged by its answers compared with those of the versions already in use."""
 
 import random
 import unittest
@@ -14,7 +14,7 @@
 
 
 class Fleet:
-    """Answers of a baseline and of a target version, drawn with one seed, judged in steps."""
+    """Random answers of a baseline and a target version, judged step by step."""
 
     def __init__(self) -> None:
         self.rng = random.Random(7)
@@ -42,7 +42,7 @@
         return first, 4 * first
 
     def verdict(self, **kinds) -> Verdict:
-        """Return the verdict after all steps, or the first one of a bad version."""
+        """Return the verdict after all steps, or as soon as the version is found bad."""
         for _ in range(UPDATES):
             judgement = self.step(**kinds)
             if judgement.verdict is Verdict.BAD:
@@ -51,17 +51,17 @@
 
 
 class GoodVersionTests(unittest.TestCase):
-    def test_one_like_the_baseline_is_good(self):
+    def test_version_like_the_baseline_is_good(self):
         self.assertIs(Fleet().verdict(), Verdict.GOOD)
 
-    def test_nothing_is_known_of_a_few_answers(self):
+    def test_few_answers_are_undecided(self):
         self.assertIs(Fleet().step().verdict, Verdict.UNDECIDED)
 
-    def test_nothing_is_known_without_answers(self):
+    def test_no_answers_are_undecided(self):
         self.assertIs(VersionJudge().judge([]).verdict, Verdict.UNDECIDED)
 
-    def test_route_that_ended_is_waited_for_no_longer(self):
-        """A route is dropped by a configuration before the version had enough answers on it."""
+    def test_route_without_new_answers_is_no_longer_waited_for(self):
+        """A configuration removes a route before the version has enough answers on it."""
         fleet = Fleet()
         ended = RouteEvidence(3, Tally(answers=400, first=[400] + [0] * 31), {})
         for step in range(2 * UPDATES):
@@ -72,11 +72,11 @@
                 self.assertIs(verdict, Verdict.UNDECIDED)
         self.assertIs(verdict, Verdict.GOOD)
 
-    def test_one_whose_single_replica_fails_is_not_bad(self):
+    def test_version_with_one_failing_replica_is_not_bad(self):
         verdict = Fleet().verdict(fails=lambda route, replica: 0.9 * (replica == "i-2"))
         self.assertIsNot(verdict, Verdict.BAD)
 
-    def test_load_that_slows_all_versions_at_once_speaks_against_none(self):
+    def test_version_is_good_if_load_slows_all_versions_at_once(self):
         fleet = Fleet()
         for _ in range(10):
             fleet.step()
@@ -84,32 +84,33 @@
             judgement = fleet.step(all_slower=5.0)
         self.assertIs(judgement.verdict, Verdict.GOOD)
 
-    def test_one_that_is_slower_by_two_fifths_is_not_bad(self):
+    def test_version_slower_by_two_fifths_is_not_bad(self):
         self.assertIsNot(Fleet().verdict(slower=1.4), Verdict.BAD)
 
 
 class BadVersionTests(unittest.TestCase):
     def assert_found(self, fleet: Fleet, **kinds):
         self.assertIs(fleet.verdict(**kinds), Verdict.BAD)
-        # From the fiftieth bad answer on, a bound of seconds begins to run.
+        # After 50 bad answers a version counts as known to be bad, and the time for the rollback
+        # starts to run.
         self.assertLess(fleet.bad_answers, 50)
 
-    def test_half_of_the_answers_fail(self):
+    def test_half_of_the_answers_failing_is_bad(self):
         self.assert_found(Fleet(), fails=lambda route, replica: 0.5)
 
-    def test_half_of_the_answers_of_a_rarer_route_fail(self):
+    def test_half_of_the_answers_of_a_rarer_route_failing_is_bad(self):
         self.assert_found(Fleet(), fails=lambda route, replica: 0.5 * (route == RARE))
 
-    def test_answers_are_three_times_slower(self):
+    def test_answers_three_times_slower_are_bad(self):
         self.assert_found(Fleet(), slower=3.0)
 
-    def test_answers_fail_after_many_good_ones(self):
+    def test_failures_after_many_good_answers_are_bad(self):
         fleet = Fleet()
         for _ in range(UPDATES):
             fleet.step()
         self.assert_found(fleet, fails=lambda route, replica: 0.5)
 
-    def test_answers_fail_when_all_calls_go_to_the_version(self):
+    def test_failures_while_the_version_receives_all_calls_are_bad(self):
         fleet = Fleet()
         for _ in range(UPDATES):
             fleet.step()
@@ -129,7 +130,7 @@
             judgement = fleet.step()
         self.assertIs(judgement.verdict, Verdict.BAD)
 
-    def test_sums_that_begin_anew_are_taken_in_whole(self):
+    def test_failures_after_counting_restarted_from_0_are_bad(self):
         fleet = Fleet()
         for _ in range(UPDATES):
             fleet.step()
