--- a/railsail/rollouts/book.py
+++ b/railsail/rollouts/book.py
@@ -17,7 +17,7 @@
 from railsail.peers.records import RolloutRecord
 from railsail.rollouts.merging import merge
 from railsail.rollouts.orders import Order, Rollout, State
-from railsail.rollouts.stored import BadRollout, parse_rollout
+from railsail.rollouts.serialization import BadRollout, parse_rollout
 from railsail.store.base import Listing, WatchEvent
 
 KIND = "rollout"
--- a/railsail/rollouts/coordination.py
+++ b/railsail/rollouts/coordination.py
@@ -15,12 +15,12 @@
 from railsail.peers.messages import RolloutEvidence
 from railsail.rollouts.book import RolloutBook
 from railsail.rollouts.bounds import ExposureBounds
+from railsail.rollouts.coordinator_term import LEASE_SECONDS, Tenure
 from railsail.rollouts.fleet import Fleet, ranked_candidates
 from railsail.rollouts.ledger import Entry, Ledger, taken
 from railsail.rollouts.orders import Order, State
 from railsail.rollouts.publishing import StatusWriter
 from railsail.rollouts.stages import Stage
-from railsail.rollouts.tenure import LEASE_SECONDS, Tenure
 from railsail.rollouts.verdict import Judgement
 from railsail.store.base import Store
 from railsail.store.journal import Backoff
--- a/railsail/rollouts/tenure.py
+++ b/railsail/rollouts/coordinator_term.py
@@ -14,15 +14,15 @@
 from railsail.core.kernel import Kernel
 from railsail.membership.placement import rank
 from railsail.peers.messages import RolloutAllowance, RolloutEvidence
-from railsail.rollouts.allotments import Allotments
 from railsail.rollouts.bounds import CANARY_SHARE, ExposureBounds
 from railsail.rollouts.canaries import over_domains
+from railsail.rollouts.evidence_collector import Gathering, Source
 from railsail.rollouts.fleet import Fleet, Replica
-from railsail.rollouts.gathering import Gathering, Source
 from railsail.rollouts.ledger import Entry
 from railsail.rollouts.load import Load
 from railsail.rollouts.orders import Order, State
 from railsail.rollouts.plan import FREE_AFTER_SECONDS, Plan, Situation, plan
+from railsail.rollouts.quotas import Allotments
 from railsail.rollouts.stages import Stage
 from railsail.rollouts.verdict import Judgement, Verdict, VersionJudge
 
--- a/railsail/rollouts/publishing.py
+++ b/railsail/rollouts/publishing.py
@@ -4,7 +4,7 @@
 from railsail.core.logs import get_logger
 from railsail.rollouts.book import KIND, RolloutBook
 from railsail.rollouts.orders import Order, Rollout, State
-from railsail.rollouts.stored import BadRollout, parse_rollout, status_value
+from railsail.rollouts.serialization import BadRollout, parse_rollout, status_value
 from railsail.store.base import Store, StoredObject, WatchEvent
 
 
--- a/railsail/rollouts/allotments.py
+++ b/railsail/rollouts/quotas.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Mapping
 
-from railsail.rollouts.gathering import Source
+from railsail.rollouts.evidence_collector import Source
 
 
 class Allotments:
--- a/railsail/rollouts/report.py
+++ b/railsail/rollouts/report.py
@@ -1,8 +1,8 @@
 """The report on rollouts for operators, as plain data."""
 
 from railsail.rollouts.coordinator import Coordinator
+from railsail.rollouts.coordinator_term import Tenure
 from railsail.rollouts.orders import Rollout, State
-from railsail.rollouts.tenure import Tenure
 
 
 def row(rollout: Rollout, coordinator: Coordinator) -> dict[str, object]:
--- a/tests/rollouts/test_coordinator.py
+++ b/tests/rollouts/test_coordinator.py
@@ -7,10 +7,10 @@
 from railsail.core.clock import ManualClock
 from railsail.rollouts.book import KIND as ROLLOUT
 from railsail.rollouts.coordinator import Coordinator
+from railsail.rollouts.coordinator_term import LEASE_SECONDS
 from railsail.rollouts.ledger import KIND as LEDGER
 from railsail.rollouts.orders import State
 from railsail.rollouts.stages import Stage
-from railsail.rollouts.tenure import LEASE_SECONDS
 from railsail.rollouts.verdict import Verdict
 from tests.rollouts.base import (
     BOUNDS,
--- a/tests/rollouts/test_gathering.py
+++ b/tests/rollouts/test_evidence_collector.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from railsail.peers.messages import RolloutEvidence
-from railsail.rollouts.gathering import HEARD_SECONDS, Gathering
+from railsail.rollouts.evidence_collector import HEARD_SECONDS, Gathering
 from tests.rollouts.base import evidence, tally
 
 
