--- a/railsail/rollouts/canaries.py
+++ b/railsail/rollouts/canaries.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Mapping
 
 
-def over_domains(ranked: Iterable[str], domains: Mapping[str, str]) -> list[str]:
+def spread_over_domains(ranked: Iterable[str], domains: Mapping[str, str]) -> list[str]:
     """Return ``ranked`` reordered so that its first replicas cover as many domains as possible.
 
     Within a domain the ranking stays. ``domains`` maps each replica to its failure domain.
--- a/railsail/rollouts/coordination.py
+++ b/railsail/rollouts/coordination.py
@@ -15,9 +15,9 @@
 from railsail.peers.messages import RolloutEvidence
 from railsail.rollouts.book import RolloutBook
 from railsail.rollouts.bounds import ExposureBounds
-from railsail.rollouts.coordinator_term import LEASE_SECONDS, Tenure
+from railsail.rollouts.coordinator_term import LEASE_SECONDS, CoordinatorTerm
 from railsail.rollouts.fleet import Fleet, ranked_candidates
-from railsail.rollouts.ledger import Entry, Ledger, taken
+from railsail.rollouts.ledger import Entry, Ledger, takeover_entry
 from railsail.rollouts.orders import Order, State
 from railsail.rollouts.publishing import StatusWriter
 from railsail.rollouts.stages import Stage
@@ -59,7 +59,7 @@
         judging: Callable[[list], Judgement] | None = None,
     ) -> None:
         self.order = order
-        self.tenure: Tenure | None = None
+        self.coordinator_term: CoordinatorTerm | None = None
         self._book = book
         self._status = StatusWriter(store, book)
         self._fleet = fleet
@@ -87,8 +87,8 @@
 
     def received(self, node: str, evidence: RolloutEvidence) -> None:
         """Record ``evidence`` of the dispatcher at ``node`` if this node leads."""
-        if self.tenure is not None:
-            self.tenure.received(node, evidence)
+        if self.coordinator_term is not None:
+            self.coordinator_term.received(node, evidence)
 
     async def run(self) -> None:
         """Lead or stand by until the order has ended or was replaced."""
@@ -100,28 +100,34 @@
                 self._ticking.cancel()
 
     async def _tick_on(self) -> None:
-        while self.tenure is not None:
+        while self.coordinator_term is not None:
             self.tick()
-            shifts = self.tenure is not None and self.tenure.stage >= Stage.SHIFT
+            shifts = (
+                self.coordinator_term is not None and self.coordinator_term.stage >= Stage.SHIFT
+            )
             await asyncio.sleep(TICK_SECONDS_IN_SHIFT if shifts else TICK_SECONDS)
 
     def tick(self) -> None:
         """Do what needs no store call: judge the version, plan, and send allowances."""
-        tenure = self.tenure
-        if tenure is None or not self._still_ordered():
+        coordinator_term = self.coordinator_term
+        if coordinator_term is None or not self._still_ordered():
             return
-        tenure.order = self.order
+        coordinator_term.order = self.order
         try:
-            tenure.tick()
+            coordinator_term.tick()
         except Exception:
             # The ledger is still written: otherwise another node would take over and fail alike.
             get_logger().exception("rollout planning failed", service=self.order.service)
-        if tenure.writes_now():
+        if coordinator_term.writes_now():
             self.wake()
 
     def _still_ordered(self) -> bool:
         order = self._book.running(self.order.service)
-        if order is None or order.version > self.order.version or not order.asks_same(self.order):
+        if (
+            order is None
+            or order.version > self.order.version
+            or not order.is_equivalent(self.order)
+        ):
             return False
         # Nodes agree on the lowest version at which the order was read.
         self.order = order
@@ -138,7 +144,7 @@
             pause = await self.step()
         except StoreConflict:
             get_logger().info("rollout written by another node", service=self.order.service)
-            self._ledger.unsure = True
+            self._ledger.needs_read = True
             return FIRST_PAUSE_SECONDS
         except StoreUnavailable as problem:
             reason = str(problem)
@@ -149,13 +155,13 @@
 
     async def step(self) -> float:
         """Make the store calls that are due, and return the seconds until the next step."""
-        if self.tenure is None:
+        if self.coordinator_term is None:
             place = self._place()
             return LOOK_SECONDS if place is None else await self._stand_by(place)
-        if self._ledger.unsure:
+        if self._ledger.needs_read:
             await self._ledger.read()
             self._note_read()
-        return await self._lead() if self.tenure is not None else FIRST_PAUSE_SECONDS
+        return await self._lead() if self.coordinator_term is not None else FIRST_PAUSE_SECONDS
 
     def _place(self) -> int | None:
         """Return this node's rank among the candidates, ``None`` if it need not read the ledger."""
@@ -173,18 +179,18 @@
 
     def _note_read(self) -> None:
         """Step down if another node has taken over according to the ledger that was just read."""
-        tenure, entry = self.tenure, self._ledger.entry
-        if tenure is None:
+        coordinator_term, entry = self.coordinator_term, self._ledger.entry
+        if coordinator_term is None:
             return
-        if not self._may_lead() or (entry is not None and _is_later(entry, tenure.entry)):
+        if not self._may_lead() or (entry is not None and _is_later(entry, coordinator_term.entry)):
             self._step_back()
-        elif entry is not None and _is_own(entry, tenure.entry):
+        elif entry is not None and _is_own(entry, coordinator_term.entry):
             # A write without an answer may have taken effect.
-            tenure.stored(entry, self._ledger.changed_at - LEASE_SECONDS)
+            coordinator_term.stored(entry, self._ledger.changed_at - LEASE_SECONDS)
 
     def _step_back(self) -> None:
         self._tell("stepped back")
-        self.tenure = None
+        self.coordinator_term = None
 
     def _may_lead(self) -> bool:
         return self._fleet.own in self._fleet.candidates()
@@ -228,8 +234,10 @@
         clock = self._kernel.clock
         began = clock.monotonic()
         new = self._is_new(entry)
-        await self._ledger.write(taken(entry, self.order, self._fleet.own, clock.wall(), new))
-        self.tenure = Tenure(
+        await self._ledger.write(
+            takeover_entry(entry, self.order, self._fleet.own, clock.wall(), new)
+        )
+        self.coordinator_term = CoordinatorTerm(
             self.order,
             self._ledger.entry,
             began,
@@ -245,7 +253,7 @@
         return 0.0
 
     async def _lead(self) -> float:
-        tenure = self.tenure
+        coordinator_term = self.coordinator_term
         if not self._may_lead():
             self._step_back()
             return LOOK_SECONDS
@@ -255,12 +263,12 @@
                 # The store has another order, which this node will receive in a moment.
                 return POLL_SECONDS
         began = self._kernel.clock.monotonic()
-        await self._ledger.write(tenure.next_entry())
-        tenure.stored(self._ledger.entry, began)
-        self._show(tenure)
-        if tenure.entry.state.ended:
-            await self._carry_out(tenure.entry)
-        return RENEW_SECONDS_IN_SHIFT if tenure.stage >= Stage.SHIFT else RENEW_SECONDS
+        await self._ledger.write(coordinator_term.next_entry())
+        coordinator_term.stored(self._ledger.entry, began)
+        self._show(coordinator_term)
+        if coordinator_term.entry.state.ended:
+            await self._carry_out(coordinator_term.entry)
+        return RENEW_SECONDS_IN_SHIFT if coordinator_term.stage >= Stage.SHIFT else RENEW_SECONDS
 
     def _lacks_status(self) -> bool:
         """Return True if the running status has to be written, for the first time or again.
@@ -289,13 +297,13 @@
         await self._status.write(self.order, entry.state)
         return POLL_SECONDS
 
-    def _show(self, tenure: Tenure) -> None:
+    def _show(self, coordinator_term: CoordinatorTerm) -> None:
         labels = {"service": self.order.service}
-        self._kernel.metrics.rollout_stage.set(labels, int(tenure.stage))
-        self._kernel.metrics.rollout_reserved.set(labels, tenure.entry.reserved)
+        self._kernel.metrics.rollout_stage.set(labels, int(coordinator_term.stage))
+        self._kernel.metrics.rollout_reserved.set(labels, coordinator_term.entry.reserved)
 
     def _tell(self, detail: str) -> None:
-        entry = self.tenure.entry
+        entry = self.coordinator_term.entry
         self._kernel.events.emit(
             Kind.ROLLOUT,
             f"coordinator {detail}",
--- a/railsail/rollouts/coordinator_term.py
+++ b/railsail/rollouts/coordinator_term.py
@@ -15,14 +15,14 @@
 from railsail.membership.placement import rank
 from railsail.peers.messages import RolloutAllowance, RolloutEvidence
 from railsail.rollouts.bounds import CANARY_SHARE, ExposureBounds
-from railsail.rollouts.canaries import over_domains
-from railsail.rollouts.evidence_collector import Gathering, Source
+from railsail.rollouts.canaries import spread_over_domains
+from railsail.rollouts.evidence_collector import EvidenceCollector, Source
 from railsail.rollouts.fleet import Fleet, Replica
 from railsail.rollouts.ledger import Entry
 from railsail.rollouts.load import Load
 from railsail.rollouts.orders import Order, State
-from railsail.rollouts.plan import FREE_AFTER_SECONDS, Plan, Situation, plan
-from railsail.rollouts.quotas import Allotments
+from railsail.rollouts.plan import FREE_AFTER_SECONDS, Plan, PlanInputs, plan
+from railsail.rollouts.quotas import Quotas
 from railsail.rollouts.stages import Stage
 from railsail.rollouts.verdict import Judgement, Verdict, VersionJudge
 
@@ -59,7 +59,7 @@
     unjudged: bool = True
 
 
-class Tenure:
+class CoordinatorTerm:
     """The coordination of ``order`` in the term of the ledger's ``entry``.
 
     The write of ``entry`` began at ``began`` (seconds of the monotonic clock). ``judging`` replaces
@@ -86,8 +86,8 @@
         self._judge = judging or VersionJudge().judge
         self._reserved_before = entry.reserved
         self._arrivals_before = entry.arrivals
-        self._gathering = Gathering()
-        self._allotments = Allotments()
+        self._collector = EvidenceCollector()
+        self._quotas = Quotas()
         waiting = Judgement(Verdict.UNDECIDED, "no evidence yet")
         self._progress = _Progress(Plan(Stage.HOLD, "the term begins"), waiting)
 
@@ -109,7 +109,7 @@
     @property
     def arrivals(self) -> int:
         """Return how many calls of the service have arrived since the order, at least."""
-        return self._arrivals_before + self._gathering.arrivals
+        return self._arrivals_before + self._collector.arrivals
 
     @property
     def spent(self) -> int:
@@ -125,7 +125,7 @@
         """Record ``evidence`` of the dispatcher at ``node`` if it is about this order."""
         process = self._fleet.start_id(node)
         if evidence.version == self.order.version:
-            self._gathering.received(node, process, evidence, self._now())
+            self._collector.received(node, process, evidence, self._now())
             self._progress.unjudged = True
 
     def stored(self, entry: Entry, began: float) -> None:
@@ -142,37 +142,37 @@
         if not self.leads():
             return
         if self._progress.unjudged:
-            routes = self._gathering.routes(self.order.target_version)
+            routes = self._collector.routes(self.order.target_version)
             self._progress.judgement = self._judge(routes)
             self._progress.unjudged = False
-        situation = self._situation()
-        self._follow(self._plan(situation), situation)
+        inputs = self._plan_inputs()
+        self._follow(self._plan(inputs), inputs)
         self._divide()
         self._allow()
 
-    def _plan(self, situation: Situation) -> Plan:
+    def _plan(self, inputs: PlanInputs) -> Plan:
         # A decision may be on its way to the store, so later evidence must not change it.
-        return self.decided or plan(situation, self._bounds)
+        return self.decided or plan(inputs, self._bounds)
 
-    def _follow(self, chosen: Plan, situation: Situation) -> None:
+    def _follow(self, chosen: Plan, inputs: PlanInputs) -> None:
         progress = self._progress
         if chosen.stage >= Stage.SHIFT > self.stage:
-            progress.loaded_at = situation.now
-            progress.load = Load(situation.running, situation.rate)
+            progress.loaded_at = inputs.now
+            progress.load = Load(inputs.running, inputs.rate)
         if chosen.stage != self.stage or (chosen.state and self.decided is None):
-            self._tell(chosen, situation)
+            self._tell(chosen, inputs)
             progress.sent_at = -math.inf
         progress.plan = chosen
         if chosen.state is not State.NONE and self.decided is None:
             self.decided = chosen
 
-    def _situation(self) -> Situation:
+    def _plan_inputs(self) -> PlanInputs:
         now = self._now()
         targets, others = self._ready()
         heard = self._heard()
-        running = self._gathering.running(heard.values())
-        rate = self._gathering.rate(now)
-        return Situation(
+        running = self._collector.running(heard.values())
+        rate = self._collector.rate(now)
+        return PlanInputs(
             now=now,
             ends=now + self.seconds_left,
             stage=self.stage,
@@ -210,7 +210,7 @@
         dispatchers = self._fleet.dispatchers(self.order.service)
         return {
             source.cell: source
-            for source in self._gathering.lately(self._now())
+            for source in self._collector.lately(self._now())
             if dispatchers.get(source.cell) == source.node
             and source.version == self.order.version
             and source.process == self._fleet.start_id(source.node)
@@ -219,12 +219,12 @@
     def _divide(self) -> None:
         cells = {replica.cell for replica in self._targets()}
         weights = {
-            source: 1.0 + self._gathering.arrivals_of(source)
+            source: 1.0 + self._collector.arrivals_of(source)
             for cell, source in self._heard().items()
             if cell in cells
         }
-        free = self.entry.reserved - self._reserved_before - self._allotments.total
-        self._allotments.divide(free, weights)
+        free = self.entry.reserved - self._reserved_before - self._quotas.total
+        self._quotas.divide(free, weights)
 
     def _allow(self) -> None:
         now = self._now()
@@ -256,7 +256,7 @@
             return 0
         if self._is_free() and self.stage > Stage.CANARY:
             return UNLIMITED_CALLS
-        return self._allotments.of(source)
+        return self._quotas.of(source)
 
     def _is_free(self) -> bool:
         return self._kernel.clock.wall() >= self.entry.ends / _MS + FREE_AFTER_SECONDS
@@ -265,7 +265,9 @@
         targets = self._targets()
         count = math.ceil(CANARY_SHARE * self._bounds.share * len(targets))
         domains = {r.name: r.failure_domain for r in targets if r.cell == cell}
-        chosen = over_domains(rank(f"canary of {self.order.service}", list(domains)), domains)
+        chosen = spread_over_domains(
+            rank(f"canary of {self.order.service}", list(domains)), domains
+        )
         return chosen[: min(MOST_NAMED, max(LEAST_CANARIES, count))]
 
     def writes_now(self) -> bool:
@@ -301,7 +303,7 @@
         if self._is_free():
             # Calls are no longer bounded in the shift, so nothing has to be left for it.
             return self._bounds.shift_calls(self.arrivals)
-        rate = self._gathering.rate(self._now())
+        rate = self._collector.rate(self._now())
         return self._bounds.canary_calls(self.arrivals, rate, self._elapsed())
 
     def _elapsed(self) -> float:
@@ -313,7 +315,7 @@
         """Return how many calls are reserved in advance, 0 unless the target receives all calls."""
         if self.stage < Stage.SHIFT:
             return 0
-        return int(AHEAD_SECONDS * self._gathering.rate(self._now())) + AHEAD_CALLS
+        return int(AHEAD_SECONDS * self._collector.rate(self._now())) + AHEAD_CALLS
 
     def _unused(self) -> int:
         """Return how many reserved calls have not been sent yet.
@@ -321,14 +323,14 @@
         These are the calls that are in no quota, and the rest of the quotas of dispatchers with
         recent evidence. The whole quota of a silent dispatcher counts as sent.
         """
-        free = self.entry.reserved - self._reserved_before - self._allotments.total
+        free = self.entry.reserved - self._reserved_before - self._quotas.total
         term = self.entry.term
         return free + sum(
-            self._allotments.of(source) - self._gathering.exposed_of(source, term)
+            self._quotas.of(source) - self._collector.exposed_of(source, term)
             for source in self._heard().values()
         )
 
-    def _tell(self, chosen: Plan, situation: Situation) -> None:
+    def _tell(self, chosen: Plan, inputs: PlanInputs) -> None:
         self._kernel.events.emit(
             Kind.ROLLOUT,
             chosen.reason,
@@ -340,13 +342,13 @@
             state=chosen.state.name.lower(),
             verdict=self.verdict.name.lower(),
             evidence=self._progress.judgement.reason,
-            arrivals=situation.arrivals,
-            rate=round(situation.rate, 1),
+            arrivals=inputs.arrivals,
+            rate=round(inputs.rate, 1),
             reserved=self.entry.reserved,
-            spent=situation.spent,
-            running=situation.running,
-            ready=situation.ready,
-            left_ms=round((situation.ends - situation.now) * _MS),
+            spent=inputs.spent,
+            running=inputs.running,
+            ready=inputs.ready,
+            left_ms=round((inputs.ends - inputs.now) * _MS),
         )
 
     def _now(self) -> float:
--- a/railsail/rollouts/evidence_collector.py
+++ b/railsail/rollouts/evidence_collector.py
@@ -44,7 +44,7 @@
         return self.newest.arrivals - self.first.arrivals
 
 
-class Gathering:
+class EvidenceCollector:
     """The newest evidence of each dispatcher; times are seconds of the monotonic clock."""
 
     def __init__(self) -> None:
--- a/railsail/rollouts/ledger.py
+++ b/railsail/rollouts/ledger.py
@@ -55,7 +55,7 @@
     return (order.target_version, round(order.duration * _MS))
 
 
-def taken(entry: Entry | None, order: Order, holder: str, wall: float, new: bool) -> Entry:
+def takeover_entry(entry: Entry | None, order: Order, holder: str, wall: float, new: bool) -> Entry:
     """Return the entry with which ``holder`` takes over from ``entry``.
 
     ``new`` is True if ``entry`` is not about ``order``. The order then starts at ``wall``, in
@@ -75,7 +75,7 @@
     """Read and write the ledger of one service; nothing is retried.
 
     A write that raised ``StoreUnavailable`` may still take effect until the version of the object
-    changes. ``unsure`` is then True, and the ledger has to be read before anything else is done.
+    changes. ``needs_read`` is then True: the ledger has to be read before anything else is done.
     ``monotonic`` returns the time in seconds.
     """
 
@@ -85,7 +85,7 @@
         self._monotonic = monotonic
         self._version = 0
         self.entry: Entry | None = None
-        self.unsure = True
+        self.needs_read = True
         # When this node first read the current version of the object, or wrote it.
         self.changed_at = monotonic()
 
@@ -97,7 +97,7 @@
     async def read(self) -> None:
         """Read the entry; errors of the store propagate."""
         stored = await self._store.get(KIND, self._service)
-        self.unsure = False
+        self.needs_read = False
         if stored is None:
             self._note(0, None)
         elif stored.version != self._version:
@@ -108,10 +108,10 @@
 
         Raise ``StoreConflict`` if another node has changed the object since.
         """
-        self.unsure = True
+        self.needs_read = True
         value = msgspec.to_builtins(entry)
         version = await self._store.put(KIND, self._service, value, self._version)
-        self.unsure = False
+        self.needs_read = False
         self._note(version, entry)
 
     def _note(self, version: int, entry: Entry | None) -> None:
--- a/railsail/rollouts/merging.py
+++ b/railsail/rollouts/merging.py
@@ -85,7 +85,7 @@
     """Return True if both are about the same order, which may since have been withdrawn."""
     if older.gone and not newer.gone:
         return False
-    return newer.order.asks_same(older.order)
+    return newer.order.is_equivalent(older.order)
 
 
 def _furthest(newer: Rollout, older: Rollout) -> Rollout:
--- a/railsail/rollouts/orders.py
+++ b/railsail/rollouts/orders.py
@@ -31,7 +31,7 @@
     target_version: str
     duration: float
 
-    def asks_same(self, other: "Order") -> bool:
+    def is_equivalent(self, other: "Order") -> bool:
         """Return True if ``other`` requests the same, whichever version it was read at."""
         return (self.target_version, self.duration) == (other.target_version, other.duration)
 
--- a/railsail/rollouts/plan.py
+++ b/railsail/rollouts/plan.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True)
-class Situation:
+class PlanInputs:
     """What the coordinator knows of a rollout; times are in seconds of one clock.
 
     ``ends`` is the deadline. The service has received ``arrivals`` calls so far, recently at
@@ -73,87 +73,87 @@
     state: State = State.NONE
 
 
-def plan(situation: Situation, bounds: ExposureBounds) -> Plan:
+def plan(inputs: PlanInputs, bounds: ExposureBounds) -> Plan:
     """Return the next stage of the rollout, with the reason for it."""
-    if situation.verdict is Verdict.BAD:
+    if inputs.verdict is Verdict.BAD:
         return Plan(Stage.HOLD, "the target version is bad", State.ROLLED_BACK)
-    if situation.ready == 0:
+    if inputs.ready == 0:
         return Plan(Stage.HOLD, "the target version has no replica ready")
-    if situation.stage < Stage.SHIFT:
-        return _before_shift(situation, bounds)
-    if situation.stage is Stage.SHIFT:
-        return _in_shift(situation, bounds)
-    return _in_drain(situation, bounds)
+    if inputs.stage < Stage.SHIFT:
+        return _before_shift(inputs, bounds)
+    if inputs.stage is Stage.SHIFT:
+        return _in_shift(inputs, bounds)
+    return _in_drain(inputs, bounds)
 
 
-def full_seconds(situation: Situation, bounds: ExposureBounds) -> float:
+def full_seconds(inputs: PlanInputs, bounds: ExposureBounds) -> float:
     """Return for how many seconds all calls can go to the target version within the bounds."""
-    if situation.now >= _free_at(situation):
+    if inputs.now >= _free_at(inputs):
         return float("inf")
-    left = bounds.shift_calls(situation.arrivals) - situation.spent
-    if situation.rate <= 0:
+    left = bounds.shift_calls(inputs.arrivals) - inputs.spent
+    if inputs.rate <= 0:
         return MOST_SHIFT_SECONDS if left > 0 else 0.0
-    return max(0.0, left / (RATE_MARGIN * situation.rate))
+    return max(0.0, left / (RATE_MARGIN * inputs.rate))
 
 
-def _free_at(situation: Situation) -> float:
-    return situation.ends + FREE_AFTER_SECONDS
+def _free_at(inputs: PlanInputs) -> float:
+    return inputs.ends + FREE_AFTER_SECONDS
 
 
-def _lasts(situation: Situation, bounds: ExposureBounds) -> bool:
+def _lasts(inputs: PlanInputs, bounds: ExposureBounds) -> bool:
     """Return True if all calls can go to the target version until they are no longer bounded."""
-    return full_seconds(situation, bounds) >= _free_at(situation) - situation.now
+    return full_seconds(inputs, bounds) >= _free_at(inputs) - inputs.now
 
 
-def _before_shift(situation: Situation, bounds: ExposureBounds) -> Plan:
-    if situation.others == 0 and situation.now >= _free_at(situation):
+def _before_shift(inputs: PlanInputs, bounds: ExposureBounds) -> Plan:
+    if inputs.others == 0 and inputs.now >= _free_at(inputs):
         # Callers would find no replica, and there will be no baseline to compare with.
         return Plan(Stage.SHIFT, "no other version has a replica ready")
-    if situation.verdict is not Verdict.GOOD:
+    if inputs.verdict is not Verdict.GOOD:
         return Plan(Stage.CANARY, "the evidence decides nothing yet")
-    if situation.now < situation.ends - MOST_SHIFT_SECONDS:
+    if inputs.now < inputs.ends - MOST_SHIFT_SECONDS:
         return Plan(Stage.CANARY, "the deadline is far")
-    if not _lasts(situation, bounds):
+    if not _lasts(inputs, bounds):
         return Plan(Stage.CANARY, "the bounds do not last until the deadline")
-    if not situation.room:
+    if not inputs.room:
         return Plan(Stage.CANARY, "the target version lacks room")
-    if not situation.heard:
+    if not inputs.heard:
         return Plan(Stage.CANARY, "not all dispatchers are heard")
     return Plan(Stage.SHIFT, "the target version is good")
 
 
-def _in_shift(situation: Situation, bounds: ExposureBounds) -> Plan:
-    if _loaded_seconds(situation) < SHIFT_SECONDS:
+def _in_shift(inputs: PlanInputs, bounds: ExposureBounds) -> Plan:
+    if _loaded_seconds(inputs) < SHIFT_SECONDS:
         return Plan(Stage.SHIFT, "the target version gets its first load")
-    if situation.verdict is not Verdict.GOOD:
+    if inputs.verdict is not Verdict.GOOD:
         return Plan(Stage.SHIFT, "the evidence decides nothing under load")
-    if not _lasts(situation, bounds):
+    if not _lasts(inputs, bounds):
         return Plan(Stage.SHIFT, "the bounds do not last until the deadline")
-    if not situation.room:
+    if not inputs.room:
         return Plan(Stage.SHIFT, "the target version lacks room")
-    if not situation.heard:
+    if not inputs.heard:
         return Plan(Stage.SHIFT, "not all dispatchers are heard")
     return Plan(Stage.DRAIN, "the target version bears the load")
 
 
-def _in_drain(situation: Situation, bounds: ExposureBounds) -> Plan:
-    if full_seconds(situation, bounds) <= 0:
+def _in_drain(inputs: PlanInputs, bounds: ExposureBounds) -> Plan:
+    if full_seconds(inputs, bounds) <= 0:
         return Plan(Stage.SHIFT, "the bounds are used up")
-    if not situation.room:
+    if not inputs.room:
         # A failure domain with replicas of the target may have been evacuated or lost since.
         return Plan(Stage.SHIFT, "the target version lacks room")
-    if situation.verdict is not Verdict.GOOD:
+    if inputs.verdict is not Verdict.GOOD:
         return Plan(Stage.DRAIN, "the evidence decides nothing under load")
-    if _loaded_seconds(situation) < LOADED_SECONDS:
+    if _loaded_seconds(inputs) < LOADED_SECONDS:
         return Plan(Stage.DRAIN, "the target version has had the load for a moment")
-    if situation.now >= situation.ends + MOST_DRAIN_SECONDS:
+    if inputs.now >= inputs.ends + MOST_DRAIN_SECONDS:
         return Plan(Stage.DRAIN, "nothing more is waited for", State.SUCCEEDED)
-    if not situation.heard:
+    if not inputs.heard:
         return Plan(Stage.DRAIN, "not all dispatchers are heard")
-    if situation.running > MOST_CUT_CALLS:
+    if inputs.running > MOST_CUT_CALLS:
         return Plan(Stage.DRAIN, "calls run on other versions")
     return Plan(Stage.DRAIN, "nothing runs on other versions", State.SUCCEEDED)
 
 
-def _loaded_seconds(situation: Situation) -> float:
-    return situation.now - situation.loaded_at if situation.loaded_at else 0.0
+def _loaded_seconds(inputs: PlanInputs) -> float:
+    return inputs.now - inputs.loaded_at if inputs.loaded_at else 0.0
--- a/railsail/rollouts/publishing.py
+++ b/railsail/rollouts/publishing.py
@@ -40,7 +40,7 @@
     async def _read_and_write(self, order: Order, state: State) -> bool:
         stored = await self._store.get(KIND, order.service)
         found = _read(stored) if stored is not None else None
-        if stored is None or found is None or not found.order.asks_same(order):
+        if stored is None or found is None or not found.order.is_equivalent(order):
             return False
         self._book.seen(WatchEvent(KIND, stored.name, stored.version, stored.value))
         if found.stored > order.version and found.written >= min(state, State.SUCCEEDED):
--- a/railsail/rollouts/quotas.py
+++ b/railsail/rollouts/quotas.py
@@ -9,7 +9,7 @@
 from railsail.rollouts.evidence_collector import Source
 
 
-class Allotments:
+class Quotas:
     """The number of calls that each dispatcher may send in total in one term."""
 
     def __init__(self) -> None:
--- a/railsail/rollouts/report.py
+++ b/railsail/rollouts/report.py
@@ -1,7 +1,7 @@
 """The report on rollouts for operators, as plain data."""
 
 from railsail.rollouts.coordinator import Coordinator
-from railsail.rollouts.coordinator_term import Tenure
+from railsail.rollouts.coordinator_term import CoordinatorTerm
 from railsail.rollouts.orders import Rollout, State
 
 
@@ -21,8 +21,8 @@
     if coordination is None:
         return told
     told["coordinator"] = coordination.holder
-    if coordination.tenure is not None:
-        told |= _figures(coordination.tenure)
+    if coordination.coordinator_term is not None:
+        told |= _figures(coordination.coordinator_term)
     return told
 
 
@@ -32,14 +32,14 @@
     return "new" if rollout.current is State.NONE else rollout.current.name.lower()
 
 
-def _figures(tenure: Tenure) -> dict[str, object]:
+def _figures(coordinator_term: CoordinatorTerm) -> dict[str, object]:
     return {
-        "term": tenure.entry.term,
-        "stage": tenure.stage.name.lower(),
-        "verdict": tenure.verdict.name.lower(),
-        "reason": tenure.reason,
-        "left_ms": round(tenure.seconds_left * 1000),
-        "arrivals": tenure.arrivals,
-        "reserved": tenure.entry.reserved,
-        "spent": tenure.spent,
+        "term": coordinator_term.entry.term,
+        "stage": coordinator_term.stage.name.lower(),
+        "verdict": coordinator_term.verdict.name.lower(),
+        "reason": coordinator_term.reason,
+        "left_ms": round(coordinator_term.seconds_left * 1000),
+        "arrivals": coordinator_term.arrivals,
+        "reserved": coordinator_term.entry.reserved,
+        "spent": coordinator_term.spent,
     }
--- a/tests/fleet/test_rollouts.py
+++ b/tests/fleet/test_rollouts.py
@@ -34,8 +34,8 @@
 
     def leads(self, node: Node) -> bool:
         coordination = node.parts["rollouts"].coordinator.coordination(SERVICE)
-        tenure = coordination.tenure if coordination is not None else None
-        return tenure is not None and tenure.leads()
+        coordinator_term = coordination.coordinator_term if coordination is not None else None
+        return coordinator_term is not None and coordinator_term.leads()
 
     async def begin(self) -> Node:
         await self.order()
--- a/tests/rollouts/base.py
+++ b/tests/rollouts/base.py
@@ -198,13 +198,13 @@
         try:
             return await self.coordination.step()
         except (StoreConflict, StoreUnavailable):
-            self.coordination._ledger.unsure = True
+            self.coordination._ledger.needs_read = True
             return None
 
     @property
     def leads(self) -> bool:
-        tenure = self.coordination.tenure
-        return tenure is not None and tenure.leads()
+        coordinator_term = self.coordination.coordinator_term
+        return coordinator_term is not None and coordinator_term.leads()
 
     @property
     def allowed(self) -> RolloutAllowance:
--- a/tests/rollouts/test_coordinator.py
+++ b/tests/rollouts/test_coordinator.py
@@ -85,7 +85,7 @@
     async def test_version_that_turns_bad_in_the_shift_stays_within_the_bounds(self):
         leader = await self.begin()
         self.judge(Verdict.GOOD)
-        while leader.coordination.tenure.stage < Stage.SHIFT:
+        while leader.coordination.coordinator_term.stage < Stage.SHIFT:
             await self.pass_time(STEP)
         self.judge(Verdict.BAD)
         await self.pass_time(0.5)
@@ -114,7 +114,7 @@
         self.assertEqual(len(paused.fleet.sent), count)
         await paused.step()
         await paused.step()
-        self.assertIsNone(paused.coordination.tenure)
+        self.assertIsNone(paused.coordination.coordinator_term)
         self.assertNotEqual(self.store.ledger()["holder"], paused.name)
 
     async def test_coordinator_refused_by_the_store_is_replaced(self):
@@ -126,7 +126,7 @@
         self.store.turned_away.clear()
         await self.pass_time(1.0)
         self.assertIs(self.leader(), leader)
-        self.assertIsNone(away.coordination.tenure)
+        self.assertIsNone(away.coordination.coordinator_term)
 
     async def test_coordinator_that_is_about_to_stop_is_replaced(self):
         stopping = await self.begin()
@@ -164,7 +164,7 @@
         dead = await self.begin()
         self.judge(Verdict.BAD)
         dead.coordination.tick()
-        entry = dead.coordination.tenure.next_entry()
+        entry = dead.coordination.coordinator_term.next_entry()
         await dead.coordination._ledger.write(entry)
         left = [node for node in self.nodes if node is not dead]
         for node in left:
@@ -194,7 +194,7 @@
         dead = await self.begin()
         self.judge(Verdict.BAD)
         dead.coordination.tick()
-        await dead.coordination._ledger.write(dead.coordination.tenure.next_entry())
+        await dead.coordination._ledger.write(dead.coordination.coordinator_term.next_entry())
         fresh = FakeNode("a", NAMES, self.store, self.clock)
         await fresh.step()
         self.assertIsNone(fresh.book.running(SERVICE))
@@ -326,11 +326,11 @@
     async def test_lower_version_of_the_order_does_not_repeat_a_quota(self):
         leader = await self.begin()
         await self.pass_time(2.0)
-        tenure = leader.coordination.tenure
+        coordinator_term = leader.coordination.coordinator_term
         self.assertGreater(leader.allowed.calls, 0)
-        tenure.order = replace(tenure.order, version=0)
+        coordinator_term.order = replace(coordinator_term.order, version=0)
         self.clock.advance(0.3)
-        tenure.tick()
+        coordinator_term.tick()
         self.assertEqual((leader.allowed.version, leader.allowed.calls), (0, 0))
 
 
--- a/tests/rollouts/test_ledger.py
+++ b/tests/rollouts/test_ledger.py
@@ -4,7 +4,7 @@
 
 from railsail.core.clock import ManualClock
 from railsail.core.exceptions import StoreConflict, StoreUnavailable
-from railsail.rollouts.ledger import KIND, Ledger, taken
+from railsail.rollouts.ledger import KIND, Ledger, takeover_entry
 from railsail.rollouts.orders import Order, State
 from railsail.rollouts.stages import Stage
 from tests.rollouts.base import SERVICE, START, FakeStore
@@ -12,24 +12,24 @@
 ORDER = Order(SERVICE, 5, "v2", 20.0)
 
 
-class TakenTests(unittest.TestCase):
+class TakeoverEntryTests(unittest.TestCase):
     def test_first_holder_starts_with_nothing_reserved(self):
-        entry = taken(None, ORDER, "a", START, True)
+        entry = takeover_entry(None, ORDER, "a", START, True)
         self.assertEqual((entry.term, entry.reserved, entry.arrivals), (1, 0, 0))
         self.assertEqual((entry.seen, entry.ends), (1_000_000, 1_020_000))
 
     def test_successor_keeps_the_reserved_calls_and_the_deadline(self):
-        entry = taken(None, ORDER, "a", START, True)
+        entry = takeover_entry(None, ORDER, "a", START, True)
         spent = type(entry)(**{**_fields(entry), "reserved": 70, "stage": Stage.SHIFT})
-        successor = taken(spent, ORDER, "b", START + 9, False)
+        successor = takeover_entry(spent, ORDER, "b", START + 9, False)
         self.assertEqual((successor.holder, successor.term, successor.reserved), ("b", 2, 70))
         self.assertEqual((successor.ends, successor.stage), (entry.ends, Stage.HOLD))
 
     def test_new_order_starts_with_nothing_reserved_in_a_higher_term(self):
-        entry = taken(None, ORDER, "a", START, True)
+        entry = takeover_entry(None, ORDER, "a", START, True)
         ended = type(entry)(**{**_fields(entry), "reserved": 70, "state": State.ROLLED_BACK})
         other = Order(SERVICE, 9, "v3", 20.0)
-        fresh = taken(ended, other, "b", START + 9, True)
+        fresh = takeover_entry(ended, other, "b", START + 9, True)
         self.assertEqual((fresh.term, fresh.reserved, fresh.state), (2, 0, State.RUNNING))
         self.assertFalse(ended.same_order(other))
 
@@ -44,15 +44,15 @@
     async def test_one_of_two_writers_wins(self):
         await self.ledger.read()
         await self.other.read()
-        await self.ledger.write(taken(None, ORDER, "a", START, True))
+        await self.ledger.write(takeover_entry(None, ORDER, "a", START, True))
         with self.assertRaises(StoreConflict):
-            await self.other.write(taken(None, ORDER, "b", START, True))
+            await self.other.write(takeover_entry(None, ORDER, "b", START, True))
         await self.other.read()
         self.assertEqual(self.other.entry.holder, "a")
 
     async def test_age_counts_from_the_last_change_that_this_node_saw(self):
         await self.ledger.read()
-        await self.ledger.write(taken(None, ORDER, "a", START, True))
+        await self.ledger.write(takeover_entry(None, ORDER, "a", START, True))
         self.clock.advance(1.5)
         await self.other.read()
         self.assertEqual((self.ledger.age, self.other.age), (1.5, 0.0))
@@ -63,19 +63,19 @@
         await self.ledger.read()
         self.store.loses_answer = True
         with self.assertRaises(StoreUnavailable):
-            await self.ledger.write(taken(None, ORDER, "a", START, True))
-        self.assertTrue(self.ledger.unsure)
+            await self.ledger.write(takeover_entry(None, ORDER, "a", START, True))
+        self.assertTrue(self.ledger.needs_read)
         await self.ledger.read()
-        self.assertFalse(self.ledger.unsure)
+        self.assertFalse(self.ledger.needs_read)
         self.assertEqual(self.ledger.entry.holder, "a")
 
     async def test_delayed_write_fails_after_a_write_of_another_node(self):
         await self.ledger.read()
         self.store.holds_back = True
         with self.assertRaises(StoreUnavailable):
-            await self.ledger.write(taken(None, ORDER, "a", START, True))
+            await self.ledger.write(takeover_entry(None, ORDER, "a", START, True))
         await self.other.read()
-        await self.other.write(taken(None, ORDER, "b", START, True))
+        await self.other.write(takeover_entry(None, ORDER, "b", START, True))
         self.store.release()
         self.assertEqual(self.store.ledger()["holder"], "b")
 
@@ -83,7 +83,7 @@
         self.store.set(KIND, SERVICE, {"holder": 7})
         await self.ledger.read()
         self.assertIsNone(self.ledger.entry)
-        await self.ledger.write(taken(None, ORDER, "a", START, True))
+        await self.ledger.write(takeover_entry(None, ORDER, "a", START, True))
         self.assertEqual(self.store.ledger()["holder"], "a")
 
 
--- a/tests/rollouts/test_overlaps.py
+++ b/tests/rollouts/test_overlaps.py
@@ -24,9 +24,12 @@
         leader = await self.begin()
         self.judge(Verdict.GOOD)
         self.running = CALLS
-        while leader.coordination.tenure.stage < Stage.SHIFT and self.clock.monotonic() < 1040:
+        while (
+            leader.coordination.coordinator_term.stage < Stage.SHIFT
+            and self.clock.monotonic() < 1040
+        ):
             await self.pass_time(STEP)
-        return leader.coordination.tenure.stage
+        return leader.coordination.coordinator_term.stage
 
     async def test_drain_waits_while_a_domain_of_the_target_is_evacuated_in_the_shift(self):
         self.assertEqual(await self.begin_shift(), Stage.SHIFT)
@@ -67,7 +70,7 @@
         leader = await self.begin()
         self.judge(Verdict.GOOD)
         await self.pass_time(18.5)
-        self.assertGreaterEqual(leader.coordination.tenure.stage, Stage.SHIFT)
+        self.assertGreaterEqual(leader.coordination.coordinator_term.stage, Stage.SHIFT)
 
     async def test_flood_delays_the_shift_to_a_smaller_target(self):
         self.set_replicas(v1=4, v2=3)
@@ -75,7 +78,7 @@
         leader = await self.begin()
         self.judge(Verdict.GOOD)
         await self.pass_time(18.5)
-        self.assertEqual(leader.coordination.tenure.stage, Stage.CANARY)
+        self.assertEqual(leader.coordination.coordinator_term.stage, Stage.CANARY)
 
     async def test_cold_replicas_of_other_versions_do_not_make_a_target_large_enough(self):
         for node in self.nodes:
@@ -88,7 +91,7 @@
         self.judge(Verdict.GOOD)
         self.running = CALLS
         await self.pass_time(18.5)
-        self.assertEqual(leader.coordination.tenure.stage, Stage.CANARY)
+        self.assertEqual(leader.coordination.coordinator_term.stage, Stage.CANARY)
 
     async def test_canaries_are_spread_over_domains(self):
         for node in self.nodes:
--- a/tests/rollouts/test_plan.py
+++ b/tests/rollouts/test_plan.py
@@ -10,7 +10,7 @@
     LOADED_SECONDS,
     MOST_DRAIN_SECONDS,
     SHIFT_SECONDS,
-    Situation,
+    PlanInputs,
     plan,
 )
 from railsail.rollouts.stages import Stage
@@ -18,7 +18,7 @@
 
 BOUNDS = ExposureBounds(0.1, 50)
 # In the canary stage of an order of 60 seconds, half a minute before its deadline.
-CANARY = Situation(
+CANARY = PlanInputs(
     now=130.0,
     ends=160.0,
     stage=Stage.CANARY,
@@ -60,13 +60,13 @@
 
 
 class PlanTests(unittest.TestCase):
-    def assert_plan(self, situation: Situation, stage: Stage, state: State = State.NONE) -> None:
-        found = plan(situation, BOUNDS)
+    def assert_plan(self, inputs: PlanInputs, stage: Stage, state: State = State.NONE) -> None:
+        found = plan(inputs, BOUNDS)
         self.assertEqual((found.stage, found.state), (stage, state), found.reason)
 
     def test_bad_version_is_rolled_back_at_any_stage(self):
-        for situation in (CANARY, AT_END, SHIFTING, DRAINING):
-            bad = replace(situation, verdict=Verdict.BAD)
+        for inputs in (CANARY, AT_END, SHIFTING, DRAINING):
+            bad = replace(inputs, verdict=Verdict.BAD)
             self.assert_plan(bad, Stage.HOLD, State.ROLLED_BACK)
 
     def test_bad_version_is_rolled_back_after_the_deadline(self):
