--- a/railsail/rollouts/book.py
+++ b/railsail/rollouts/book.py
@@ -109,14 +109,14 @@
         names = {stored.name for stored in listing.objects}
         for rollout in self.all() if listing.settled else ():
             if rollout.order.service not in names and not rollout.gone:
-                self._take([replace(rollout, gone=True, stored=listing.version)], "")
+                self._take([replace(rollout, gone=True, object_version=listing.version)], "")
 
     def seen(self, event: WatchEvent) -> None:
         """Apply a watch event of the store."""
         known = self._known.get(event.name)
         if event.value is None:
             if known is not None:
-                self._take([replace(known, gone=True, stored=event.version)], "")
+                self._take([replace(known, gone=True, object_version=event.version)], "")
             return
         try:
             rollout = parse_rollout(event.name, event.version, event.value)
@@ -144,7 +144,7 @@
     def status_stored(self, order: Order, state: State, version: int) -> None:
         """Record that the status of ``order`` is ``state`` as of ``version`` of its object."""
         known = self._known.get(order.service)
-        if known is None or known.order != order or version <= known.stored:
+        if known is None or known.order != order or version <= known.object_version:
             return
         target = order.target_version
         self._take([Rollout(order, False, state, target, version, written=state)], "")
@@ -177,7 +177,8 @@
     def _tell(self, known: Rollout | None, rollout: Rollout) -> None:
         if (
             known is not None
-            and replace(known, stored=rollout.stored, written=rollout.written) == rollout
+            and replace(known, object_version=rollout.object_version, written=rollout.written)
+            == rollout
         ):
             return
         order = rollout.order
@@ -201,7 +202,7 @@
         rollout.gone,
         int(rollout.state),
         rollout.decided_version,
-        rollout.stored,
+        rollout.object_version,
         int(rollout.written),
         sorted(rollout.dropped),
         rollout.in_use,
--- a/railsail/rollouts/coordination.py
+++ b/railsail/rollouts/coordination.py
@@ -56,7 +56,7 @@
         fleet: Fleet,
         bounds: ExposureBounds,
         kernel: Kernel,
-        judging: Callable[[list], Judgement] | None = None,
+        judge: Callable[[list], Judgement] | None = None,
     ) -> None:
         self.order = order
         self.coordinator_term: CoordinatorTerm | None = None
@@ -65,7 +65,7 @@
         self._fleet = fleet
         self._bounds = bounds
         self._kernel = kernel
-        self._judging = judging
+        self._judge = judge
         self._ledger = Ledger(store, order.service, kernel.clock.monotonic)
         self._backoff = Backoff(kernel.rng, FIRST_PAUSE_SECONDS, MOST_PAUSE_SECONDS)
         self._wake = asyncio.Event()
@@ -118,7 +118,7 @@
         except Exception:
             # The ledger is still written: otherwise another node would take over and fail alike.
             get_logger().exception("rollout planning failed", service=self.order.service)
-        if coordinator_term.writes_now():
+        if coordinator_term.needs_write():
             self.wake()
 
     def _still_ordered(self) -> bool:
@@ -186,7 +186,7 @@
             self._step_back()
         elif entry is not None and _is_own(entry, coordinator_term.entry):
             # A write without an answer may have taken effect.
-            coordinator_term.stored(entry, self._ledger.changed_at - LEASE_SECONDS)
+            coordinator_term.record_write(entry, self._ledger.changed_at - LEASE_SECONDS)
 
     def _step_back(self) -> None:
         self._tell("stepped back")
@@ -232,7 +232,7 @@
 
     async def _take_over(self, entry: Entry | None) -> float:
         clock = self._kernel.clock
-        began = clock.monotonic()
+        write_started_at = clock.monotonic()
         new = self._is_new(entry)
         await self._ledger.write(
             takeover_entry(entry, self.order, self._fleet.own, clock.wall(), new)
@@ -240,11 +240,11 @@
         self.coordinator_term = CoordinatorTerm(
             self.order,
             self._ledger.entry,
-            began,
+            write_started_at,
             self._fleet,
             self._bounds,
             self._kernel,
-            self._judging,
+            self._judge,
         )
         self._tell("took over" if not new else "began")
         if self._ticking is not None:
@@ -262,9 +262,9 @@
             if not self._began_here:
                 # The store has another order, which this node will receive in a moment.
                 return POLL_SECONDS
-        began = self._kernel.clock.monotonic()
+        write_started_at = self._kernel.clock.monotonic()
         await self._ledger.write(coordinator_term.next_entry())
-        coordinator_term.stored(self._ledger.entry, began)
+        coordinator_term.record_write(self._ledger.entry, write_started_at)
         self._show(coordinator_term)
         if coordinator_term.entry.state.ended:
             await self._carry_out(coordinator_term.entry)
@@ -279,7 +279,7 @@
         rollout = self._book.get(self.order.service)
         if rollout is None or rollout.written is not State.NONE:
             return False
-        return not self._began_here or rollout.stored > self.order.version
+        return not self._began_here or rollout.object_version > self.order.version
 
     async def _carry_out(self, entry: Entry) -> None:
         """Apply the decision in the ledger, which ends the order."""
--- a/railsail/rollouts/evidence_collector.py
+++ b/railsail/rollouts/evidence_collector.py
@@ -9,11 +9,11 @@
 from railsail.rollouts.evidence import RouteEvidence, Tally
 
 # Dispatchers send evidence four times a second. One that has sent none for this long is silent.
-HEARD_SECONDS = 1.0
+EVIDENCE_TIMEOUT_SECONDS = 1.0
 # The route fingerprint of calls whose route is not known.
 UNKNOWN_ROUTE = 0
 # The period over which the arrival rate is measured.
-RATE_SECONDS = 3.0
+RATE_WINDOW_SECONDS = 3.0
 
 
 @dataclass(frozen=True)
@@ -28,16 +28,16 @@
     node: str
     start: int
     version: int
-    process: int
+    process_start_id: int
 
 
 @dataclass
-class _Heard:
+class _SourceEvidence:
     """The first and the newest evidence of a source; the newest was received at ``at``."""
 
     first: RolloutEvidence
     newest: RolloutEvidence
-    at: float
+    received_at: float
 
     @property
     def arrivals(self) -> int:
@@ -48,46 +48,52 @@
     """The newest evidence of each dispatcher; times are seconds of the monotonic clock."""
 
     def __init__(self) -> None:
-        self._heard: dict[Source, _Heard] = {}
+        self._by_source: dict[Source, _SourceEvidence] = {}
         self._samples: deque[tuple[float, int]] = deque()
 
-    def received(self, node: str, process: int, evidence: RolloutEvidence, now: float) -> None:
+    def received(
+        self, node: str, process_start_id: int, evidence: RolloutEvidence, now: float
+    ) -> None:
         """Record ``evidence`` of the dispatcher at ``node``, whose process has the given start id.
 
         Evidence that newer evidence has overtaken on the way is ignored.
         """
-        source = Source(evidence.cell, node, evidence.start, evidence.version, process)
-        known = self._heard.get(source)
+        source = Source(evidence.cell, node, evidence.start, evidence.version, process_start_id)
+        known = self._by_source.get(source)
         if known is None:
-            self._heard[source] = _Heard(evidence, evidence, now)
+            self._by_source[source] = _SourceEvidence(evidence, evidence, now)
         elif evidence.arrivals >= known.newest.arrivals:
             known.newest = evidence
-            known.at = now
+            known.received_at = now
         self._sample(now)
 
     def _sample(self, now: float) -> None:
         self._samples.append((now, self.arrivals))
-        while self._samples[0][0] < now - RATE_SECONDS:
+        while self._samples[0][0] < now - RATE_WINDOW_SECONDS:
             self._samples.popleft()
 
-    def lately(self, now: float) -> list[Source]:
+    def recent_sources(self, now: float) -> list[Source]:
         """Return the dispatchers that recently sent evidence, the most recent last."""
-        found = [s for s, heard in self._heard.items() if heard.at > now - HEARD_SECONDS]
-        return sorted(found, key=lambda source: self._heard[source].at)
+        found = [
+            s
+            for s, source_evidence in self._by_source.items()
+            if source_evidence.received_at > now - EVIDENCE_TIMEOUT_SECONDS
+        ]
+        return sorted(found, key=lambda source: self._by_source[source].received_at)
 
     def arrivals_of(self, source: Source) -> int:
         """Return how many calls ``source`` has granted since its first evidence."""
-        return self._heard[source].arrivals
+        return self._by_source[source].arrivals
 
     def exposed_of(self, source: Source, term: int) -> int:
         """Return how many calls ``source`` has sent to the target version in ``term``."""
-        newest = self._heard[source].newest
+        newest = self._by_source[source].newest
         return newest.exposed if newest.term == term else 0
 
     @property
     def arrivals(self) -> int:
         """Return how many calls have arrived since each dispatcher's first evidence, at least."""
-        return sum(heard.arrivals for heard in self._heard.values())
+        return sum(source_evidence.arrivals for source_evidence in self._by_source.values())
 
     def rate(self, now: float) -> float:
         """Return the recent arrival rate in calls per second."""
@@ -98,7 +104,7 @@
 
     def running(self, sources: Iterable[Source]) -> int:
         """Return how many calls are in flight on other versions, as reported by ``sources``."""
-        return sum(self._heard[source].newest.running for source in sources)
+        return sum(self._by_source[source].newest.running for source in sources)
 
     def routes(self, target_version: str) -> list[RouteEvidence]:
         """Return the evidence of all dispatchers added up by route.
@@ -108,8 +114,8 @@
         """
         baseline: dict[int, Tally] = defaultdict(Tally)
         target: dict[int, dict[str, Tally]] = defaultdict(dict)
-        for heard in self._heard.values():
-            for record in heard.newest.tallies:
+        for source_evidence in self._by_source.values():
+            for record in source_evidence.newest.tallies:
                 if record.software_version == target_version:
                     _add(target[record.route], record)
                 else:
--- a/railsail/rollouts/merging.py
+++ b/railsail/rollouts/merging.py
@@ -78,7 +78,7 @@
     # The order's version is compared, too: nodes that read different orders before the object was
     # deleted must agree on one.
     version = rollout.order.version
-    return (rollout.stored, rollout.gone, version, rollout.written, rollout.state)
+    return (rollout.object_version, rollout.gone, version, rollout.written, rollout.state)
 
 
 def _same_order(newer: Rollout, older: Rollout) -> bool:
@@ -91,7 +91,7 @@
 def _furthest(newer: Rollout, older: Rollout) -> Rollout:
     """Return ``newer`` with the more advanced state of the two records of the same order."""
     written = newer.written
-    if newer.stored == older.stored:
+    if newer.object_version == older.object_version:
         # A node that has read the object both before and after the order was given knows which
         # order the status belongs to. If it is left over, that node's record has the lower state.
         written = min(newer.written, older.written)
@@ -108,11 +108,11 @@
     same time or later, does not have it. The exception is a store that was restored from a copy,
     which may have lost the status of this order.
     """
-    if rollout.current is not rollout.written or rollout.stored > version:
+    if rollout.current is not rollout.written or rollout.object_version > version:
         return False
-    if era_of(other.stored) > era_of(rollout.stored):
+    if era_of(other.object_version) > era_of(rollout.object_version):
         return False
-    return other.stored >= rollout.stored and other.written < rollout.written
+    return other.object_version >= rollout.object_version and other.written < rollout.written
 
 
 def _without_earlier_state(newer: Rollout, older: Rollout) -> Rollout:
--- a/railsail/rollouts/orders.py
+++ b/railsail/rollouts/orders.py
@@ -57,7 +57,7 @@
     gone: bool = False
     state: State = State.NONE
     decided_version: str = ""
-    stored: int = 0
+    object_version: int = 0
     written: State = State.NONE
     dropped: frozenset[str] = frozenset()
     in_use: str = ""
--- a/railsail/rollouts/publishing.py
+++ b/railsail/rollouts/publishing.py
@@ -43,7 +43,7 @@
         if stored is None or found is None or not found.order.is_equivalent(order):
             return False
         self._book.seen(WatchEvent(KIND, stored.name, stored.version, stored.value))
-        if found.stored > order.version and found.written >= min(state, State.SUCCEEDED):
+        if found.object_version > order.version and found.written >= min(state, State.SUCCEEDED):
             # The object has this status, or an end, which is final.
             return True
         if state is State.RUNNING and self._book.running(order.service) is None:
--- a/railsail/rollouts/serialization.py
+++ b/railsail/rollouts/serialization.py
@@ -25,7 +25,7 @@
     order = Order(name, version, target, _duration(value.get("duration")))
     status = value.get("status")
     if not isinstance(status, Mapping) or status.get("state") not in _STATES:
-        return Rollout(order, stored=version)
+        return Rollout(order, object_version=version)
     decided = _text(status.get("target_version"), "target_version of the status")
     rollout = Rollout(order, False, _STATES[status["state"]], decided, version)
     return replace(rollout, written=rollout.current)
--- a/tests/fleet/test_rollouts.py
+++ b/tests/fleet/test_rollouts.py
@@ -35,7 +35,7 @@
     def leads(self, node: Node) -> bool:
         coordination = node.parts["rollouts"].coordinator.coordination(SERVICE)
         coordinator_term = coordination.coordinator_term if coordination is not None else None
-        return coordinator_term is not None and coordinator_term.leads()
+        return coordinator_term is not None and coordinator_term.holds_lease()
 
     async def begin(self) -> Node:
         await self.order()
--- a/tests/rollouts/base.py
+++ b/tests/rollouts/base.py
@@ -132,7 +132,7 @@
         self.sent: list[RolloutAllowance] = []
         self.cells = {0: "d"}
         # The start id of the dispatcher's process.
-        self.process = 1
+        self.dispatcher_start_id = 1
         versions = {"old": "v1", "new": "v2"}
         self.all = [
             Replica(f"{w}-{n}", 0, versions[w], 8, True) for n in range(4) for w in versions
@@ -145,7 +145,7 @@
         return self.cells
 
     def start_id(self, node: str) -> int:
-        return self.process
+        return self.dispatcher_start_id
 
     def replicas(self, service: str) -> list[Replica]:
         return self.all
@@ -204,7 +204,7 @@
     @property
     def leads(self) -> bool:
         coordinator_term = self.coordination.coordinator_term
-        return coordinator_term is not None and coordinator_term.leads()
+        return coordinator_term is not None and coordinator_term.holds_lease()
 
     @property
     def allowed(self) -> RolloutAllowance:
--- a/tests/rollouts/test_book.py
+++ b/tests/rollouts/test_book.py
@@ -222,7 +222,7 @@
     def test_result_is_the_same_in_any_order_of_arrival(self):
         first = Order(SERVICE, 10, "v2", 20.0)
         records = [
-            Rollout(first, stored=10),
+            Rollout(first, object_version=10),
             Rollout(replace(first, version=12), False, State.RUNNING, "v2", 12, State.RUNNING),
             Rollout(first, False, State.ROLLED_BACK, "v2", 12, State.RUNNING),
             Rollout(first, False, State.ROLLED_BACK, "v2", 13, State.ROLLED_BACK),
--- a/tests/rollouts/test_coordinator.py
+++ b/tests/rollouts/test_coordinator.py
@@ -313,7 +313,7 @@
         before = self.used
         self.assertGreater(before, 0)
         for node in self.nodes:
-            node.fleet.process = 2
+            node.fleet.dispatcher_start_id = 2
         self.clock.advance(0.3)
         leader.coordination.tick()
         # The new process may send no calls until it has sent evidence.
--- a/tests/rollouts/test_evidence_collector.py
+++ b/tests/rollouts/test_evidence_collector.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from railsail.peers.messages import RolloutEvidence
-from railsail.rollouts.evidence_collector import HEARD_SECONDS, EvidenceCollector
+from railsail.rollouts.evidence_collector import EVIDENCE_TIMEOUT_SECONDS, EvidenceCollector
 from tests.rollouts.base import evidence, tally
 
 
@@ -28,8 +28,10 @@
         self.collector = EvidenceCollector()
         self.told = Told()
 
-    def hear(self, now: float, arrivals: int = 0, *tallies, node: str = "d", process: int = 1):
-        self.collector.received(node, process, self.told.next(arrivals, *tallies), now)
+    def hear(
+        self, now: float, arrivals: int = 0, *tallies, node: str = "d", process_start_id: int = 1
+    ):
+        self.collector.received(node, process_start_id, self.told.next(arrivals, *tallies), now)
 
     def test_arrivals_are_counted_from_the_first_evidence(self):
         self.hear(0.0, 500)
@@ -43,7 +45,7 @@
         self.hear(1.5, node="e")
         self.hear(2.5, 10, node="e")
         self.assertEqual(self.collector.arrivals, 50)
-        self.assertEqual([s.node for s in self.collector.lately(2.5)], ["e"])
+        self.assertEqual([s.node for s in self.collector.recent_sources(2.5)], ["e"])
 
     def test_evidence_overtaken_by_newer_evidence_is_ignored(self):
         early = self.told.next(5)
@@ -54,8 +56,8 @@
 
     def test_silent_dispatcher_is_no_recent_source(self):
         self.hear(0.0)
-        self.assertEqual(len(self.collector.lately(HEARD_SECONDS / 2)), 1)
-        self.assertEqual(self.collector.lately(HEARD_SECONDS), [])
+        self.assertEqual(len(self.collector.recent_sources(EVIDENCE_TIMEOUT_SECONDS / 2)), 1)
+        self.assertEqual(self.collector.recent_sources(EVIDENCE_TIMEOUT_SECONDS), [])
 
     def test_rate_is_measured_over_the_last_seconds(self):
         for step in range(41):
--- a/tests/rollouts/test_merging.py
+++ b/tests/rollouts/test_merging.py
@@ -36,7 +36,7 @@
     def _store(self, rollout: Rollout) -> None:
         self.version += 1
         order = replace(rollout.order, version=self.version)
-        read = replace(rollout, order=order, stored=self.version)
+        read = replace(rollout, order=order, object_version=self.version)
         self.stored = replace(read, written=read.current)
 
     def _order(self) -> None:
@@ -74,7 +74,7 @@
         if self.stored is not None:
             self.nodes[node] = merge(known, self.stored)
         elif known is not None and not known.gone:
-            self.nodes[node] = merge(known, replace(known, gone=True, stored=self.version))
+            self.nodes[node] = merge(known, replace(known, gone=True, object_version=self.version))
 
     def _tell(self) -> None:
         teller, hearer = self.rng.sample(range(NODES), 2)
--- a/tests/rollouts/test_missed_end.py
+++ b/tests/rollouts/test_missed_end.py
@@ -11,9 +11,9 @@
 from tests.rollouts.base import SERVICE
 
 
-def rollout(target: str, ordered_at: int, state: State, stored: int) -> Rollout:
+def rollout(target: str, ordered_at: int, state: State, object_version: int) -> Rollout:
     order = Order(SERVICE, ordered_at, target, 20.0)
-    return Rollout(order, False, state, target, stored, written=state)
+    return Rollout(order, False, state, target, object_version, written=state)
 
 
 class MissedEndTests(unittest.TestCase):
--- a/tests/rollouts/test_plan.py
+++ b/tests/rollouts/test_plan.py
@@ -6,10 +6,10 @@
 from railsail.rollouts.bounds import KEPT_SECONDS, ExposureBounds
 from railsail.rollouts.orders import State
 from railsail.rollouts.plan import (
-    FREE_AFTER_SECONDS,
-    LOADED_SECONDS,
-    MOST_DRAIN_SECONDS,
-    SHIFT_SECONDS,
+    DEADLINE_MARGIN_SECONDS,
+    MAX_DRAIN_SECONDS,
+    MIN_LOAD_SECONDS,
+    MIN_SHIFT_LOAD_SECONDS,
     PlanInputs,
     plan,
 )
@@ -20,19 +20,19 @@
 # In the canary stage of an order of 60 seconds, half a minute before its deadline.
 CANARY = PlanInputs(
     now=130.0,
-    ends=160.0,
+    deadline=160.0,
     stage=Stage.CANARY,
     arrivals=3000,
     rate=100.0,
     spent=110,
     verdict=Verdict.GOOD,
-    ready=4,
-    room=True,
-    heard=True,
+    ready_replicas=4,
+    has_capacity=True,
+    all_reporting=True,
     running=20,
 )
 AT_END = replace(CANARY, now=159.0, arrivals=5900, spent=197)
-SHIFTING = replace(AT_END, stage=Stage.SHIFT, loaded_at=158.0)
+SHIFTING = replace(AT_END, stage=Stage.SHIFT, loaded_since=158.0)
 DRAINING = replace(SHIFTING, stage=Stage.DRAIN, running=0)
 
 
@@ -75,7 +75,7 @@
 
     def test_rollout_without_target_replicas_stays_on_hold(self):
         for now in (130.0, 159.0, 500.0):
-            self.assert_plan(replace(CANARY, now=now, ready=0), Stage.HOLD)
+            self.assert_plan(replace(CANARY, now=now, ready_replicas=0), Stage.HOLD)
 
     def test_undecided_rollout_stays_in_the_canary(self):
         for now in (130.0, 159.0, 500.0):
@@ -97,7 +97,7 @@
     def _assert_within_bounds(self, rate: float, duration: float) -> None:
         """Simulate a version that turns bad at the start of the shift and is not detected."""
         now, arrivals = 0.0, 0
-        at = replace(CANARY, now=now, ends=duration, rate=rate, arrivals=0, spent=0)
+        at = replace(CANARY, now=now, deadline=duration, rate=rate, arrivals=0, spent=0)
         while now < duration and plan(at, BOUNDS).stage is Stage.CANARY:
             now += 0.1
             arrivals = int(rate * now)
@@ -107,16 +107,16 @@
         self.assertLessEqual(sent, 0.1 * rate * duration + 50, (rate, duration))
 
     def test_shift_needs_capacity_and_evidence_of_all_dispatchers(self):
-        self.assert_plan(replace(AT_END, room=False), Stage.CANARY)
-        self.assert_plan(replace(AT_END, heard=False), Stage.CANARY)
+        self.assert_plan(replace(AT_END, has_capacity=False), Stage.CANARY)
+        self.assert_plan(replace(AT_END, all_reporting=False), Stage.CANARY)
 
     def test_order_of_too_short_a_duration_continues_after_its_deadline(self):
-        short = replace(CANARY, now=160.0 + FREE_AFTER_SECONDS, arrivals=10, spent=21)
+        short = replace(CANARY, now=160.0 + DEADLINE_MARGIN_SECONDS, arrivals=10, spent=21)
         self.assert_plan(replace(short, verdict=Verdict.UNDECIDED), Stage.CANARY)
         self.assert_plan(short, Stage.SHIFT)
 
     def test_target_is_under_load_before_the_drain(self):
-        early = replace(SHIFTING, now=158.0 + SHIFT_SECONDS / 2, spent=220)
+        early = replace(SHIFTING, now=158.0 + MIN_SHIFT_LOAD_SECONDS / 2, spent=220)
         self.assert_plan(early, Stage.SHIFT)
         self.assert_plan(SHIFTING, Stage.DRAIN)
 
@@ -134,13 +134,13 @@
     def test_rollout_succeeds_when_no_calls_are_in_flight_on_other_versions(self):
         self.assert_plan(DRAINING, Stage.DRAIN, State.SUCCEEDED)
         self.assert_plan(replace(DRAINING, running=1), Stage.DRAIN)
-        self.assert_plan(replace(DRAINING, heard=False), Stage.DRAIN)
-        self.assert_plan(replace(DRAINING, loaded_at=159.0 - LOADED_SECONDS / 2), Stage.DRAIN)
+        self.assert_plan(replace(DRAINING, all_reporting=False), Stage.DRAIN)
+        self.assert_plan(replace(DRAINING, loaded_since=159.0 - MIN_LOAD_SECONDS / 2), Stage.DRAIN)
 
     def test_calls_in_flight_are_waited_for_until_the_maximum_drain_time(self):
         running = replace(DRAINING, running=3)
         self.assert_plan(replace(running, now=170.0), Stage.DRAIN)
-        late = replace(running, now=160.0 + MOST_DRAIN_SECONDS)
+        late = replace(running, now=160.0 + MAX_DRAIN_SECONDS)
         self.assert_plan(late, Stage.DRAIN, State.SUCCEEDED)
 
 
