--- a/railsail/rollouts/book.py
+++ b/railsail/rollouts/book.py
@@ -53,7 +53,7 @@
     def running(self, service: str) -> Order | None:
         """Return the order of ``service`` if it was not withdrawn and has not ended."""
         rollout = self._known.get(service)
-        if rollout is None or rollout.gone or rollout.current.ended:
+        if rollout is None or rollout.withdrawn or rollout.order_state.ended:
             return None
         return rollout.order
 
@@ -62,7 +62,9 @@
         return [
             rollout
             for rollout in self.all()
-            if rollout.current.ended and not rollout.gone and rollout.written < rollout.current
+            if rollout.order_state.ended
+            and not rollout.withdrawn
+            and rollout.written_state < rollout.order_state
         ]
 
     def takes_work(self, service: str, software_version: str) -> bool:
@@ -75,12 +77,12 @@
         if software_version in rollout.dropped:
             return False
         if software_version == rollout.order.target_version:
-            return not rollout.gone
+            return not rollout.withdrawn
         return not self._replaces(rollout)
 
     def _replaces(self, rollout: Rollout) -> bool:
         """Return True if the platform is stopping the replicas of all other versions."""
-        if rollout.gone or rollout.current is not State.SUCCEEDED:
+        if rollout.withdrawn or rollout.order_state is not State.SUCCEEDED:
             return False
         since = self._succeeded_at.get(rollout.order.service, -math.inf)
         return self._kernel.clock.monotonic() < since + REPLACED_SECONDS
@@ -108,15 +110,15 @@
             self.seen(WatchEvent(KIND, stored.name, stored.version, stored.value))
         names = {stored.name for stored in listing.objects}
         for rollout in self.all() if listing.settled else ():
-            if rollout.order.service not in names and not rollout.gone:
-                self._take([replace(rollout, gone=True, object_version=listing.version)], "")
+            if rollout.order.service not in names and not rollout.withdrawn:
+                self._take([replace(rollout, withdrawn=True, object_version=listing.version)], "")
 
     def seen(self, event: WatchEvent) -> None:
         """Apply a watch event of the store."""
         known = self._known.get(event.name)
         if event.value is None:
             if known is not None:
-                self._take([replace(known, gone=True, object_version=event.version)], "")
+                self._take([replace(known, withdrawn=True, object_version=event.version)], "")
             return
         try:
             rollout = parse_rollout(event.name, event.version, event.value)
@@ -147,7 +149,7 @@
         if known is None or known.order != order or version <= known.object_version:
             return
         target = order.target_version
-        self._take([Rollout(order, False, state, target, version, written=state)], "")
+        self._take([Rollout(order, False, state, target, version, written_state=state)], "")
 
     def _refuse(self, service: str, reason: str) -> None:
         get_logger().warning("rollout refused", service=service, reason=reason)
@@ -169,15 +171,17 @@
     def _put(self, known: Rollout | None, rollout: Rollout) -> None:
         service = rollout.order.service
         self._known[service] = rollout
-        before = known.current if known is not None else State.NONE
-        if rollout.current is State.SUCCEEDED and before is not State.SUCCEEDED:
+        before = known.order_state if known is not None else State.NONE
+        if rollout.order_state is State.SUCCEEDED and before is not State.SUCCEEDED:
             self._succeeded_at[service] = self._kernel.clock.monotonic()
         self._tell(known, rollout)
 
     def _tell(self, known: Rollout | None, rollout: Rollout) -> None:
         if (
             known is not None
-            and replace(known, object_version=rollout.object_version, written=rollout.written)
+            and replace(
+                known, object_version=rollout.object_version, written_state=rollout.written_state
+            )
             == rollout
         ):
             return
@@ -188,7 +192,7 @@
             order_version=order.version,
             target_version=order.target_version,
             duration_ms=round(order.duration * 1000),
-            state="gone" if rollout.gone else rollout.current.name.lower(),
+            state="gone" if rollout.withdrawn else rollout.order_state.name.lower(),
         )
 
 
@@ -199,11 +203,11 @@
         order.version,
         order.target_version,
         round(order.duration * 1000),
-        rollout.gone,
+        rollout.withdrawn,
         int(rollout.state),
         rollout.decided_version,
         rollout.object_version,
-        int(rollout.written),
+        int(rollout.written_state),
         sorted(rollout.dropped),
         rollout.in_use,
         rollout.in_use_order,
@@ -213,7 +217,7 @@
 def _from_record(record: RolloutRecord) -> Rollout:
     duration = record.duration / 1000
     order = Order(record.service, record.version, record.target_version, duration)
-    state, written = State(record.state), State(record.written)
+    state, written_state = State(record.state), State(record.written)
     dropped = frozenset(record.dropped)
     return Rollout(
         order,
@@ -221,7 +225,7 @@
         state,
         record.decided_version,
         record.stored,
-        written,
+        written_state,
         dropped,
         record.in_use,
         record.in_use_order,
--- a/railsail/rollouts/canaries.py
+++ b/railsail/rollouts/canaries.py
@@ -14,9 +14,9 @@
 
     Within a domain the ranking stays. ``domains`` maps each replica to its failure domain.
     """
-    before: Counter[str] = Counter()
-    turns: dict[str, int] = {}
+    domain_counts: Counter[str] = Counter()
+    positions: dict[str, int] = {}
     for name in ranked:
-        turns[name] = before[domains[name]]
-        before[domains[name]] += 1
-    return sorted(turns, key=turns.__getitem__)
+        positions[name] = domain_counts[domains[name]]
+        domain_counts[domains[name]] += 1
+    return sorted(positions, key=positions.__getitem__)
--- a/railsail/rollouts/coordination.py
+++ b/railsail/rollouts/coordination.py
@@ -166,9 +166,9 @@
     def _place(self) -> int | None:
         """Return this node's rank among the candidates, ``None`` if it need not read the ledger."""
         ranked = ranked_candidates(self._fleet, self.order.service)
-        if self._fleet.own not in ranked:
+        if self._fleet.node_id not in ranked:
             return None
-        place = ranked.index(self._fleet.own)
+        place = ranked.index(self._fleet.node_id)
         now = self._kernel.clock.monotonic()
         if place < CANDIDATES:
             return place
@@ -193,7 +193,7 @@
         self.coordinator_term = None
 
     def _may_lead(self) -> bool:
-        return self._fleet.own in self._fleet.candidates()
+        return self._fleet.node_id in self._fleet.candidates()
 
     def _is_new(self, entry: Entry | None) -> bool:
         """Return True if this order was given after the order of ``entry``.
@@ -209,7 +209,7 @@
     def _begun(self) -> bool:
         """Return True if the operator's object has a status of this order."""
         rollout = self._book.get(self.order.service)
-        return rollout is not None and rollout.written is not State.NONE
+        return rollout is not None and rollout.written_state is not State.NONE
 
     async def _stand_by(self, place: int) -> float:
         await self._ledger.read()
@@ -226,7 +226,7 @@
 
     def _patience(self, entry: Entry | None) -> float:
         """Return for how many seconds the ledger must be unchanged before a takeover."""
-        if entry is None or entry.holder == self._fleet.own or self._is_new(entry):
+        if entry is None or entry.holder == self._fleet.node_id or self._is_new(entry):
             return 0.0
         return LEASE_SECONDS
 
@@ -235,7 +235,7 @@
         write_started_at = clock.monotonic()
         new = self._is_new(entry)
         await self._ledger.write(
-            takeover_entry(entry, self.order, self._fleet.own, clock.wall(), new)
+            takeover_entry(entry, self.order, self._fleet.node_id, clock.wall(), new)
         )
         self.coordinator_term = CoordinatorTerm(
             self.order,
@@ -277,7 +277,7 @@
         same status, writing it does not change the object, and it is not written again.
         """
         rollout = self._book.get(self.order.service)
-        if rollout is None or rollout.written is not State.NONE:
+        if rollout is None or rollout.written_state is not State.NONE:
             return False
         return not self._began_here or rollout.object_version > self.order.version
 
@@ -316,15 +316,18 @@
         )
 
 
-def _is_own(entry: Entry, own: Entry) -> bool:
-    return (entry.holder, entry.term) == (own.holder, own.term) and entry.beat >= own.beat
+def _is_own(entry: Entry, own_entry: Entry) -> bool:
+    return (entry.holder, entry.term) == (
+        own_entry.holder,
+        own_entry.term,
+    ) and entry.beat >= own_entry.beat
 
 
-def _is_later(entry: Entry, own: Entry) -> bool:
-    """Return True if another holder wrote ``entry`` after ``own``.
+def _is_later(entry: Entry, own_entry: Entry) -> bool:
+    """Return True if another holder wrote ``entry`` after ``own_entry``.
 
     An entry of a store that was restored from a copy is earlier.
     """
-    if entry.holder == own.holder and entry.term == own.term:
+    if entry.holder == own_entry.holder and entry.term == own_entry.term:
         return False
-    return entry.term >= own.term
+    return entry.term >= own_entry.term
--- a/railsail/rollouts/coordinator.py
+++ b/railsail/rollouts/coordinator.py
@@ -111,12 +111,12 @@
         order = rollout.order
         try:
             ranked = ranked_candidates(self._fleet, order.service)
-            if self._fleet.own not in ranked[:WRITERS]:
+            if self._fleet.node_id not in ranked[:WRITERS]:
                 await asyncio.sleep(LOOK_SECONDS)
                 return
-            await asyncio.sleep((1 + ranked.index(self._fleet.own)) * WRITER_STEP_SECONDS)
+            await asyncio.sleep((1 + ranked.index(self._fleet.node_id)) * WRITER_STEP_SECONDS)
             if self._still_unwritten(rollout):
-                await StatusWriter(self._store, self._book).write(order, rollout.current)
+                await StatusWriter(self._store, self._book).write(order, rollout.order_state)
         except StoreError as problem:
             reason = str(problem)
             get_logger().info("end of rollout not written", service=order.service, reason=reason)
--- a/railsail/rollouts/coordinator_term.py
+++ b/railsail/rollouts/coordinator_term.py
@@ -41,7 +41,7 @@
 MIN_CANARIES = 3
 MAX_NAMED_REPLICAS = 64
 UNLIMITED_CALLS = 1 << 40
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 
 @dataclass
@@ -119,7 +119,7 @@
     @property
     def seconds_left(self) -> float:
         """Return the seconds until the deadline, negative after it."""
-        return self.entry.ends / _MS - self._kernel.clock.wall()
+        return self.entry.ends / _MS_PER_SECOND - self._kernel.clock.wall()
 
     def received(self, node: str, evidence: RolloutEvidence) -> None:
         """Record ``evidence`` of the dispatcher at ``node`` if it is about this order."""
@@ -251,7 +251,7 @@
             self._progress.serial,
             int(self.stage if source is not None else min(self.stage, Stage.CANARY)),
             self._calls(source),
-            round(self._bounds.valid_seconds * _MS),
+            round(self._bounds.valid_seconds * _MS_PER_SECOND),
             self._canary_replicas(cell) if self.stage is Stage.CANARY else [],
         )
 
@@ -263,7 +263,9 @@
         return self._quotas.of(source)
 
     def _is_unbounded(self) -> bool:
-        return self._kernel.clock.wall() >= self.entry.ends / _MS + DEADLINE_MARGIN_SECONDS
+        return (
+            self._kernel.clock.wall() >= self.entry.ends / _MS_PER_SECOND + DEADLINE_MARGIN_SECONDS
+        )
 
     def _canary_replicas(self, cell: int) -> list[str]:
         targets = self._warm_targets()
@@ -315,7 +317,7 @@
 
     def _elapsed(self) -> float:
         """Return the part of the order's duration that has passed, above 1 after its deadline."""
-        duration = (self.entry.ends - self.entry.seen) / _MS
+        duration = (self.entry.ends - self.entry.seen) / _MS_PER_SECOND
         return 1.0 - self.seconds_left / duration if duration > 0 else 1.0
 
     def _calls_ahead(self) -> int:
@@ -355,7 +357,7 @@
             spent=inputs.spent,
             running=inputs.running,
             ready=inputs.ready_replicas,
-            left_ms=round((inputs.deadline - inputs.now) * _MS),
+            left_ms=round((inputs.deadline - inputs.now) * _MS_PER_SECOND),
         )
 
     def _now(self) -> float:
--- a/railsail/rollouts/evidence.py
+++ b/railsail/rollouts/evidence.py
@@ -10,17 +10,17 @@
 
 # Times are counted in a histogram. Its bucket bounds start at one millisecond and grow by a factor
 # of the square root of two; the last bucket has no upper bound.
-CLASSES = 32
-CLASSES_PER_OCTAVE = 2
+BUCKETS = 32
+BUCKETS_PER_OCTAVE = 2
 
 
-def time_class(seconds: float) -> int:
+def time_bucket(seconds: float) -> int:
     """Return the number of the bucket that a time in seconds falls into."""
     milliseconds = max(1.0, seconds * 1000)
-    return min(CLASSES - 1, int(CLASSES_PER_OCTAVE * math.log2(milliseconds)))
+    return min(BUCKETS - 1, int(BUCKETS_PER_OCTAVE * math.log2(milliseconds)))
 
 
-def median_class(counts: Sequence[float]) -> float:
+def median_bucket(counts: Sequence[float]) -> float:
     """Return the bucket of the median; the fraction is the median's position in that bucket."""
     half = sum(counts) / 2
     passed = 0.0
@@ -31,13 +31,13 @@
     return len(counts) - 1
 
 
-def class_end(number: float) -> float:
+def bucket_upper_bound(number: float) -> float:
     """Return the upper bound, in seconds, of the bucket that ``number`` lies in."""
-    return 2 ** (math.ceil(number) / CLASSES_PER_OCTAVE) / 1000
+    return 2 ** (math.ceil(number) / BUCKETS_PER_OCTAVE) / 1000
 
 
-def _no_times() -> list[int]:
-    return [0] * CLASSES
+def _empty_histogram() -> list[int]:
+    return [0] * BUCKETS
 
 
 @dataclass
@@ -50,8 +50,8 @@
 
     answers: int = 0
     failed: int = 0
-    first: list[int] = field(default_factory=_no_times)
-    whole: list[int] = field(default_factory=_no_times)
+    first: list[int] = field(default_factory=_empty_histogram)
+    whole: list[int] = field(default_factory=_empty_histogram)
 
     def add(self, failed: bool, first_seconds: float, whole_seconds: float) -> None:
         """Count one answer; the times of a failed answer are not counted."""
@@ -59,8 +59,8 @@
         if failed:
             self.failed += 1
             return
-        self.first[time_class(first_seconds)] += 1
-        self.whole[time_class(whole_seconds)] += 1
+        self.first[time_bucket(first_seconds)] += 1
+        self.whole[time_bucket(whole_seconds)] += 1
 
     def merged(self, others: Iterable["Tally"]) -> "Tally":
         """Return the sum of this tally and ``others``."""
--- a/railsail/rollouts/evidence_collector.py
+++ b/railsail/rollouts/evidence_collector.py
@@ -20,8 +20,7 @@
 class Source:
     """A dispatcher of a cell that follows the order of one ``version``.
 
-    ``start`` identifies the series of counts that it sends, and ``process`` is the start id of its
-    node's process.
+    ``start`` identifies the series of counts that it sends.
     """
 
     cell: int
@@ -33,7 +32,7 @@
 
 @dataclass
 class _SourceEvidence:
-    """The first and the newest evidence of a source; the newest was received at ``at``."""
+    """The first and the newest evidence of a source; the newest came at ``received_at``."""
 
     first: RolloutEvidence
     newest: RolloutEvidence
@@ -54,10 +53,7 @@
     def received(
         self, node: str, process_start_id: int, evidence: RolloutEvidence, now: float
     ) -> None:
-        """Record ``evidence`` of the dispatcher at ``node``, whose process has the given start id.
-
-        Evidence that newer evidence has overtaken on the way is ignored.
-        """
+        """Record ``evidence`` of the dispatcher at ``node``; ignore it if newer evidence exists."""
         source = Source(evidence.cell, node, evidence.start, evidence.version, process_start_id)
         known = self._by_source.get(source)
         if known is None:
--- a/railsail/rollouts/fleet.py
+++ b/railsail/rollouts/fleet.py
@@ -31,7 +31,7 @@
         self._node = node
 
     @property
-    def own(self) -> str:
+    def node_id(self) -> str:
         """Return the id of this node."""
         return self._node.settings.node_id
 
--- a/railsail/rollouts/ledger.py
+++ b/railsail/rollouts/ledger.py
@@ -16,7 +16,7 @@
 from railsail.store.base import Store, StoredObject
 
 KIND = "rollout-ledger"
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 Count = Annotated[int, msgspec.Meta(ge=0)]
 
@@ -48,17 +48,19 @@
 
     def same_order(self, order: Order) -> bool:
         """Return True if the entry is about ``order`` or an order that requests the same."""
-        return (self.target_version, self.duration) == _terms(order)
+        return (self.target_version, self.duration) == _target_and_duration(order)
 
 
-def _terms(order: Order) -> tuple[str, int]:
-    return (order.target_version, round(order.duration * _MS))
+def _target_and_duration(order: Order) -> tuple[str, int]:
+    return (order.target_version, round(order.duration * _MS_PER_SECOND))
 
 
-def takeover_entry(entry: Entry | None, order: Order, holder: str, wall: float, new: bool) -> Entry:
+def takeover_entry(
+    entry: Entry | None, order: Order, holder: str, wall_time: float, new: bool
+) -> Entry:
     """Return the entry with which ``holder`` takes over from ``entry``.
 
-    ``new`` is True if ``entry`` is not about ``order``. The order then starts at ``wall``, in
+    ``new`` is True if ``entry`` is not about ``order``. The order then starts at ``wall_time``, in
     seconds since the Unix epoch, with nothing reserved.
     """
     term = entry.term + 1 if entry is not None else 1
@@ -66,8 +68,8 @@
     if entry is not None and not new:
         changes = {"holder": holder, "term": term, "beat": beat, "order": order.version}
         return msgspec.structs.replace(entry, stage=Stage.HOLD, **changes)
-    target, duration = _terms(order)
-    seen = round(wall * _MS)
+    target, duration = _target_and_duration(order)
+    seen = round(wall_time * _MS_PER_SECOND)
     return Entry(holder, term, beat, order.version, target, duration, seen, seen + duration)
 
 
@@ -99,9 +101,9 @@
         stored = await self._store.get(KIND, self._service)
         self.needs_read = False
         if stored is None:
-            self._note(0, None)
+            self._record(0, None)
         elif stored.version != self._version:
-            self._note(stored.version, _read(stored))
+            self._record(stored.version, _decode(stored))
 
     async def write(self, entry: Entry) -> None:
         """Replace the entry that was last read or written; errors of the store propagate.
@@ -112,16 +114,16 @@
         value = msgspec.to_builtins(entry)
         version = await self._store.put(KIND, self._service, value, self._version)
         self.needs_read = False
-        self._note(version, entry)
+        self._record(version, entry)
 
-    def _note(self, version: int, entry: Entry | None) -> None:
+    def _record(self, version: int, entry: Entry | None) -> None:
         if version != self._version:
             self.changed_at = self._monotonic()
         self._version = version
         self.entry = entry
 
 
-def _read(stored: StoredObject) -> Entry | None:
+def _decode(stored: StoredObject) -> Entry | None:
     try:
         return msgspec.convert(stored.value, Entry)
     except msgspec.ValidationError as problem:
--- a/railsail/rollouts/load.py
+++ b/railsail/rollouts/load.py
@@ -12,7 +12,7 @@
 from railsail.rollouts.fleet import Replica
 
 # Before the shift, the target's slots must exceed the calls in flight by this factor.
-ROOM_MARGIN = 1.1
+CAPACITY_MARGIN = 1.1
 
 
 @dataclass(frozen=True)
@@ -38,15 +38,15 @@
         if any(replica.slots == 0 for replica in targets):
             return True
         slots = sum(replica.slots for replica in targets)
-        return slots >= min(_most(others), self._needed(running, rate))
+        return slots >= min(_max_concurrent_calls(others), self._required_slots(running, rate))
 
-    def _needed(self, running: int, rate: float) -> float:
+    def _required_slots(self, running: int, rate: float) -> float:
         if self.rate <= 0:
-            return ROOM_MARGIN * running
+            return CAPACITY_MARGIN * running
         return max(running, self.running * rate / self.rate)
 
 
-def _most(others: Sequence[Replica]) -> float:
+def _max_concurrent_calls(others: Sequence[Replica]) -> float:
     """Return how many calls ``others`` can run at once, infinite if that is not known.
 
     It is not known if one of them announces no slots or is cold: a cold replica can run few calls
--- a/railsail/rollouts/merging.py
+++ b/railsail/rollouts/merging.py
@@ -13,7 +13,7 @@
 
 # The number of dropped versions that a record in a message can hold. Older ones can be forgotten,
 # because replicas of earlier versions are soon stopped.
-MOST_DROPPED = 64
+MAX_DROPPED = 64
 
 
 def merge(known: Rollout | None, candidate: Rollout) -> Rollout:
@@ -24,33 +24,33 @@
     merged = _merge(newer, older)
     in_use_order, in_use = max(_in_use(merged), _in_use(newer), _in_use(older))
     dropped = newer.dropped | older.dropped | _not_succeeded(older, older is known)
-    dropped = _without_proved(dropped, merged, in_use)
+    dropped = _without_proven(dropped, merged, in_use)
     return replace(merged, in_use=in_use, in_use_order=in_use_order, dropped=dropped)
 
 
 def _merge(newer: Rollout, older: Rollout) -> Rollout:
     if not _same_order(newer, older):
-        return _without_earlier_state(newer, older)
+        return _without_leftover_state(newer, older)
     version = min(newer.order.version, older.order.version)
-    return _furthest(replace(newer, order=replace(newer.order, version=version)), older)
+    return _with_furthest_state(replace(newer, order=replace(newer.order, version=version)), older)
 
 
-def _not_succeeded(older: Rollout, held: bool) -> frozenset[str]:
+def _not_succeeded(older: Rollout, was_known: bool) -> frozenset[str]:
     """Return the target version of the ``older`` record if its rollout did not succeed.
 
-    A running order counts as replaced without success only if its record was ``held`` when the next
-    order came. A record that arrives later may date from before the order's end.
+    A running order counts as replaced without success only if its record ``was_known`` when the
+    next order came. A record that arrives later may date from before the order's end.
     """
-    replaced = held and older.current is not State.SUCCEEDED
-    if replaced or older.current is State.ROLLED_BACK:
+    replaced = was_known and older.order_state is not State.SUCCEEDED
+    if replaced or older.order_state is State.ROLLED_BACK:
         return frozenset({older.order.target_version})
     return frozenset()
 
 
-def _without_proved(dropped: frozenset[str], merged: Rollout, in_use: str) -> frozenset[str]:
+def _without_proven(dropped: frozenset[str], merged: Rollout, in_use: str) -> frozenset[str]:
     """Return ``dropped`` without the target of the order and the version in use, within limits."""
-    proved = {merged.order.target_version, in_use}
-    return frozenset(sorted(dropped - proved)[-MOST_DROPPED:])
+    proven = {merged.order.target_version, in_use}
+    return frozenset(sorted(dropped - proven)[-MAX_DROPPED:])
 
 
 def _in_use(rollout: Rollout) -> tuple[int, str]:
@@ -62,7 +62,7 @@
     if rollout.state is not State.SUCCEEDED:
         return known
     version = rollout.order.version
-    if rollout.current is State.NONE:
+    if rollout.order_state is State.NONE:
         # The state is left over from an order before this one.
         version -= 1
     return max(known, (version, rollout.decided_version))
@@ -78,53 +78,66 @@
     # The order's version is compared, too: nodes that read different orders before the object was
     # deleted must agree on one.
     version = rollout.order.version
-    return (rollout.object_version, rollout.gone, version, rollout.written, rollout.state)
+    return (
+        rollout.object_version,
+        rollout.withdrawn,
+        version,
+        rollout.written_state,
+        rollout.state,
+    )
 
 
 def _same_order(newer: Rollout, older: Rollout) -> bool:
     """Return True if both are about the same order, which may since have been withdrawn."""
-    if older.gone and not newer.gone:
+    if older.withdrawn and not newer.withdrawn:
         return False
     return newer.order.is_equivalent(older.order)
 
 
-def _furthest(newer: Rollout, older: Rollout) -> Rollout:
+def _with_furthest_state(newer: Rollout, older: Rollout) -> Rollout:
     """Return ``newer`` with the more advanced state of the two records of the same order."""
-    written = newer.written
+    written_state = newer.written_state
     if newer.object_version == older.object_version:
         # A node that has read the object both before and after the order was given knows which
         # order the status belongs to. If it is left over, that node's record has the lower state.
-        written = min(newer.written, older.written)
+        written_state = min(newer.written_state, older.written_state)
     pairs = ((newer, older), (older, newer))
-    trusted = [one for one, other in pairs if not _is_earlier(one, other, newer.order.version)]
-    best = max(trusted, key=lambda rollout: rollout.current)
-    return replace(newer, state=best.state, decided_version=best.decided_version, written=written)
+    trusted = [
+        one for one, other in pairs if not _has_leftover_state(one, other, newer.order.version)
+    ]
+    best = max(trusted, key=lambda rollout: rollout.order_state)
+    return replace(
+        newer, state=best.state, decided_version=best.decided_version, written_state=written_state
+    )
 
 
-def _is_earlier(rollout: Rollout, other: Rollout, version: int) -> bool:
+def _has_leftover_state(rollout: Rollout, other: Rollout, version: int) -> bool:
     """Return True if the state of ``rollout`` is a status left over from an earlier order.
 
     That is so if the status was read together with the order, and ``other``, which was read at the
     same time or later, does not have it. The exception is a store that was restored from a copy,
     which may have lost the status of this order.
     """
-    if rollout.current is not rollout.written or rollout.object_version > version:
+    if rollout.order_state is not rollout.written_state or rollout.object_version > version:
         return False
     if era_of(other.object_version) > era_of(rollout.object_version):
         return False
-    return other.object_version >= rollout.object_version and other.written < rollout.written
+    return (
+        other.object_version >= rollout.object_version
+        and other.written_state < rollout.written_state
+    )
 
 
-def _without_earlier_state(newer: Rollout, older: Rollout) -> Rollout:
+def _without_leftover_state(newer: Rollout, older: Rollout) -> Rollout:
     """Return ``newer`` without a state that is left over from the ``older`` order.
 
     An operator who orders the same version again means a new rollout.
     """
-    left = newer.state is older.state and newer.decided_version == older.decided_version
-    if newer.gone or not left or newer.current is State.NONE:
+    is_leftover = newer.state is older.state and newer.decided_version == older.decided_version
+    if newer.withdrawn or not is_leftover or newer.order_state is State.NONE:
         return newer
-    return _not_begun(newer)
+    return _not_started(newer)
 
 
-def _not_begun(rollout: Rollout) -> Rollout:
-    return replace(rollout, state=State.NONE, decided_version="", written=State.NONE)
+def _not_started(rollout: Rollout) -> Rollout:
+    return replace(rollout, state=State.NONE, decided_version="", written_state=State.NONE)
--- a/railsail/rollouts/orders.py
+++ b/railsail/rollouts/orders.py
@@ -40,12 +40,12 @@
 class Rollout:
     """An order and the state of its rollout.
 
-    ``gone`` is True once the operator has withdrawn the order. ``state`` refers to the software
-    version ``decided_version``, which is not the target of the order if the state is left over
-    from an earlier order.
+    ``withdrawn`` is True once the operator has withdrawn the order. ``state`` refers to the
+    software version ``decided_version``, which is not the target of the order if the state is left
+    over from an earlier order.
 
-    ``stored`` is the version of the stored object that was last read; writing the status changes
-    it, too. ``written`` is the state of this order according to that object's status.
+    ``object_version`` is the version of the stored object that was last read; writing the status
+    changes it, too. ``written_state`` is the state of this order according to that object's status.
 
     ``dropped`` holds the targets of earlier rollouts that did not succeed: they are unproven and
     receive no calls. ``in_use`` is the software version that succeeded last, as far as is known,
@@ -54,17 +54,17 @@
     """
 
     order: Order
-    gone: bool = False
+    withdrawn: bool = False
     state: State = State.NONE
     decided_version: str = ""
     object_version: int = 0
-    written: State = State.NONE
+    written_state: State = State.NONE
     dropped: frozenset[str] = frozenset()
     in_use: str = ""
     in_use_order: int = 0
 
     @property
-    def current(self) -> State:
+    def order_state(self) -> State:
         """Return the state of this order, ``NONE`` if ``state`` is that of an earlier order."""
         if self.decided_version != self.order.target_version:
             return State.NONE
--- a/railsail/rollouts/plan.py
+++ b/railsail/rollouts/plan.py
@@ -39,14 +39,14 @@
 class PlanInputs:
     """What the coordinator knows of a rollout; times are in seconds of one clock.
 
-    ``ends`` is the deadline. The service has received ``arrivals`` calls so far, recently at
-    ``rate`` per second. At most ``spent`` calls have gone to the target version, which has
-    ``ready`` warm replicas; ``room`` is True if these have capacity for all calls. ``others`` is
-    the number of replicas of other versions that may receive calls.
-
-    ``heard`` is True if all dispatchers have recently reported their calls in flight on other
-    versions, ``running`` in total. The target version has been under full load since
-    ``loaded_at``, 0 before that.
+    The service has received ``arrivals`` calls so far, recently at ``rate`` per second. At most
+    ``spent`` calls have gone to the target version. ``ready_replicas`` of its replicas are warm;
+    ``has_capacity`` is True if these have capacity for all calls. ``other_replicas`` is the number
+    of replicas of other versions that may receive calls.
+
+    ``all_reporting`` is True if all dispatchers have recently reported their calls in flight on
+    other versions, ``running`` in total. The target version has been under full load since
+    ``loaded_since``, 0 before that.
     """
 
     now: float
--- a/railsail/rollouts/publishing.py
+++ b/railsail/rollouts/publishing.py
@@ -20,7 +20,7 @@
         self._book = book
         self._version = 0
         # The target version as the operator wrote it, text or a number.
-        self._target: object = ""
+        self._target_version: object = ""
 
     async def write(self, order: Order, state: State) -> bool:
         """Write ``state`` as the status of ``order``; return False if it must not be written.
@@ -39,29 +39,31 @@
 
     async def _read_and_write(self, order: Order, state: State) -> bool:
         stored = await self._store.get(KIND, order.service)
-        found = _read(stored) if stored is not None else None
+        found = _parse(stored) if stored is not None else None
         if stored is None or found is None or not found.order.is_equivalent(order):
             return False
         self._book.seen(WatchEvent(KIND, stored.name, stored.version, stored.value))
-        if found.object_version > order.version and found.written >= min(state, State.SUCCEEDED):
+        if found.object_version > order.version and found.written_state >= min(
+            state, State.SUCCEEDED
+        ):
             # The object has this status, or an end, which is final.
             return True
         if state is State.RUNNING and self._book.running(order.service) is None:
             # The order has ended in the meantime, and an end is never reverted.
             return False
         self._version = stored.version
-        self._target = stored.value["target_version"]
+        self._target_version = stored.value["target_version"]
         await self._put(order, state)
         return True
 
     async def _put(self, order: Order, state: State) -> None:
         version, self._version = self._version, 0
-        value = status_value(state, self._target)
+        value = status_value(state, self._target_version)
         self._version = await self._store.put_status(KIND, order.service, value, version)
         self._book.status_stored(order, state, self._version)
 
 
-def _read(stored: StoredObject) -> Rollout | None:
+def _parse(stored: StoredObject) -> Rollout | None:
     try:
         return parse_rollout(stored.name, stored.version, stored.value)
     except BadRollout as problem:
--- a/railsail/rollouts/quotas.py
+++ b/railsail/rollouts/quotas.py
@@ -13,16 +13,16 @@
     """The number of calls that each dispatcher may send in total in one term."""
 
     def __init__(self) -> None:
-        self._given: dict[Source, int] = {}
+        self._calls_by_source: dict[Source, int] = {}
 
     @property
     def total(self) -> int:
         """Return how many calls have been assigned to dispatchers."""
-        return sum(self._given.values())
+        return sum(self._calls_by_source.values())
 
     def of(self, source: Source) -> int:
         """Return how many calls ``source`` may send in total."""
-        return self._given.get(source, 0)
+        return self._calls_by_source.get(source, 0)
 
     def divide(self, free: int, weights: Mapping[Source, float]) -> None:
         """Assign ``free`` more calls in proportion to ``weights``, by the largest remainders."""
@@ -31,9 +31,9 @@
             return
         exact = {source: free * weight / total for source, weight in weights.items()}
         parts = {source: int(part) for source, part in exact.items()}
-        left = free - sum(parts.values())
-        by_rest = sorted(exact, key=lambda source: parts[source] - exact[source])
-        for source in by_rest[:left]:
+        remainder = free - sum(parts.values())
+        by_remainder = sorted(exact, key=lambda source: parts[source] - exact[source])
+        for source in by_remainder[:remainder]:
             parts[source] += 1
         for source, part in parts.items():
-            self._given[source] = self.of(source) + part
+            self._calls_by_source[source] = self.of(source) + part
--- a/railsail/rollouts/report.py
+++ b/railsail/rollouts/report.py
@@ -8,28 +8,28 @@
 def row(rollout: Rollout, coordinator: Coordinator) -> dict[str, object]:
     """Return the report on ``rollout``; only its coordinator adds the stage and the figures."""
     order = rollout.order
-    told: dict[str, object] = {
+    report: dict[str, object] = {
         "service": order.service,
         "target_version": order.target_version,
         "order_version": order.version,
         "duration_ms": round(order.duration * 1000),
         "state": _state(rollout),
-        "status_written": rollout.written is rollout.current,
+        "status_written": rollout.written_state is rollout.order_state,
         "coordinator": "",
     }
     coordination = coordinator.coordination(order.service)
     if coordination is None:
-        return told
-    told["coordinator"] = coordination.holder
+        return report
+    report["coordinator"] = coordination.holder
     if coordination.coordinator_term is not None:
-        told |= _figures(coordination.coordinator_term)
-    return told
+        report |= _figures(coordination.coordinator_term)
+    return report
 
 
 def _state(rollout: Rollout) -> str:
-    if rollout.gone:
+    if rollout.withdrawn:
         return "gone"
-    return "new" if rollout.current is State.NONE else rollout.current.name.lower()
+    return "new" if rollout.order_state is State.NONE else rollout.order_state.name.lower()
 
 
 def _figures(coordinator_term: CoordinatorTerm) -> dict[str, object]:
--- a/railsail/rollouts/serialization.py
+++ b/railsail/rollouts/serialization.py
@@ -8,9 +8,13 @@
 from railsail.rollouts.orders import Order, Rollout, State
 from railsail.store.base import UNREADABLE
 
-MOST_TEXT = 256
-_WORDS = {State.RUNNING: "running", State.SUCCEEDED: "succeeded", State.ROLLED_BACK: "rolled_back"}
-_STATES = {word: state for state, word in _WORDS.items()}
+MAX_TEXT_LENGTH = 256
+_STATE_NAMES = {
+    State.RUNNING: "running",
+    State.SUCCEEDED: "succeeded",
+    State.ROLLED_BACK: "rolled_back",
+}
+_STATES_BY_NAME = {state_name: state for state, state_name in _STATE_NAMES.items()}
 
 
 class BadRollout(RailsailError):
@@ -24,23 +28,23 @@
     target = _text(value.get("target_version"), "target_version")
     order = Order(name, version, target, _duration(value.get("duration")))
     status = value.get("status")
-    if not isinstance(status, Mapping) or status.get("state") not in _STATES:
+    if not isinstance(status, Mapping) or status.get("state") not in _STATES_BY_NAME:
         return Rollout(order, object_version=version)
     decided = _text(status.get("target_version"), "target_version of the status")
-    rollout = Rollout(order, False, _STATES[status["state"]], decided, version)
-    return replace(rollout, written=rollout.current)
+    rollout = Rollout(order, False, _STATES_BY_NAME[status["state"]], decided, version)
+    return replace(rollout, written_state=rollout.order_state)
 
 
 def status_value(state: State, target_version: object) -> dict[str, object]:
     """Return the status to store; ``target_version`` is text or a number, as in the order."""
-    return {"state": _WORDS[state], "target_version": target_version}
+    return {"state": _STATE_NAMES[state], "target_version": target_version}
 
 
 def _text(value: object, field: str) -> str:
     if isinstance(value, bool) or not isinstance(value, str | int):
         raise BadRollout(f"{field} is neither text nor an integer")
     text = str(value)
-    if not 0 < len(text) <= MOST_TEXT or UNREADABLE in text:
+    if not 0 < len(text) <= MAX_TEXT_LENGTH or UNREADABLE in text:
         raise BadRollout(f"{field} is empty, too long or has undecodable characters")
     return text
 
--- a/railsail/rollouts/tallies.py
+++ b/railsail/rollouts/tallies.py
@@ -3,17 +3,17 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from railsail.rollouts.evidence import Tally, class_end, median_class
+from railsail.rollouts.evidence import Tally, bucket_upper_bound, median_bucket
 from railsail.scheduling.decisions import Flight
 from railsail.scheduling.health import CallResult
 
 # Routes beyond this number are counted together as the unknown route, so that the evidence of a
 # service with 30 replicas of the target version fits into one message.
-MOST_ROUTES = 60
+MAX_ROUTES = 60
 # A caller that left before the first byte counts as a slow answer if it waited this many times the
 # median time to the first byte on other versions, once these have given this many answers.
 LATE_FACTOR = 3.0
-LEAST_ANSWERS = 10
+MIN_ANSWERS = 10
 
 
 @dataclass(frozen=True)
@@ -56,32 +56,32 @@
         first = (flight.begun_at or now) - flight.started_at
         if result is CallResult.CALLER_LEFT:
             if not flight.begun_at and self._is_late(flight.route, whole):
-                self._of(flight).add(False, whole, whole)
+                self._tally_for(flight).add(False, whole, whole)
         elif result is CallResult.GOOD:
-            self._of(flight).add(False, first, whole)
+            self._tally_for(flight).add(False, first, whole)
         elif result in (CallResult.ERROR, CallResult.BROKE_OFF):
-            self._of(flight).add(True, first, whole)
+            self._tally_for(flight).add(True, first, whole)
 
-    def _of(self, flight: Flight) -> Tally:
+    def _tally_for(self, flight: Flight) -> Tally:
         version = flight.software_version
         replica = flight.replica if version == self.target_version else ""
-        key = TallyKey(self._route(flight.route), version, replica)
+        key = TallyKey(self._counted_route(flight.route), version, replica)
         return self._tallies.setdefault(key, Tally())
 
-    def _route(self, route: int) -> int:
-        if route not in self._routes and len(self._routes) >= MOST_ROUTES:
+    def _counted_route(self, route: int) -> int:
+        if route not in self._routes and len(self._routes) >= MAX_ROUTES:
             return 0
         self._routes.add(route)
         return route
 
     def _is_late(self, route: int, waited: float) -> bool:
         """Return True if ``waited`` seconds is much longer than other versions usually take."""
-        route = self._route(route)
-        usual = Tally().merged(
+        route = self._counted_route(route)
+        baseline = Tally().merged(
             tally
             for key, tally in self._tallies.items()
             if key.route == route and key.software_version != self.target_version
         )
-        if sum(usual.first) < LEAST_ANSWERS:
+        if sum(baseline.first) < MIN_ANSWERS:
             return False
-        return waited > LATE_FACTOR * class_end(median_class(usual.first))
+        return waited > LATE_FACTOR * bucket_upper_bound(median_bucket(baseline.first))
--- a/railsail/rollouts/verdict.py
+++ b/railsail/rollouts/verdict.py
@@ -14,11 +14,11 @@
 from dataclasses import dataclass, field
 
 from railsail.rollouts.evidence import (
-    CLASSES,
-    CLASSES_PER_OCTAVE,
+    BUCKETS,
+    BUCKETS_PER_OCTAVE,
     RouteEvidence,
     Tally,
-    median_class,
+    median_bucket,
 )
 
 # The alarm threshold of the cumulative sum, a log-likelihood ratio to the base e. A version whose
@@ -47,7 +47,7 @@
 LEAST_BASELINE = 20
 # The answers that a version must have given before it counts as good: in total, and on each route
 # that has at least ``COMMON_SHARE`` of the baseline's answers.
-LEAST_ANSWERS = 40
+MIN_ANSWERS = 40
 LEAST_ROUTE_ANSWERS = 8
 COMMON_SHARE = 0.01
 # A route without answers of the baseline in this many updates, about ten seconds, no longer counts
@@ -194,8 +194,8 @@
     def _doubt(self) -> Judgement | None:
         """Return an undecided judgement if the version cannot be called good yet, else ``None``."""
         answers = sum(_target_answers(route) for route in self._routes.values())
-        if answers < LEAST_ANSWERS:
-            return Judgement(Verdict.UNDECIDED, f"{answers} answers of {LEAST_ANSWERS} are known")
+        if answers < MIN_ANSWERS:
+            return Judgement(Verdict.UNDECIDED, f"{answers} answers of {MIN_ANSWERS} are known")
         baseline = sum(route.before.baseline.answers for route in self._routes.values())
         for number, route in self._routes.items():
             often = route.before.baseline.answers >= COMMON_SHARE * baseline
@@ -216,7 +216,7 @@
                 return aspect
         failed = sum(tally.failed for tally in route.before.target.values())
         share = failed / max(1, _target_answers(route))
-        few = _target_answers(route) < LEAST_ANSWERS
+        few = _target_answers(route) < MIN_ANSWERS
         usual = route.baseline.failed / max(1, route.baseline.answers)
         return Aspect.FAILED if few and share > usual + DOUBTFUL_EXCESS else None
 
@@ -280,8 +280,8 @@
 
 def _slow_class(usual: Sequence[float]) -> int:
     """Return the lowest bucket in which all times are slow compared with the ``usual`` ones."""
-    least = median_class(usual) + CLASSES_PER_OCTAVE * math.log2(SLOW_FACTOR)
-    return min(CLASSES - 1, math.ceil(least))
+    least = median_bucket(usual) + BUCKETS_PER_OCTAVE * math.log2(SLOW_FACTOR)
+    return min(BUCKETS - 1, math.ceil(least))
 
 
 def _usual_share(baseline: _Counts) -> float:
--- a/tests/rollouts/base.py
+++ b/tests/rollouts/base.py
@@ -15,7 +15,7 @@
 from railsail.rollouts.book import RolloutBook
 from railsail.rollouts.bounds import ExposureBounds
 from railsail.rollouts.coordination import Coordination
-from railsail.rollouts.evidence import CLASSES
+from railsail.rollouts.evidence import BUCKETS
 from railsail.rollouts.fleet import Replica
 from railsail.rollouts.ledger import KIND as LEDGER
 from railsail.rollouts.verdict import Judgement, Verdict
@@ -126,8 +126,8 @@
 class FakeFleet:
     """A node's view of a fleet with one cell, whose dispatcher is node ``d``."""
 
-    def __init__(self, own: str, nodes: list[str]) -> None:
-        self.own = own
+    def __init__(self, node_id: str, nodes: list[str]) -> None:
+        self.node_id = node_id
         self.nodes = nodes
         self.sent: list[RolloutAllowance] = []
         self.cells = {0: "d"}
@@ -223,7 +223,7 @@
 
 
 def tally(route: int, version: str, replica: str, answers: int, failed: int = 0) -> TallyRecord:
-    times = [0] * CLASSES
+    times = [0] * BUCKETS
     return TallyRecord(route, version, replica, answers, failed, times, times)
 
 
--- a/tests/rollouts/test_book.py
+++ b/tests/rollouts/test_book.py
@@ -113,7 +113,7 @@
         self.book.decide(self.book.running(SERVICE), State.ROLLED_BACK)
         self.see(status("running"))
         self.see({"status": {}})
-        self.assertIs(self.book.get(SERVICE).current, State.ROLLED_BACK)
+        self.assertIs(self.book.get(SERVICE).order_state, State.ROLLED_BACK)
         self.assertEqual(len(self.book.unwritten()), 1)
 
     def test_end_is_not_reverted_by_a_restored_store(self):
@@ -122,7 +122,7 @@
         self.see(status("succeeded"))
         held = self.store.objects[("rollout", SERVICE)].value | {"status": {}}
         self.book.seen(WatchEvent("rollout", SERVICE, to_version(1, 1), held))
-        self.assertIs(self.book.get(SERVICE).current, State.SUCCEEDED)
+        self.assertIs(self.book.get(SERVICE).order_state, State.SUCCEEDED)
         self.assertEqual(len(self.book.unwritten()), 1)
 
     def test_order_of_another_version_is_new_and_drops_the_previous_target(self):
@@ -185,7 +185,7 @@
         self.store.version = 9
         self.see({"status": {}})
         self.assertEqual(self.book.running(SERVICE).version, 10)
-        self.assertEqual(self.book.get(SERVICE).current, State.NONE)
+        self.assertEqual(self.book.get(SERVICE).order_state, State.NONE)
 
     def test_invalid_values_are_refused_and_the_last_valid_order_stays(self):
         self.order()
--- a/tests/rollouts/test_coordinator.py
+++ b/tests/rollouts/test_coordinator.py
@@ -198,7 +198,7 @@
         fresh = FakeNode("a", NAMES, self.store, self.clock)
         await fresh.step()
         self.assertIsNone(fresh.book.running(SERVICE))
-        self.assertEqual(fresh.book.unwritten()[0].current, State.ROLLED_BACK)
+        self.assertEqual(fresh.book.unwritten()[0].order_state, State.ROLLED_BACK)
 
     async def test_ledger_restored_to_an_earlier_entry_is_written_again(self):
         leader = await self.begin()
--- a/tests/rollouts/test_merging.py
+++ b/tests/rollouts/test_merging.py
@@ -37,7 +37,7 @@
         self.version += 1
         order = replace(rollout.order, version=self.version)
         read = replace(rollout, order=order, object_version=self.version)
-        self.stored = replace(read, written=read.current)
+        self.stored = replace(read, written_state=read.order_state)
 
     def _order(self) -> None:
         target, duration = self.rng.choice(("v2", "v3")), self.rng.choice((20.0, 30.0))
@@ -52,15 +52,20 @@
     def _decide(self) -> None:
         node = self._node()
         known = self.nodes[node]
-        if known is not None and known.current is State.RUNNING:
+        if known is not None and known.order_state is State.RUNNING:
             state = self.rng.choice((State.SUCCEEDED, State.ROLLED_BACK))
             self.nodes[node] = merge(known, replace(known, state=state))
 
     def _write(self) -> None:
         known = self.nodes[self._node()]
-        if known is None or self.stored is None or known.gone or not _alike(known, self.stored):
+        if (
+            known is None
+            or self.stored is None
+            or known.withdrawn
+            or not _alike(known, self.stored)
+        ):
             return
-        state = max(known.current, State.RUNNING)
+        state = max(known.order_state, State.RUNNING)
         target = known.order.target_version
         if (self.stored.state, self.stored.decided_version) != (state, target):
             self._store(replace(self.stored, state=state, decided_version=target))
@@ -73,8 +78,10 @@
         known = self.nodes[node]
         if self.stored is not None:
             self.nodes[node] = merge(known, self.stored)
-        elif known is not None and not known.gone:
-            self.nodes[node] = merge(known, replace(known, gone=True, object_version=self.version))
+        elif known is not None and not known.withdrawn:
+            self.nodes[node] = merge(
+                known, replace(known, withdrawn=True, object_version=self.version)
+            )
 
     def _tell(self) -> None:
         teller, hearer = self.rng.sample(range(NODES), 2)
--- a/tests/rollouts/test_missed_end.py
+++ b/tests/rollouts/test_missed_end.py
@@ -13,7 +13,7 @@
 
 def rollout(target: str, ordered_at: int, state: State, object_version: int) -> Rollout:
     order = Order(SERVICE, ordered_at, target, 20.0)
-    return Rollout(order, False, state, target, object_version, written=state)
+    return Rollout(order, False, state, target, object_version, written_state=state)
 
 
 class MissedEndTests(unittest.TestCase):
