--- a/railsail/rollouts/bounds.py
+++ b/railsail/rollouts/bounds.py
@@ -16,19 +16,19 @@
 # available at once and the rest grows over the order's duration, since a version may turn bad
 # later.
 CANARY_SLACK = 0.4
-CANARY_SLACK_AT_ONCE = 0.1
+INITIAL_CANARY_SLACK = 0.1
 # A service with few calls needs a larger part of the bound for its canary. By the deadline the
 # canary may use this many calls, provided that the calls of this many seconds are left for the
 # shift.
-ENOUGH_CALLS = 80
-KEPT_SECONDS = 1.2
+SUFFICIENT_CANARY_CALLS = 80
+SHIFT_RESERVE_SECONDS = 1.2
 # The shift stays below the full bound, because calls are counted here before they reach a replica
 # and a call may be sent twice.
 SHIFT_SHARE = 0.95
 SHIFT_SLACK = 0.8
 # An allowance expires soon after its coordinator has gone, and well before the time by which a bad
 # version must receive no more calls: collecting evidence and reaching a verdict take time, too.
-MOST_VALID_SECONDS = 1.0
+MAX_VALID_SECONDS = 1.0
 VALID_SHARE = 0.25
 
 
@@ -36,30 +36,32 @@
 class ExposureBounds:
     """The operator's bounds on the calls of the target version (see the module).
 
-    No call may reach a version later than ``rollback`` seconds after it is known to be bad.
+    No call may reach a version later than ``rollback_seconds`` after it is known to be bad.
     """
 
     share: float
     slack: float
-    rollback: float = 5.0
+    rollback_seconds: float = 5.0
 
     @property
     def valid_seconds(self) -> float:
         """Return for how many seconds a dispatcher may use an allowance that is not renewed."""
-        return min(MOST_VALID_SECONDS, VALID_SHARE * self.rollback)
+        return min(MAX_VALID_SECONDS, VALID_SHARE * self.rollback_seconds)
 
-    def canary_calls(self, arrivals: int, rate: float = math.inf, elapsed: float = 1.0) -> int:
+    def canary_calls(
+        self, arrivals: int, rate: float = math.inf, elapsed_share: float = 1.0
+    ) -> int:
         """Return how many calls the target may have received in the canary.
 
-        Calls arrive at ``rate`` per second, and ``elapsed`` is the part of the order's duration
-        that has passed.
+        Calls arrive at ``rate`` per second, and ``elapsed_share`` is the part of the order's
+        duration that has passed.
         """
-        elapsed = min(1.0, max(0.0, elapsed))
-        over_time = (CANARY_SLACK - CANARY_SLACK_AT_ONCE) * elapsed
-        slack = (CANARY_SLACK_AT_ONCE + over_time) * self.slack
+        elapsed_share = min(1.0, max(0.0, elapsed_share))
+        over_time = (CANARY_SLACK - INITIAL_CANARY_SLACK) * elapsed_share
+        slack = (INITIAL_CANARY_SLACK + over_time) * self.slack
         usual = CANARY_SHARE * self.share * arrivals + slack
-        spare = self.shift_calls(arrivals) - KEPT_SECONDS * rate
-        return int(max(usual, min(ENOUGH_CALLS * elapsed, spare)))
+        spare = self.shift_calls(arrivals) - SHIFT_RESERVE_SECONDS * rate
+        return int(max(usual, min(SUFFICIENT_CANARY_CALLS * elapsed_share, spare)))
 
     def shift_calls(self, arrivals: int) -> int:
         """Return how many calls the target may have received in total before the deadline."""
--- a/tests/rollouts/test_plan.py
+++ b/tests/rollouts/test_plan.py
@@ -3,7 +3,7 @@
 import unittest
 from dataclasses import replace
 
-from railsail.rollouts.bounds import KEPT_SECONDS, ExposureBounds
+from railsail.rollouts.bounds import SHIFT_RESERVE_SECONDS, ExposureBounds
 from railsail.rollouts.orders import State
 from railsail.rollouts.plan import (
     DEADLINE_MARGIN_SECONDS,
@@ -48,14 +48,16 @@
             for seconds in (1, 6, 12):
                 arrivals = int(rate * seconds)
                 found = BOUNDS.canary_calls(arrivals, rate, seconds / 12)
-                usual = BOUNDS.canary_calls(arrivals, elapsed=seconds / 12)
+                usual = BOUNDS.canary_calls(arrivals, elapsed_share=seconds / 12)
                 left = BOUNDS.shift_calls(arrivals) - found
                 self.assertGreaterEqual(found, usual)
-                self.assertTrue(found == usual or left >= int(KEPT_SECONDS * rate))
+                self.assertTrue(found == usual or left >= int(SHIFT_RESERVE_SECONDS * rate))
         self.assertGreater(BOUNDS.canary_calls(312, 26.0), BOUNDS.canary_calls(312))
 
     def test_slack_of_the_canary_grows_over_time(self):
-        found = [BOUNDS.canary_calls(0, elapsed=share) for share in (-1.0, 0.0, 0.5, 1.0, 9.0)]
+        found = [
+            BOUNDS.canary_calls(0, elapsed_share=share) for share in (-1.0, 0.0, 0.5, 1.0, 9.0)
+        ]
         self.assertEqual(found, [5, 5, 12, 20, 20])
 
 
