--- a/railsail/rollouts/book.py
+++ b/railsail/rollouts/book.py
@@ -23,7 +23,7 @@
 KIND = "rollout"
 # When a rollout succeeds, the platform stops the replicas of other versions, and they leave its
 # list within this time. Replicas that start later with another version receive calls again.
-REPLACED_SECONDS = 30.0
+REPLACEMENT_SECONDS = 30.0
 
 Flood = Callable[[RolloutUpdate, str], None]
 
@@ -34,7 +34,7 @@
     def __init__(self, flood: Flood, kernel: Kernel) -> None:
         self._flood = flood
         self._kernel = kernel
-        self._known: dict[str, Rollout] = {}
+        self._rollouts: dict[str, Rollout] = {}
         self._succeeded_at: dict[str, float] = {}
         self._listeners: list[Callable[[], None]] = []
 
@@ -44,20 +44,20 @@
 
     def get(self, service: str) -> Rollout | None:
         """Return the rollout of ``service``, also if it has ended or was withdrawn."""
-        return self._known.get(service)
+        return self._rollouts.get(service)
 
     def all(self) -> list[Rollout]:
         """Return all rollouts, ordered by service."""
-        return [self._known[service] for service in sorted(self._known)]
+        return [self._rollouts[service] for service in sorted(self._rollouts)]
 
     def running(self, service: str) -> Order | None:
         """Return the order of ``service`` if it was not withdrawn and has not ended."""
-        rollout = self._known.get(service)
+        rollout = self._rollouts.get(service)
         if rollout is None or rollout.withdrawn or rollout.order_state.ended:
             return None
         return rollout.order
 
-    def unwritten(self) -> list[Rollout]:
+    def ended_without_status(self) -> list[Rollout]:
         """Return the rollouts that have ended, but whose status in the store does not say so."""
         return [
             rollout
@@ -69,7 +69,7 @@
 
     def takes_work(self, service: str, software_version: str) -> bool:
         """Return True if replicas of ``software_version`` may receive new calls of ``service``."""
-        rollout = self._known.get(service)
+        rollout = self._rollouts.get(service)
         if rollout is None:
             return True
         if rollout.state.ended and software_version == rollout.decided_version:
@@ -78,18 +78,18 @@
             return False
         if software_version == rollout.order.target_version:
             return not rollout.withdrawn
-        return not self._replaces(rollout)
+        return not self._is_replacing(rollout)
 
-    def _replaces(self, rollout: Rollout) -> bool:
+    def _is_replacing(self, rollout: Rollout) -> bool:
         """Return True if the platform is stopping the replicas of all other versions."""
         if rollout.withdrawn or rollout.order_state is not State.SUCCEEDED:
             return False
         since = self._succeeded_at.get(rollout.order.service, -math.inf)
-        return self._kernel.clock.monotonic() < since + REPLACED_SECONDS
+        return self._kernel.clock.monotonic() < since + REPLACEMENT_SECONDS
 
     def tick(self) -> None:
         """Notify the listeners if other versions may receive calls again by the passage of time."""
-        due = self._kernel.clock.monotonic() - REPLACED_SECONDS
+        due = self._kernel.clock.monotonic() - REPLACEMENT_SECONDS
         passed = [service for service, at in self._succeeded_at.items() if at <= due]
         for service in passed:
             del self._succeeded_at[service]
@@ -111,54 +111,54 @@
         names = {stored.name for stored in listing.objects}
         for rollout in self.all() if listing.settled else ():
             if rollout.order.service not in names and not rollout.withdrawn:
-                self._take([replace(rollout, withdrawn=True, object_version=listing.version)], "")
+                self._apply([replace(rollout, withdrawn=True, object_version=listing.version)], "")
 
     def seen(self, event: WatchEvent) -> None:
         """Apply a watch event of the store."""
-        known = self._known.get(event.name)
+        known = self._rollouts.get(event.name)
         if event.value is None:
             if known is not None:
-                self._take([replace(known, withdrawn=True, object_version=event.version)], "")
+                self._apply([replace(known, withdrawn=True, object_version=event.version)], "")
             return
         try:
             rollout = parse_rollout(event.name, event.version, event.value)
         except BadRollout as problem:
-            self._refuse(event.name, str(problem))
+            self._log_invalid(event.name, str(problem))
             return
-        self._take([rollout], "")
+        self._apply([rollout], "")
 
     def received(self, node: str, update: RolloutUpdate) -> None:
         """Merge the records that the peer ``node`` has sent."""
-        self._take([_from_record(record) for record in update.rollouts], node)
+        self._apply([_from_record(record) for record in update.rollouts], node)
 
-    def update(self) -> RolloutUpdate:
+    def full_update(self) -> RolloutUpdate:
         """Return all records, for a peer that has connected."""
         return RolloutUpdate([_to_record(rollout) for rollout in self.all()])
 
-    def decide(self, order: Order, state: State) -> None:
+    def record_decision(self, order: Order, state: State) -> None:
         """Record that ``order`` has ``state`` according to the ledger."""
-        known = self._known.get(order.service)
+        known = self._rollouts.get(order.service)
         if known is None or known.order != order:
             return
         decided = replace(known, state=state, decided_version=order.target_version)
-        self._take([decided], "")
+        self._apply([decided], "")
 
-    def status_stored(self, order: Order, state: State, version: int) -> None:
+    def record_status(self, order: Order, state: State, version: int) -> None:
         """Record that the status of ``order`` is ``state`` as of ``version`` of its object."""
-        known = self._known.get(order.service)
+        known = self._rollouts.get(order.service)
         if known is None or known.order != order or version <= known.object_version:
             return
         target = order.target_version
-        self._take([Rollout(order, False, state, target, version, written_state=state)], "")
+        self._apply([Rollout(order, False, state, target, version, written_state=state)], "")
 
-    def _refuse(self, service: str, reason: str) -> None:
+    def _log_invalid(self, service: str, reason: str) -> None:
         get_logger().warning("rollout refused", service=service, reason=reason)
         self._kernel.metrics.rollouts_refused.inc({"service": service})
 
-    def _take(self, candidates: list[Rollout], source: str) -> None:
+    def _apply(self, candidates: list[Rollout], source: str) -> None:
         changed = []
         for candidate in candidates:
-            known = self._known.get(candidate.order.service)
+            known = self._rollouts.get(candidate.order.service)
             merged = merge(known, candidate)
             if merged != known:
                 self._put(known, merged)
@@ -170,7 +170,7 @@
 
     def _put(self, known: Rollout | None, rollout: Rollout) -> None:
         service = rollout.order.service
-        self._known[service] = rollout
+        self._rollouts[service] = rollout
         before = known.order_state if known is not None else State.NONE
         if rollout.order_state is State.SUCCEEDED and before is not State.SUCCEEDED:
             self._succeeded_at[service] = self._kernel.clock.monotonic()
--- a/railsail/rollouts/coordination.py
+++ b/railsail/rollouts/coordination.py
@@ -25,24 +25,24 @@
 from railsail.store.base import Store
 from railsail.store.journal import Backoff
 
-TICK_SECONDS = 0.1
-TICK_SECONDS_IN_SHIFT = 0.05
+TICK_INTERVAL_SECONDS = 0.1
+SHIFT_TICK_INTERVAL_SECONDS = 0.05
 # The leader writes the ledger at this interval, and more often while the target receives all calls,
 # because these are reserved shortly before they arrive.
-RENEW_SECONDS = 0.8
-RENEW_SECONDS_IN_SHIFT = 0.4
+RENEWAL_INTERVAL_SECONDS = 0.8
+SHIFT_RENEWAL_INTERVAL_SECONDS = 0.4
 # The candidates' attempts to take over are staggered by this time, in the order of their rank.
-STEP_SECONDS = 0.4
+TAKEOVER_STAGGER_SECONDS = 0.4
 # The first candidates poll the ledger, each one at a slightly longer interval than the one ranked
 # before it. All other nodes read it only rarely, because reads of the store are billed.
-CANDIDATES = 6
+POLLING_CANDIDATES = 6
 POLL_SECONDS = 1.0
-POLL_STEP_SECONDS = 0.5
-REST_SECONDS = 30.0
+POLL_STAGGER_SECONDS = 0.5
+RARE_POLL_SECONDS = 30.0
 # The interval at which a node checks whether it may coordinate, which takes no store call.
-LOOK_SECONDS = 1.0
-FIRST_PAUSE_SECONDS = 0.1
-MOST_PAUSE_SECONDS = 0.5
+CANDIDACY_CHECK_SECONDS = 1.0
+INITIAL_BACKOFF_SECONDS = 0.1
+MAX_BACKOFF_SECONDS = 0.5
 
 
 class Coordination:
@@ -67,13 +67,13 @@
         self._kernel = kernel
         self._judge = judge
         self._ledger = Ledger(store, order.service, kernel.clock.monotonic)
-        self._backoff = Backoff(kernel.rng, FIRST_PAUSE_SECONDS, MOST_PAUSE_SECONDS)
+        self._backoff = Backoff(kernel.rng, INITIAL_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS)
         self._wake = asyncio.Event()
         # Whether this node has written the running status of the order.
-        self._began_here = False
+        self._wrote_running_status = False
         self._ticking: asyncio.Task | None = None
         # When this node next reads the ledger if it is not one of the first candidates.
-        self._rests_until = kernel.clock.monotonic() + REST_SECONDS
+        self._next_rare_read_at = kernel.clock.monotonic() + RARE_POLL_SECONDS
 
     @property
     def holder(self) -> str:
@@ -93,24 +93,26 @@
     async def run(self) -> None:
         """Lead or stand by until the order has ended or was replaced."""
         try:
-            while self._still_ordered():
-                await self._sleep(await self._try_step())
+            while self._is_still_ordered():
+                await self._sleep(await self._step_or_back_off())
         finally:
             if self._ticking is not None:
                 self._ticking.cancel()
 
-    async def _tick_on(self) -> None:
+    async def _run_ticks(self) -> None:
         while self.coordinator_term is not None:
             self.tick()
-            shifts = (
+            is_shifted = (
                 self.coordinator_term is not None and self.coordinator_term.stage >= Stage.SHIFT
             )
-            await asyncio.sleep(TICK_SECONDS_IN_SHIFT if shifts else TICK_SECONDS)
+            await asyncio.sleep(
+                SHIFT_TICK_INTERVAL_SECONDS if is_shifted else TICK_INTERVAL_SECONDS
+            )
 
     def tick(self) -> None:
         """Do what needs no store call: judge the version, plan, and send allowances."""
         coordinator_term = self.coordinator_term
-        if coordinator_term is None or not self._still_ordered():
+        if coordinator_term is None or not self._is_still_ordered():
             return
         coordinator_term.order = self.order
         try:
@@ -121,7 +123,7 @@
         if coordinator_term.needs_write():
             self.wake()
 
-    def _still_ordered(self) -> bool:
+    def _is_still_ordered(self) -> bool:
         order = self._book.running(self.order.service)
         if (
             order is None
@@ -139,13 +141,13 @@
                 await self._wake.wait()
                 self._wake.clear()
 
-    async def _try_step(self) -> float:
+    async def _step_or_back_off(self) -> float:
         try:
             pause = await self.step()
         except StoreConflict:
             get_logger().info("rollout written by another node", service=self.order.service)
             self._ledger.needs_read = True
-            return FIRST_PAUSE_SECONDS
+            return INITIAL_BACKOFF_SECONDS
         except StoreUnavailable as problem:
             reason = str(problem)
             get_logger().info("rollout step failed", service=self.order.service, reason=reason)
@@ -156,43 +158,51 @@
     async def step(self) -> float:
         """Make the store calls that are due, and return the seconds until the next step."""
         if self.coordinator_term is None:
-            place = self._place()
-            return LOOK_SECONDS if place is None else await self._stand_by(place)
+            candidate_rank = self._polling_rank()
+            return (
+                CANDIDACY_CHECK_SECONDS
+                if candidate_rank is None
+                else await self._step_as_standby(candidate_rank)
+            )
         if self._ledger.needs_read:
             await self._ledger.read()
-            self._note_read()
-        return await self._lead() if self.coordinator_term is not None else FIRST_PAUSE_SECONDS
+            self._check_holder()
+        return (
+            await self._step_as_leader()
+            if self.coordinator_term is not None
+            else INITIAL_BACKOFF_SECONDS
+        )
 
-    def _place(self) -> int | None:
+    def _polling_rank(self) -> int | None:
         """Return this node's rank among the candidates, ``None`` if it need not read the ledger."""
         ranked = ranked_candidates(self._fleet, self.order.service)
         if self._fleet.node_id not in ranked:
             return None
-        place = ranked.index(self._fleet.node_id)
+        candidate_rank = ranked.index(self._fleet.node_id)
         now = self._kernel.clock.monotonic()
-        if place < CANDIDATES:
-            return place
-        if now < self._rests_until:
+        if candidate_rank < POLLING_CANDIDATES:
+            return candidate_rank
+        if now < self._next_rare_read_at:
             return None
-        self._rests_until = now + REST_SECONDS
-        return place
+        self._next_rare_read_at = now + RARE_POLL_SECONDS
+        return candidate_rank
 
-    def _note_read(self) -> None:
+    def _check_holder(self) -> None:
         """Step down if another node has taken over according to the ledger that was just read."""
         coordinator_term, entry = self.coordinator_term, self._ledger.entry
         if coordinator_term is None:
             return
-        if not self._may_lead() or (entry is not None and _is_later(entry, coordinator_term.entry)):
-            self._step_back()
+        if not self._can_lead() or (entry is not None and _is_later(entry, coordinator_term.entry)):
+            self._step_down()
         elif entry is not None and _is_own(entry, coordinator_term.entry):
             # A write without an answer may have taken effect.
             coordinator_term.record_write(entry, self._ledger.changed_at - LEASE_SECONDS)
 
-    def _step_back(self) -> None:
-        self._tell("stepped back")
+    def _step_down(self) -> None:
+        self._emit_event("stepped back")
         self.coordinator_term = None
 
-    def _may_lead(self) -> bool:
+    def _can_lead(self) -> bool:
         return self._fleet.node_id in self._fleet.candidates()
 
     def _is_new(self, entry: Entry | None) -> bool:
@@ -204,27 +214,31 @@
         """
         if entry is None or not entry.same_order(self.order):
             return True
-        return entry.order < self.order.version and not self._begun()
+        return entry.order < self.order.version and not self._has_status()
 
-    def _begun(self) -> bool:
+    def _has_status(self) -> bool:
         """Return True if the operator's object has a status of this order."""
         rollout = self._book.get(self.order.service)
         return rollout is not None and rollout.written_state is not State.NONE
 
-    async def _stand_by(self, place: int) -> float:
+    async def _step_as_standby(self, candidate_rank: int) -> float:
         await self._ledger.read()
         entry = self._ledger.entry
         if entry is not None and entry.state.ended and not self._is_new(entry):
-            return await self._heard_end(entry)
+            return await self._apply_end_by_other(entry)
         if entry is not None and entry.order > self.order.version and self._is_new(entry):
             # The ledger is about an order that this node has not received yet.
             return POLL_SECONDS
-        left = self._patience(entry) + place * STEP_SECONDS - self._ledger.age
+        left = (
+            self._takeover_delay(entry)
+            + candidate_rank * TAKEOVER_STAGGER_SECONDS
+            - self._ledger.age
+        )
         if left <= 0:
             return await self._take_over(entry)
-        return min(left, POLL_SECONDS + place * POLL_STEP_SECONDS)
+        return min(left, POLL_SECONDS + candidate_rank * POLL_STAGGER_SECONDS)
 
-    def _patience(self, entry: Entry | None) -> float:
+    def _takeover_delay(self, entry: Entry | None) -> float:
         """Return for how many seconds the ledger must be unchanged before a takeover."""
         if entry is None or entry.holder == self._fleet.node_id or self._is_new(entry):
             return 0.0
@@ -246,31 +260,35 @@
             self._kernel,
             self._judge,
         )
-        self._tell("took over" if not new else "began")
+        self._emit_event("took over" if not new else "began")
         if self._ticking is not None:
             self._ticking.cancel()
-        self._ticking = asyncio.ensure_future(self._tick_on())
+        self._ticking = asyncio.ensure_future(self._run_ticks())
         return 0.0
 
-    async def _lead(self) -> float:
+    async def _step_as_leader(self) -> float:
         coordinator_term = self.coordinator_term
-        if not self._may_lead():
-            self._step_back()
-            return LOOK_SECONDS
-        if self._lacks_status():
-            self._began_here = await self._status.write(self.order, State.RUNNING)
-            if not self._began_here:
+        if not self._can_lead():
+            self._step_down()
+            return CANDIDACY_CHECK_SECONDS
+        if self._needs_running_status():
+            self._wrote_running_status = await self._status.write(self.order, State.RUNNING)
+            if not self._wrote_running_status:
                 # The store has another order, which this node will receive in a moment.
                 return POLL_SECONDS
         write_started_at = self._kernel.clock.monotonic()
         await self._ledger.write(coordinator_term.next_entry())
         coordinator_term.record_write(self._ledger.entry, write_started_at)
-        self._show(coordinator_term)
+        self._update_metrics(coordinator_term)
         if coordinator_term.entry.state.ended:
-            await self._carry_out(coordinator_term.entry)
-        return RENEW_SECONDS_IN_SHIFT if coordinator_term.stage >= Stage.SHIFT else RENEW_SECONDS
+            await self._apply_decision(coordinator_term.entry)
+        return (
+            SHIFT_RENEWAL_INTERVAL_SECONDS
+            if coordinator_term.stage >= Stage.SHIFT
+            else RENEWAL_INTERVAL_SECONDS
+        )
 
-    def _lacks_status(self) -> bool:
+    def _needs_running_status(self) -> bool:
         """Return True if the running status has to be written, for the first time or again.
 
         A store that was restored from a copy may have lost it. If an earlier order has left the
@@ -279,30 +297,30 @@
         rollout = self._book.get(self.order.service)
         if rollout is None or rollout.written_state is not State.NONE:
             return False
-        return not self._began_here or rollout.object_version > self.order.version
+        return not self._wrote_running_status or rollout.object_version > self.order.version
 
-    async def _carry_out(self, entry: Entry) -> None:
+    async def _apply_decision(self, entry: Entry) -> None:
         """Apply the decision in the ledger, which ends the order."""
         labels = {"service": self.order.service, "state": entry.state.name.lower()}
         self._kernel.metrics.rollout_ends.inc(labels)
-        self._book.decide(self.order, entry.state)
+        self._book.record_decision(self.order, entry.state)
         await self._status.write(self.order, entry.state)
 
-    async def _heard_end(self, entry: Entry) -> float:
+    async def _apply_end_by_other(self, entry: Entry) -> float:
         """Apply the decision of another holder, and write the status if that node does not."""
-        self._book.decide(self.order, entry.state)
-        left = self._patience(entry) - self._ledger.age
+        self._book.record_decision(self.order, entry.state)
+        left = self._takeover_delay(entry) - self._ledger.age
         if left > 0:
             return left
         await self._status.write(self.order, entry.state)
         return POLL_SECONDS
 
-    def _show(self, coordinator_term: CoordinatorTerm) -> None:
+    def _update_metrics(self, coordinator_term: CoordinatorTerm) -> None:
         labels = {"service": self.order.service}
         self._kernel.metrics.rollout_stage.set(labels, int(coordinator_term.stage))
         self._kernel.metrics.rollout_reserved.set(labels, coordinator_term.entry.reserved)
 
-    def _tell(self, detail: str) -> None:
+    def _emit_event(self, detail: str) -> None:
         entry = self.coordinator_term.entry
         self._kernel.events.emit(
             Kind.ROLLOUT,
--- a/railsail/rollouts/coordinator.py
+++ b/railsail/rollouts/coordinator.py
@@ -16,11 +16,11 @@
 from railsail.rollouts.publishing import StatusWriter
 from railsail.store.base import Store
 
-LOOK_SECONDS = 1.0
+CHECK_INTERVAL_SECONDS = 1.0
 # If the status in the store lacks the end of a rollout, one of this many nodes writes it. The
 # rollout's coordinator writes it at once, and the others are staggered by this time.
-WRITERS = 3
-WRITER_STEP_SECONDS = 0.7
+MAX_WRITERS = 3
+WRITER_STAGGER_SECONDS = 0.7
 
 
 class Coordinator:
@@ -67,11 +67,11 @@
         while True:
             self._changed.clear()
             self._book.tick()
-            self._look()
+            self._start_due_tasks()
             # A cancellation that arrives together with the event must not be lost, as it would be
             # by other ways to wait.
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(LOOK_SECONDS):
+                async with asyncio.timeout(CHECK_INTERVAL_SECONDS):
                     await self._changed.wait()
 
     def stop(self) -> None:
@@ -79,7 +79,7 @@
         self._stopped = True
         self._tasks.cancel()
 
-    def _look(self) -> None:
+    def _start_due_tasks(self) -> None:
         if self._stopped:
             return
         for rollout in self._book.all():
@@ -91,39 +91,39 @@
                 )
                 self._coordinations[service] = coordination
                 self._tasks.start(self._coordinate(service, coordination))
-        for rollout in self._book.unwritten():
+        for rollout in self._book.ended_without_status():
             if rollout.order.service not in self._writing:
                 self._writing.add(rollout.order.service)
-                self._tasks.start(self._write(rollout))
+                self._tasks.start(self._write_end(rollout))
 
     async def _coordinate(self, service: str, coordination: Coordination) -> None:
         try:
             await coordination.run()
         except Exception:
             get_logger().exception("rollout coordination failed; restarting it", service=service)
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
         finally:
             del self._coordinations[service]
             self._changed.set()
 
-    async def _write(self, rollout: Rollout) -> None:
+    async def _write_end(self, rollout: Rollout) -> None:
         """Write the end of ``rollout`` to the store if this node is one of those that do so."""
         order = rollout.order
         try:
             ranked = ranked_candidates(self._fleet, order.service)
-            if self._fleet.node_id not in ranked[:WRITERS]:
-                await asyncio.sleep(LOOK_SECONDS)
+            if self._fleet.node_id not in ranked[:MAX_WRITERS]:
+                await asyncio.sleep(CHECK_INTERVAL_SECONDS)
                 return
-            await asyncio.sleep((1 + ranked.index(self._fleet.node_id)) * WRITER_STEP_SECONDS)
-            if self._still_unwritten(rollout):
+            await asyncio.sleep((1 + ranked.index(self._fleet.node_id)) * WRITER_STAGGER_SECONDS)
+            if self._is_still_unwritten(rollout):
                 await StatusWriter(self._store, self._book).write(order, rollout.order_state)
         except StoreError as problem:
             reason = str(problem)
             get_logger().info("end of rollout not written", service=order.service, reason=reason)
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
         finally:
             self._writing.discard(order.service)
 
-    def _still_unwritten(self, rollout: Rollout) -> bool:
+    def _is_still_unwritten(self, rollout: Rollout) -> bool:
         service = rollout.order.service
-        return any(other.order.service == service for other in self._book.unwritten())
+        return any(other.order.service == service for other in self._book.ended_without_status())
--- a/railsail/rollouts/coordinator_term.py
+++ b/railsail/rollouts/coordinator_term.py
@@ -125,7 +125,7 @@
         """Record ``evidence`` of the dispatcher at ``node`` if it is about this order."""
         start_id = self._fleet.start_id(node)
         if evidence.version == self.order.version:
-            self._collector.received(node, start_id, evidence, self._now())
+            self._collector.record(node, start_id, evidence, self._now())
             self._progress.unjudged = True
 
     def record_write(self, entry: Entry, write_started_at: float) -> None:
@@ -160,7 +160,7 @@
             progress.loaded_since = inputs.now
             progress.load = Load(inputs.running, inputs.rate)
         if chosen.stage != self.stage or (chosen.state and self.decided is None):
-            self._tell(chosen, inputs)
+            self._emit_event(chosen, inputs)
             progress.sent_at = -math.inf
         progress.plan = chosen
         if chosen.state is not State.NONE and self.decided is None:
@@ -339,7 +339,7 @@
             for source in self._active_sources().values()
         )
 
-    def _tell(self, chosen: Plan, inputs: PlanInputs) -> None:
+    def _emit_event(self, chosen: Plan, inputs: PlanInputs) -> None:
         self._kernel.events.emit(
             Kind.ROLLOUT,
             chosen.reason,
--- a/railsail/rollouts/evidence_collector.py
+++ b/railsail/rollouts/evidence_collector.py
@@ -50,7 +50,7 @@
         self._by_source: dict[Source, _SourceEvidence] = {}
         self._samples: deque[tuple[float, int]] = deque()
 
-    def received(
+    def record(
         self, node: str, process_start_id: int, evidence: RolloutEvidence, now: float
     ) -> None:
         """Record ``evidence`` of the dispatcher at ``node``; ignore it if newer evidence exists."""
--- a/railsail/rollouts/part.py
+++ b/railsail/rollouts/part.py
@@ -54,7 +54,7 @@
         )
 
     def _link_up(self, peer: Identity) -> None:
-        update = self.book.update()
+        update = self.book.full_update()
         if update.rollouts:
             self._hub.send(peer.node, update)
 
--- a/railsail/rollouts/publishing.py
+++ b/railsail/rollouts/publishing.py
@@ -60,7 +60,7 @@
         version, self._version = self._version, 0
         value = status_value(state, self._target_version)
         self._version = await self._store.put_status(KIND, order.service, value, version)
-        self._book.status_stored(order, state, self._version)
+        self._book.record_status(order, state, self._version)
 
 
 def _parse(stored: StoredObject) -> Rollout | None:
--- a/tests/rollouts/base.py
+++ b/tests/rollouts/base.py
@@ -253,7 +253,7 @@
             self.clock.advance(STEP)
             self.arrivals += RATE * STEP
             for node in self.nodes if nodes is None else nodes:
-                if node.book.running(SERVICE) is not None and node.coordination._still_ordered():
+                if node.book.running(SERVICE) is not None and node.coordination._is_still_ordered():
                     await node.step()
                     node.coordination.tick()
                 self.answer(node)
--- a/tests/rollouts/test_book.py
+++ b/tests/rollouts/test_book.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from railsail.core.clock import ManualClock
-from railsail.rollouts.book import REPLACED_SECONDS
+from railsail.rollouts.book import REPLACEMENT_SECONDS
 from railsail.rollouts.merging import merge
 from railsail.rollouts.orders import Order, Rollout, State
 from railsail.store.base import Listing, WatchEvent
@@ -70,8 +70,8 @@
         self.see(status("running"))
         late.seen(event(self.store))
         self.assertEqual(late.running(SERVICE).version, 2)
-        late.received("n", self.book.update())
-        self.book.received("n", late.update())
+        late.received("n", self.book.full_update())
+        self.book.received("n", late.full_update())
         self.assertEqual(late.all(), self.book.all())
         self.assertEqual(late.running(SERVICE).version, 1)
 
@@ -93,7 +93,7 @@
         self.book.on_change(lambda: told.append(True))
         self.book.tick()
         self.assertEqual(told, [])
-        self.clock.advance(REPLACED_SECONDS)
+        self.clock.advance(REPLACEMENT_SECONDS)
         self.assertIn("v3", self.takes())
         self.book.tick()
         self.assertEqual(told, [True])
@@ -101,20 +101,20 @@
     def test_decision_takes_effect_before_the_status_is_written(self):
         self.order()
         self.see(status("running"))
-        self.book.decide(self.book.running(SERVICE), State.ROLLED_BACK)
+        self.book.record_decision(self.book.running(SERVICE), State.ROLLED_BACK)
         self.assertEqual(self.takes(), {"v1", "v3"})
-        self.assertEqual(len(self.book.unwritten()), 1)
+        self.assertEqual(len(self.book.ended_without_status()), 1)
         self.see(status("rolled_back"))
-        self.assertEqual(self.book.unwritten(), [])
+        self.assertEqual(self.book.ended_without_status(), [])
 
     def test_end_is_not_reverted_by_an_earlier_status(self):
         self.order()
         self.see(status("running"))
-        self.book.decide(self.book.running(SERVICE), State.ROLLED_BACK)
+        self.book.record_decision(self.book.running(SERVICE), State.ROLLED_BACK)
         self.see(status("running"))
         self.see({"status": {}})
         self.assertIs(self.book.get(SERVICE).order_state, State.ROLLED_BACK)
-        self.assertEqual(len(self.book.unwritten()), 1)
+        self.assertEqual(len(self.book.ended_without_status()), 1)
 
     def test_end_is_not_reverted_by_a_restored_store(self):
         self.order()
@@ -123,7 +123,7 @@
         held = self.store.objects[("rollout", SERVICE)].value | {"status": {}}
         self.book.seen(WatchEvent("rollout", SERVICE, to_version(1, 1), held))
         self.assertIs(self.book.get(SERVICE).order_state, State.SUCCEEDED)
-        self.assertEqual(len(self.book.unwritten()), 1)
+        self.assertEqual(len(self.book.ended_without_status()), 1)
 
     def test_order_of_another_version_is_new_and_drops_the_previous_target(self):
         self.order()
@@ -152,11 +152,11 @@
         self.book.listed(self.store.listing())
         fresh = new_book(self.clock)
         fresh.listed(self.store.listing())
-        self.book.received("n", fresh.update())
+        self.book.received("n", fresh.full_update())
         self.assertIsNotNone(self.book.running(SERVICE))
         self.assertIn("v2", self.takes())
         self.see(status("running"))
-        fresh.received("n", self.book.update())
+        fresh.received("n", self.book.full_update())
         self.assertEqual(fresh.running(SERVICE), self.book.running(SERVICE))
 
     def test_target_of_a_withdrawn_order_receives_no_calls(self):
--- a/tests/rollouts/test_coordinator.py
+++ b/tests/rollouts/test_coordinator.py
@@ -172,7 +172,7 @@
             node.read()
             self.assertIsNotNone(await node.step())
             self.assertIsNone(node.book.running(SERVICE))
-            self.assertEqual(len(node.book.unwritten()), 1)
+            self.assertEqual(len(node.book.ended_without_status()), 1)
         self.assertEqual(self.store.status()["state"], "running")
         await _let_write(left[0])
         self.assertEqual(self.store.status()["state"], "rolled_back")
@@ -198,7 +198,7 @@
         fresh = FakeNode("a", NAMES, self.store, self.clock)
         await fresh.step()
         self.assertIsNone(fresh.book.running(SERVICE))
-        self.assertEqual(fresh.book.unwritten()[0].order_state, State.ROLLED_BACK)
+        self.assertEqual(fresh.book.ended_without_status()[0].order_state, State.ROLLED_BACK)
 
     async def test_ledger_restored_to_an_earlier_entry_is_written_again(self):
         leader = await self.begin()
@@ -233,7 +233,7 @@
         self.store.order("v3")
         for node in self.nodes:
             node.read()
-            self.assertFalse(node.coordination._still_ordered())
+            self.assertFalse(node.coordination._is_still_ordered())
             self.assertFalse(node.book.takes_work(SERVICE, "v2"))
             node.begin()
         await self.pass_time(1.0)
@@ -340,7 +340,7 @@
     coordinator = Coordinator(node.book, node.store, node.fleet, BOUNDS, kernel)
     running = asyncio.ensure_future(coordinator.run())
     async with asyncio.timeout(5.0):
-        while node.book.unwritten():
+        while node.book.ended_without_status():
             await asyncio.sleep(0.05)
     running.cancel()
     coordinator.stop()
--- a/tests/rollouts/test_evidence_collector.py
+++ b/tests/rollouts/test_evidence_collector.py
@@ -31,7 +31,7 @@
     def hear(
         self, now: float, arrivals: int = 0, *tallies, node: str = "d", process_start_id: int = 1
     ):
-        self.collector.received(node, process_start_id, self.told.next(arrivals, *tallies), now)
+        self.collector.record(node, process_start_id, self.told.next(arrivals, *tallies), now)
 
     def test_arrivals_are_counted_from_the_first_evidence(self):
         self.hear(0.0, 500)
@@ -51,7 +51,7 @@
         early = self.told.next(5)
         self.hear(0.0, 5)
         self.hear(1.0, 5)
-        self.collector.received("d", 1, early, 1.1)
+        self.collector.record("d", 1, early, 1.1)
         self.assertEqual(self.collector.arrivals, 5)
 
     def test_silent_dispatcher_is_no_recent_source(self):
