--- a/railsail/rollouts/book.py
+++ b/railsail/rollouts/book.py
@@ -174,9 +174,9 @@
         before = known.order_state if known is not None else State.NONE
         if rollout.order_state is State.SUCCEEDED and before is not State.SUCCEEDED:
             self._succeeded_at[service] = self._kernel.clock.monotonic()
-        self._tell(known, rollout)
+        self._emit_event(known, rollout)
 
-    def _tell(self, known: Rollout | None, rollout: Rollout) -> None:
+    def _emit_event(self, known: Rollout | None, rollout: Rollout) -> None:
         if (
             known is not None
             and replace(
--- a/tests/rollouts/base.py
+++ b/tests/rollouts/base.py
@@ -36,7 +36,7 @@
         self.version = 0
         self.objects: dict[tuple[str, str], StoredObject] = {}
         # Nodes whose calls are refused and have no effect.
-        self.turned_away: set[str] = set()
+        self.refused_nodes: set[str] = set()
         # Whether the next write gets no answer: it takes effect, or is held back until released.
         self.loses_answer = False
         self.holds_back = False
@@ -116,7 +116,7 @@
         call = getattr(self._store, name)
 
         async def checked(*args: object) -> object:
-            if self._node in self._store.turned_away:
+            if self._node in self._store.refused_nodes:
                 raise StoreUnavailable("refused")
             return await call(*args)
 
@@ -176,9 +176,9 @@
         self.flooded: list = []
         self.book = new_book(clock, self.flooded)
         self.read()
-        self.begin()
+        self.start_coordination()
 
-    def begin(self) -> None:
+    def start_coordination(self) -> None:
         """Start to coordinate the running order, as a process does when it starts."""
         self.coordination = Coordination(
             self.book.running(SERVICE),
@@ -265,7 +265,7 @@
         term = node.allowed.term
         before = self.exposed.get(term, 0)
         self.exposed[term] = max(before, min(node.allowed.calls, before + round(RATE * STEP)))
-        told = evidence(
+        answer = evidence(
             int(self.arrivals),
             self.exposed[term],
             self.running,
@@ -273,7 +273,7 @@
             term,
             node.allowed.version,
         )
-        node.coordination.received("d", told)
+        node.coordination.received("d", answer)
 
     @property
     def used(self) -> int:
@@ -283,7 +283,7 @@
         (leader,) = [node for node in self.nodes if node.leads]
         return leader
 
-    async def begin(self) -> FakeNode:
+    async def start_rollout(self) -> FakeNode:
         await self.pass_time(1.0)
         return self.leader()
 
--- a/tests/rollouts/test_book.py
+++ b/tests/rollouts/test_book.py
@@ -24,7 +24,7 @@
         self.book = new_book(self.clock, self.flooded)
         self.store = FakeStore()
 
-    def see(self, *changes: dict) -> None:
+    def change(self, *changes: dict) -> None:
         """Write the operator's object with ``changes``, and pass its watch event to the book."""
         held = self.store.objects[("rollout", SERVICE)].value
         for change in changes:
@@ -36,7 +36,7 @@
         self.store.order(target, seconds)
         self.book.seen(event(self.store))
 
-    def takes(self) -> set[str]:
+    def accepted_versions(self) -> set[str]:
         return {v for v in ("v1", "v2", "v3") if self.book.takes_work(SERVICE, v)}
 
     def test_unknown_service_has_no_order_and_takes_any_version(self):
@@ -61,13 +61,13 @@
 
     def test_status_change_is_no_new_order(self):
         self.order()
-        self.see(status("running"))
+        self.change(status("running"))
         self.assertEqual(self.book.running(SERVICE).version, 1)
 
     def test_nodes_agree_on_the_lowest_version(self):
         self.order()
         late = new_book(self.clock)
-        self.see(status("running"))
+        self.change(status("running"))
         late.seen(event(self.store))
         self.assertEqual(late.running(SERVICE).version, 2)
         late.received("n", self.book.full_update())
@@ -76,50 +76,50 @@
         self.assertEqual(late.running(SERVICE).version, 1)
 
     def test_ended_order_no_longer_runs(self):
-        for word, left in (("succeeded", {"v2"}), ("rolled_back", {"v1", "v3"})):
-            with self.subTest(word):
+        for state, expected in (("succeeded", {"v2"}), ("rolled_back", {"v1", "v3"})):
+            with self.subTest(state):
                 self.setUp()
                 self.order()
-                self.see(status("running"))
-                self.see(status(word))
+                self.change(status("running"))
+                self.change(status(state))
                 self.assertIsNone(self.book.running(SERVICE))
-                self.assertEqual(self.takes(), left)
+                self.assertEqual(self.accepted_versions(), expected)
 
     def test_other_versions_receive_calls_again_after_the_old_replicas_have_stopped(self):
         self.order()
-        self.see(status("running"))
-        self.see(status("succeeded"))
-        told: list[bool] = []
-        self.book.on_change(lambda: told.append(True))
+        self.change(status("running"))
+        self.change(status("succeeded"))
+        notifications: list[bool] = []
+        self.book.on_change(lambda: notifications.append(True))
         self.book.tick()
-        self.assertEqual(told, [])
+        self.assertEqual(notifications, [])
         self.clock.advance(REPLACEMENT_SECONDS)
-        self.assertIn("v3", self.takes())
+        self.assertIn("v3", self.accepted_versions())
         self.book.tick()
-        self.assertEqual(told, [True])
+        self.assertEqual(notifications, [True])
 
     def test_decision_takes_effect_before_the_status_is_written(self):
         self.order()
-        self.see(status("running"))
+        self.change(status("running"))
         self.book.record_decision(self.book.running(SERVICE), State.ROLLED_BACK)
-        self.assertEqual(self.takes(), {"v1", "v3"})
+        self.assertEqual(self.accepted_versions(), {"v1", "v3"})
         self.assertEqual(len(self.book.ended_without_status()), 1)
-        self.see(status("rolled_back"))
+        self.change(status("rolled_back"))
         self.assertEqual(self.book.ended_without_status(), [])
 
     def test_end_is_not_reverted_by_an_earlier_status(self):
         self.order()
-        self.see(status("running"))
+        self.change(status("running"))
         self.book.record_decision(self.book.running(SERVICE), State.ROLLED_BACK)
-        self.see(status("running"))
-        self.see({"status": {}})
+        self.change(status("running"))
+        self.change({"status": {}})
         self.assertIs(self.book.get(SERVICE).order_state, State.ROLLED_BACK)
         self.assertEqual(len(self.book.ended_without_status()), 1)
 
     def test_end_is_not_reverted_by_a_restored_store(self):
         self.order()
-        self.see(status("running"))
-        self.see(status("succeeded"))
+        self.change(status("running"))
+        self.change(status("succeeded"))
         held = self.store.objects[("rollout", SERVICE)].value | {"status": {}}
         self.book.seen(WatchEvent("rollout", SERVICE, to_version(1, 1), held))
         self.assertIs(self.book.get(SERVICE).order_state, State.SUCCEEDED)
@@ -127,25 +127,25 @@
 
     def test_order_of_another_version_is_new_and_drops_the_previous_target(self):
         self.order()
-        self.see(status("running"))
+        self.change(status("running"))
         self.order("v3")
         self.assertEqual(self.book.running(SERVICE).target_version, "v3")
-        self.assertEqual(self.takes(), {"v1", "v3"})
-        self.see(status("running", "v3"))
-        self.assertEqual(self.takes(), {"v1", "v3"})
+        self.assertEqual(self.accepted_versions(), {"v1", "v3"})
+        self.change(status("running", "v3"))
+        self.assertEqual(self.accepted_versions(), {"v1", "v3"})
 
     def test_rolled_back_version_receives_no_calls_during_the_next_order(self):
         self.order()
-        self.see(status("running"))
-        self.see(status("rolled_back"))
+        self.change(status("running"))
+        self.change(status("rolled_back"))
         self.order("v3")
-        self.see(status("running", "v3"))
-        self.assertEqual(self.takes(), {"v1", "v3"})
+        self.change(status("running", "v3"))
+        self.assertEqual(self.accepted_versions(), {"v1", "v3"})
 
     def test_rolled_back_version_can_be_ordered_again(self):
         self.order()
-        self.see(status("running"))
-        self.see(status("rolled_back"))
+        self.change(status("running"))
+        self.change(status("rolled_back"))
         self.order("v2", 30.0)
         self.assertEqual(self.book.running(SERVICE).duration, 30.0)
         # The object still has the status of the previous order, whichever node reads or sends it.
@@ -154,24 +154,24 @@
         fresh.listed(self.store.listing())
         self.book.received("n", fresh.full_update())
         self.assertIsNotNone(self.book.running(SERVICE))
-        self.assertIn("v2", self.takes())
-        self.see(status("running"))
+        self.assertIn("v2", self.accepted_versions())
+        self.change(status("running"))
         fresh.received("n", self.book.full_update())
         self.assertEqual(fresh.running(SERVICE), self.book.running(SERVICE))
 
     def test_target_of_a_withdrawn_order_receives_no_calls(self):
         self.order()
-        self.see(status("running"))
+        self.change(status("running"))
         self.book.listed(Listing(9, ()))
         self.assertIsNone(self.book.running(SERVICE))
-        self.assertEqual(self.takes(), {"v1", "v3"})
+        self.assertEqual(self.accepted_versions(), {"v1", "v3"})
 
     def test_all_versions_receive_calls_after_a_succeeded_order_was_withdrawn(self):
         self.order()
-        self.see(status("running"))
-        self.see(status("succeeded"))
+        self.change(status("running"))
+        self.change(status("succeeded"))
         self.book.seen(WatchEvent("rollout", SERVICE, 9, None))
-        self.assertEqual(self.takes(), {"v1", "v2", "v3"})
+        self.assertEqual(self.accepted_versions(), {"v1", "v2", "v3"})
 
     def test_listing_that_is_not_settled_withdraws_no_order(self):
         self.order()
@@ -180,10 +180,10 @@
 
     def test_order_given_again_after_its_withdrawal_is_new(self):
         self.order()
-        self.see(status("running"))
+        self.change(status("running"))
         self.book.seen(WatchEvent("rollout", SERVICE, 9, None))
         self.store.version = 9
-        self.see({"status": {}})
+        self.change({"status": {}})
         self.assertEqual(self.book.running(SERVICE).version, 10)
         self.assertEqual(self.book.get(SERVICE).order_state, State.NONE)
 
@@ -214,7 +214,7 @@
     def test_target_version_may_be_a_number(self):
         self.order(7)
         self.assertEqual(self.book.running(SERVICE).target_version, "7")
-        self.see(status("rolled_back", 7))
+        self.change(status("rolled_back", 7))
         self.assertFalse(self.book.takes_work(SERVICE, "7"))
 
 
--- a/tests/rollouts/test_coordinator.py
+++ b/tests/rollouts/test_coordinator.py
@@ -28,7 +28,7 @@
 
 class CoordinationTests(CoordinationCase):
     async def test_one_node_leads_and_writes_the_running_status(self):
-        leader = await self.begin()
+        leader = await self.start_rollout()
         self.assertEqual(self.store.ledger()["holder"], leader.name)
         self.assertEqual(self.store.status(), {"state": "running", "target_version": "v2"})
         self.assertEqual(leader.allowed.stage, Stage.CANARY)
@@ -41,12 +41,12 @@
         self.assertLessEqual(self.store.ledger()["reserved"], BOUNDS.canary_calls(1000))
 
     async def test_canary_names_three_replicas_of_the_target(self):
-        leader = await self.begin()
+        leader = await self.start_rollout()
         self.assertEqual(len(leader.allowed.replicas), 3)
         self.assertTrue(all(name.startswith("new-") for name in leader.allowed.replicas))
 
     async def test_bad_version_is_held_at_once_and_rolled_back(self):
-        leader = await self.begin()
+        leader = await self.start_rollout()
         self.judge(Verdict.BAD)
         leader.coordination.tick()
         self.assertEqual((leader.allowed.stage, leader.allowed.calls), (Stage.HOLD, 0))
@@ -56,14 +56,14 @@
         self.assertFalse(leader.book.takes_work(SERVICE, "v2"))
 
     async def test_good_version_succeeds_by_the_deadline(self):
-        await self.begin()
+        await self.start_rollout()
         self.judge(Verdict.GOOD)
         await self.pass_time(19.0)
         self.assertEqual(self.store.status()["state"], "succeeded")
         self.assertLessEqual(self.used, 0.1 * RATE * 20 + 50)
 
     async def test_undecided_order_gets_more_canary_calls_after_its_deadline(self):
-        await self.begin()
+        await self.start_rollout()
         await self.pass_time(19.0)
         before = self.store.ledger()["reserved"]
         self.assertLessEqual(before, BOUNDS.canary_calls(2000, RATE))
@@ -72,7 +72,7 @@
         self.assertEqual(self.leader().allowed.stage, Stage.CANARY)
 
     async def test_calls_on_other_versions_are_waited_for(self):
-        leader = await self.begin()
+        leader = await self.start_rollout()
         self.judge(Verdict.GOOD)
         self.running = 3
         await self.pass_time(22.0)
@@ -83,7 +83,7 @@
         self.assertEqual(self.store.status()["state"], "succeeded")
 
     async def test_version_that_turns_bad_in_the_shift_stays_within_the_bounds(self):
-        leader = await self.begin()
+        leader = await self.start_rollout()
         self.judge(Verdict.GOOD)
         while leader.coordination.coordinator_term.stage < Stage.SHIFT:
             await self.pass_time(STEP)
@@ -93,7 +93,7 @@
         self.assertLessEqual(self.used, 0.1 * self.arrivals + 50)
 
     async def test_successor_of_a_crashed_coordinator_keeps_its_reserved_calls(self):
-        dead = await self.begin()
+        dead = await self.start_rollout()
         reserved = self.store.ledger()["reserved"]
         left = [node for node in self.nodes if node is not dead]
         await self.pass_time(LEASE_SECONDS + 1.0, left)
@@ -106,7 +106,7 @@
         self.assertLessEqual(self.used, self.store.ledger()["reserved"])
 
     async def test_paused_coordinator_allows_no_calls_and_steps_down(self):
-        paused = await self.begin()
+        paused = await self.start_rollout()
         left = [node for node in self.nodes if node is not paused]
         await self.pass_time(4.0, left)
         count = len(paused.fleet.sent)
@@ -118,18 +118,18 @@
         self.assertNotEqual(self.store.ledger()["holder"], paused.name)
 
     async def test_coordinator_refused_by_the_store_is_replaced(self):
-        away = await self.begin()
-        self.store.turned_away.add(away.name)
+        away = await self.start_rollout()
+        self.store.refused_nodes.add(away.name)
         await self.pass_time(4.0)
         leader = self.leader()
         self.assertIsNot(leader, away)
-        self.store.turned_away.clear()
+        self.store.refused_nodes.clear()
         await self.pass_time(1.0)
         self.assertIs(self.leader(), leader)
         self.assertIsNone(away.coordination.coordinator_term)
 
     async def test_coordinator_that_is_about_to_stop_is_replaced(self):
-        stopping = await self.begin()
+        stopping = await self.start_rollout()
         stopping.fleet.nodes = []
         await self.pass_time(4.0)
         self.assertIsNot(self.leader(), stopping)
@@ -138,7 +138,7 @@
         self.assertLess(BOUNDS.valid_seconds, LEASE_SECONDS)
 
     async def test_decision_whose_write_got_no_answer_takes_effect(self):
-        leader = await self.begin()
+        leader = await self.start_rollout()
         self.judge(Verdict.BAD)
         leader.coordination.tick()
         self.store.loses_answer = True
@@ -149,7 +149,7 @@
         self.assertEqual(self.store.status()["state"], "rolled_back")
 
     async def test_decision_whose_write_was_delayed_is_not_changed(self):
-        leader = await self.begin()
+        leader = await self.start_rollout()
         self.judge(Verdict.BAD)
         leader.coordination.tick()
         self.store.holds_back = True
@@ -161,7 +161,7 @@
         self.assertEqual(self.store.status()["state"], "rolled_back")
 
     async def test_successor_applies_a_decision(self):
-        dead = await self.begin()
+        dead = await self.start_rollout()
         self.judge(Verdict.BAD)
         dead.coordination.tick()
         entry = dead.coordination.coordinator_term.next_entry()
@@ -174,11 +174,11 @@
             self.assertIsNone(node.book.running(SERVICE))
             self.assertEqual(len(node.book.ended_without_status()), 1)
         self.assertEqual(self.store.status()["state"], "running")
-        await _let_write(left[0])
+        await _write_missing_ends(left[0])
         self.assertEqual(self.store.status()["state"], "rolled_back")
 
     async def test_restarted_fleet_keeps_the_reserved_calls_and_the_deadline(self):
-        await self.begin()
+        await self.start_rollout()
         await self.pass_time(5.0)
         before = self.store.ledger()
         self.nodes = [FakeNode(name, NAMES, self.store, self.clock) for name in NAMES]
@@ -191,7 +191,7 @@
         self.assertLessEqual(self.used, BOUNDS.canary_calls(int(self.arrivals)))
 
     async def test_restarted_fleet_applies_a_decision(self):
-        dead = await self.begin()
+        dead = await self.start_rollout()
         self.judge(Verdict.BAD)
         dead.coordination.tick()
         await dead.coordination._ledger.write(dead.coordination.coordinator_term.next_entry())
@@ -201,7 +201,7 @@
         self.assertEqual(fresh.book.ended_without_status()[0].order_state, State.ROLLED_BACK)
 
     async def test_ledger_restored_to_an_earlier_entry_is_written_again(self):
-        leader = await self.begin()
+        leader = await self.start_rollout()
         old = self.store.ledger()
         await self.pass_time(3.0)
         reserved = self.store.ledger()["reserved"]
@@ -211,31 +211,31 @@
         self.assertGreaterEqual(self.store.ledger()["reserved"], reserved)
 
     async def test_missing_ledger_is_written_again(self):
-        leader = await self.begin()
+        leader = await self.start_rollout()
         reserved = self.store.ledger()["reserved"]
         del self.store.objects[(LEDGER, SERVICE)]
         await self.pass_time(1.0, [leader])
         self.assertGreaterEqual(self.store.ledger()["reserved"], reserved)
 
     async def test_lost_status_of_an_ended_order_is_written_again(self):
-        leader = await self.begin()
+        leader = await self.start_rollout()
         self.judge(Verdict.BAD)
         await self.pass_time(0.5)
         value = self.store.objects[(ROLLOUT, SERVICE)].value
         self.store.set(ROLLOUT, SERVICE, value | {"status": {}})
         leader.read()
-        await _let_write(leader)
+        await _write_missing_ends(leader)
         self.assertEqual(self.store.status()["state"], "rolled_back")
 
     async def test_changed_order_starts_a_new_rollout(self):
-        await self.begin()
+        await self.start_rollout()
         await self.pass_time(5.0)
         self.store.order("v3")
         for node in self.nodes:
             node.read()
             self.assertFalse(node.coordination._is_still_ordered())
             self.assertFalse(node.book.takes_work(SERVICE, "v2"))
-            node.begin()
+            node.start_coordination()
         await self.pass_time(1.0)
         ledger = self.store.ledger()
         self.assertEqual((ledger["target_version"], ledger["term"]), ("v3", 2))
@@ -243,7 +243,7 @@
         self.assertEqual(self.store.status(), {"state": "running", "target_version": "v3"})
 
     async def test_order_given_again_after_its_withdrawal_starts_a_new_rollout(self):
-        await self.begin()
+        await self.start_rollout()
         ends = self.store.ledger()["ends"]
         del self.store.objects[(ROLLOUT, SERVICE)]
         for node in self.nodes:
@@ -252,13 +252,13 @@
         self.store.order()
         for node in self.nodes:
             node.read()
-            node.begin()
+            node.start_coordination()
         await self.pass_time(1.0)
         self.assertGreater(self.store.ledger()["ends"], ends + 90_000)
         self.assertEqual(self.leader().allowed.stage, Stage.CANARY)
 
     async def test_nothing_is_written_or_allowed_after_the_order_was_withdrawn(self):
-        leader = await self.begin()
+        leader = await self.start_rollout()
         del self.store.objects[(ROLLOUT, SERVICE)]
         self.judge(Verdict.BAD)
         leader.read()
@@ -268,14 +268,14 @@
         self.assertEqual((len(leader.fleet.sent), self.store.writes), (count, writes))
 
     async def test_status_of_another_order_is_not_overwritten(self):
-        leader = await self.begin()
+        leader = await self.start_rollout()
         self.store.order("v3")
         self.judge(Verdict.BAD)
         await self.pass_time(0.5, [leader])
         self.assertNotEqual(self.store.status().get("state"), "rolled_back")
 
     async def test_end_is_written_without_another_read(self):
-        leader = await self.begin()
+        leader = await self.start_rollout()
         self.judge(Verdict.BAD)
         leader.coordination.tick()
         reads = self.store.reads
@@ -284,7 +284,7 @@
         self.assertEqual(self.store.reads, reads)
 
     async def test_end_is_written_after_the_operator_changed_the_object(self):
-        leader = await self.begin()
+        leader = await self.start_rollout()
         self.judge(Verdict.BAD)
         leader.coordination.tick()
         value = self.store.objects[(ROLLOUT, SERVICE)].value
@@ -308,7 +308,7 @@
         self.assertEqual((self.used, self.store.status()["state"]), (0, "running"))
 
     async def test_restarted_dispatcher_gets_a_quota_of_its_own(self):
-        leader = await self.begin()
+        leader = await self.start_rollout()
         await self.pass_time(2.0)
         before = self.used
         self.assertGreater(before, 0)
@@ -324,7 +324,7 @@
             self.assertLessEqual(before + self.used, self.store.ledger()["reserved"])
 
     async def test_lower_version_of_the_order_does_not_repeat_a_quota(self):
-        leader = await self.begin()
+        leader = await self.start_rollout()
         await self.pass_time(2.0)
         coordinator_term = leader.coordination.coordinator_term
         self.assertGreater(leader.allowed.calls, 0)
@@ -334,7 +334,7 @@
         self.assertEqual((leader.allowed.version, leader.allowed.calls), (0, 0))
 
 
-async def _let_write(node: FakeNode) -> None:
+async def _write_missing_ends(node: FakeNode) -> None:
     """Run the coordinator of ``node`` until the store has the status of all ended rollouts."""
     kernel = new_kernel(node.clock)
     coordinator = Coordinator(node.book, node.store, node.fleet, BOUNDS, kernel)
--- a/tests/rollouts/test_merging.py
+++ b/tests/rollouts/test_merging.py
@@ -13,7 +13,7 @@
 RUNS = 1500
 # Rounds in which each node sends its record to each other node. Updates that still cause changes
 # after this many rounds would circulate forever.
-MOST_ROUNDS = 20
+MAX_ROUNDS = 20
 
 
 class World:
@@ -26,9 +26,9 @@
         self.nodes: list[Rollout | None] = [None] * NODES
 
     def step(self) -> None:
-        deeds = (self._order, self._take_away, self._decide, self._write, self._start_anew)
+        actions = (self._order, self._withdraw, self._decide, self._write, self._restart)
         weights = (3, 1, 2, 2, 1)
-        self.rng.choices((*deeds, self._read, self._tell), (*weights, 6, 6))[0]()
+        self.rng.choices((*actions, self._read, self._send_one), (*weights, 6, 6))[0]()
 
     def _node(self) -> int:
         return self.rng.randrange(NODES)
@@ -45,7 +45,7 @@
         if (before.order.target_version, before.order.duration) != (target, duration):
             self._store(replace(before, order=Order(SERVICE, 0, target, duration)))
 
-    def _take_away(self) -> None:
+    def _withdraw(self) -> None:
         self.version += 1
         self.stored = None
 
@@ -62,7 +62,7 @@
             known is None
             or self.stored is None
             or known.withdrawn
-            or not _alike(known, self.stored)
+            or not _same_terms(known, self.stored)
         ):
             return
         state = max(known.order_state, State.RUNNING)
@@ -70,7 +70,7 @@
         if (self.stored.state, self.stored.decided_version) != (state, target):
             self._store(replace(self.stored, state=state, decided_version=target))
 
-    def _start_anew(self) -> None:
+    def _restart(self) -> None:
         self.nodes[self._node()] = None
 
     def _read(self) -> None:
@@ -83,26 +83,26 @@
                 known, replace(known, withdrawn=True, object_version=self.version)
             )
 
-    def _tell(self) -> None:
-        teller, hearer = self.rng.sample(range(NODES), 2)
-        self.hear(teller, hearer)
+    def _send_one(self) -> None:
+        sender, receiver = self.rng.sample(range(NODES), 2)
+        self.send(sender, receiver)
 
-    def hear(self, teller: int, hearer: int) -> bool:
-        """Send the record of ``teller`` to ``hearer``; return True if that changed its record."""
-        told, known = self.nodes[teller], self.nodes[hearer]
-        if told is None or teller == hearer:
+    def send(self, sender: int, receiver: int) -> bool:
+        """Send the record of ``sender`` to ``receiver``; return True if that changed its record."""
+        sent, known = self.nodes[sender], self.nodes[receiver]
+        if sent is None or sender == receiver:
             return False
-        self.nodes[hearer] = merge(known, told)
-        return self.nodes[hearer] != known
+        self.nodes[receiver] = merge(known, sent)
+        return self.nodes[receiver] != known
 
-    def tell_all(self) -> bool:
+    def send_all(self) -> bool:
         """Send all records to all nodes; return True if any record changed."""
         pairs = [(a, b) for a in range(NODES) for b in range(NODES)]
-        news = [self.hear(teller, hearer) for teller, hearer in pairs]
-        return any(news)
+        changed = [self.send(sender, receiver) for sender, receiver in pairs]
+        return any(changed)
 
 
-def _alike(left: Rollout, right: Rollout) -> bool:
+def _same_terms(left: Rollout, right: Rollout) -> bool:
     mine, other = left.order, right.order
     return (mine.target_version, mine.duration) == (other.target_version, other.duration)
 
@@ -114,9 +114,9 @@
             for _ in range(STEPS):
                 world.step()
             rounds = 0
-            while world.tell_all():
+            while world.send_all():
                 rounds += 1
-                self.assertLess(rounds, MOST_ROUNDS, seed)
+                self.assertLess(rounds, MAX_ROUNDS, seed)
             self.assertEqual(len(set(world.nodes)), 1, seed)
 
 
--- a/tests/rollouts/test_missed_end.py
+++ b/tests/rollouts/test_missed_end.py
@@ -18,22 +18,22 @@
 
 class MissedEndTests(unittest.TestCase):
     def setUp(self):
-        self.begun = begun = rollout("v2", 1, State.RUNNING, 2)
+        self.running = running = rollout("v2", 1, State.RUNNING, 2)
         succeeded = rollout("v2", 1, State.SUCCEEDED, 3)
         self.next = rollout("v3", 4, State.RUNNING, 5)
-        self.knows = merge(merge(begun, succeeded), self.next)
+        self.informed = merge(merge(running, succeeded), self.next)
         # The record of a node that was cut off and reads the store again when the next order runs.
-        self.missed = merge(begun, self.next)
+        self.missed = merge(running, self.next)
 
     def test_nodes_that_saw_the_success_do_not_drop_the_version(self):
-        self.assertEqual(self.knows.dropped, frozenset())
+        self.assertEqual(self.informed.dropped, frozenset())
 
     def test_late_record_of_the_running_order_does_not_drop_the_version_in_use(self):
-        self.assertNotIn("v2", merge(self.knows, self.begun).dropped)
+        self.assertNotIn("v2", merge(self.informed, self.running).dropped)
 
     def test_record_of_a_node_that_missed_the_success_does_not_drop_the_version_in_use(self):
-        self.assertNotIn("v2", merge(self.knows, self.missed).dropped)
-        self.assertNotIn("v2", merge(self.missed, self.knows).dropped)
+        self.assertNotIn("v2", merge(self.informed, self.missed).dropped)
+        self.assertNotIn("v2", merge(self.missed, self.informed).dropped)
 
 
 if __name__ == "__main__":
--- a/tests/rollouts/test_overlaps.py
+++ b/tests/rollouts/test_overlaps.py
@@ -20,8 +20,8 @@
                 for n in range(number)
             ]
 
-    async def begin_shift(self) -> Stage:
-        leader = await self.begin()
+    async def start_shift(self) -> Stage:
+        leader = await self.start_rollout()
         self.judge(Verdict.GOOD)
         self.running = CALLS
         while (
@@ -32,7 +32,7 @@
         return leader.coordination.coordinator_term.stage
 
     async def test_drain_waits_while_a_domain_of_the_target_is_evacuated_in_the_shift(self):
-        self.assertEqual(await self.begin_shift(), Stage.SHIFT)
+        self.assertEqual(await self.start_shift(), Stage.SHIFT)
         self.set_replicas(v1=4, v2=1)
         self.running = 12
         await self.pass_time(3.0)
@@ -42,7 +42,7 @@
         self.assertEqual(self.leader().allowed.stage, Stage.DRAIN)
 
     async def test_drain_reverts_to_shift_while_a_domain_of_the_target_is_evacuated(self):
-        await self.begin_shift()
+        await self.start_shift()
         await self.pass_time(1.0)
         self.assertEqual(self.leader().allowed.stage, Stage.DRAIN)
         self.running = 0
@@ -56,7 +56,7 @@
         self.assertEqual(self.store.status()["state"], "succeeded")
 
     async def test_less_traffic_needs_less_capacity(self):
-        await self.begin_shift()
+        await self.start_shift()
         self.set_replicas(v1=4, v2=1)
         self.running = 0
         self.arrivals -= 0.8 * RATE * STEP
@@ -67,7 +67,7 @@
 
     async def test_flood_does_not_delay_the_shift_to_a_target_of_equal_size(self):
         self.running = 32
-        leader = await self.begin()
+        leader = await self.start_rollout()
         self.judge(Verdict.GOOD)
         await self.pass_time(18.5)
         self.assertGreaterEqual(leader.coordination.coordinator_term.stage, Stage.SHIFT)
@@ -75,7 +75,7 @@
     async def test_flood_delays_the_shift_to_a_smaller_target(self):
         self.set_replicas(v1=4, v2=3)
         self.running = 32
-        leader = await self.begin()
+        leader = await self.start_rollout()
         self.judge(Verdict.GOOD)
         await self.pass_time(18.5)
         self.assertEqual(leader.coordination.coordinator_term.stage, Stage.CANARY)
@@ -87,7 +87,7 @@
                 for version, number in (("v1", 4), ("v2", 3))
                 for n in range(number)
             ]
-        leader = await self.begin()
+        leader = await self.start_rollout()
         self.judge(Verdict.GOOD)
         self.running = CALLS
         await self.pass_time(18.5)
@@ -101,13 +101,13 @@
                 for domain in ("east", "north", "west")
                 for n in range(12)
             ]
-        leader = await self.begin()
+        leader = await self.start_rollout()
         named = leader.allowed.replicas
         self.assertEqual({name.split("-")[1] for name in named}, {"east", "north", "west"})
         self.assertEqual(len(named), 3)
 
     async def test_target_receives_all_calls_after_the_deadline_if_no_other_replica_is_left(self):
-        await self.begin()
+        await self.start_rollout()
         self.set_replicas(v1=0, v2=4)
         await self.pass_time(18.0)
         self.assertEqual(self.leader().allowed.stage, Stage.CANARY)
