--- a/railsail/rollouts/bounds.py
+++ b/railsail/rollouts/bounds.py
@@ -1,20 +1,20 @@
 """How many calls the target version of a rollout may receive.
 
-By the deadline, a version that proves bad may have received the part ``share`` of all calls of its
-service since the order, plus ``slack`` calls. Future calls are not counted in advance: the bound at
-any time follows from the calls that have arrived by then.
+By the deadline, a version that proves bad may have received the fraction ``share`` of all calls of
+its service since the order, plus ``slack`` calls. Future calls are not counted in advance: the
+bound at any time follows from the calls that have arrived by then.
 """
 
 import math
 from dataclasses import dataclass
 
-# The part of the bound on the share that the canary may use. The rest is left for the shift, in
-# which the version receives all calls until the rollout is decided. At a share of 0.1, a quarter
-# is five of 200 calls a second, enough for a verdict within seconds.
+# The fraction of ``share`` that the canary may use. The rest is left for the shift, in which the
+# version receives all calls until the rollout is decided. At a share of 0.1, a quarter is five of
+# 200 calls a second, enough for a verdict within seconds.
 CANARY_SHARE = 0.25
-# The part of the slack that the canary may use, for services with few calls. Some of it is
-# available at once and the rest grows over the order's duration, since a version may turn bad
-# later.
+# The fraction of ``slack`` that the canary may use, for services with few calls. Some of it is
+# available at once, and the rest becomes available over the order's duration, since a version may
+# turn bad later.
 CANARY_SLACK = 0.4
 INITIAL_CANARY_SLACK = 0.1
 # A service with few calls needs a larger part of the bound for its canary. By the deadline the
@@ -53,7 +53,7 @@
     ) -> int:
         """Return how many calls the target may have received in the canary.
 
-        Calls arrive at ``rate`` per second, and ``elapsed_share`` is the part of the order's
+        Calls arrive at ``rate`` per second, and ``elapsed_share`` is the fraction of the order's
         duration that has passed.
         """
         elapsed_share = min(1.0, max(0.0, elapsed_share))
--- a/railsail/rollouts/coordination.py
+++ b/railsail/rollouts/coordination.py
@@ -158,12 +158,8 @@
     async def step(self) -> float:
         """Make the store calls that are due, and return the seconds until the next step."""
         if self.coordinator_term is None:
-            candidate_rank = self._polling_rank()
-            return (
-                CANDIDACY_CHECK_SECONDS
-                if candidate_rank is None
-                else await self._step_as_standby(candidate_rank)
-            )
+            rank = self._polling_rank()
+            return CANDIDACY_CHECK_SECONDS if rank is None else await self._step_as_standby(rank)
         if self._ledger.needs_read:
             await self._ledger.read()
             self._check_holder()
@@ -178,14 +174,14 @@
         ranked = ranked_candidates(self._fleet, self.order.service)
         if self._fleet.node_id not in ranked:
             return None
-        candidate_rank = ranked.index(self._fleet.node_id)
+        rank = ranked.index(self._fleet.node_id)
         now = self._kernel.clock.monotonic()
-        if candidate_rank < POLLING_CANDIDATES:
-            return candidate_rank
+        if rank < POLLING_CANDIDATES:
+            return rank
         if now < self._next_rare_read_at:
             return None
         self._next_rare_read_at = now + RARE_POLL_SECONDS
-        return candidate_rank
+        return rank
 
     def _check_holder(self) -> None:
         """Step down if another node has taken over according to the ledger that was just read."""
@@ -195,7 +191,8 @@
         if not self._can_lead() or (entry is not None and _is_later(entry, coordinator_term.entry)):
             self._step_down()
         elif entry is not None and _is_own(entry, coordinator_term.entry):
-            # A write without an answer may have taken effect.
+            # A write without an answer may have taken effect. When is not known, so that the lease
+            # counts as expired until the next write.
             coordinator_term.record_write(entry, self._ledger.changed_at - LEASE_SECONDS)
 
     def _step_down(self) -> None:
@@ -221,7 +218,7 @@
         rollout = self._book.get(self.order.service)
         return rollout is not None and rollout.written_state is not State.NONE
 
-    async def _step_as_standby(self, candidate_rank: int) -> float:
+    async def _step_as_standby(self, rank: int) -> float:
         await self._ledger.read()
         entry = self._ledger.entry
         if entry is not None and entry.state.ended and not self._is_new(entry):
@@ -229,14 +226,10 @@
         if entry is not None and entry.order > self.order.version and self._is_new(entry):
             # The ledger is about an order that this node has not received yet.
             return POLL_SECONDS
-        left = (
-            self._takeover_delay(entry)
-            + candidate_rank * TAKEOVER_STAGGER_SECONDS
-            - self._ledger.age
-        )
+        left = self._takeover_delay(entry) + rank * TAKEOVER_STAGGER_SECONDS - self._ledger.age
         if left <= 0:
             return await self._take_over(entry)
-        return min(left, POLL_SECONDS + candidate_rank * POLL_STAGGER_SECONDS)
+        return min(left, POLL_SECONDS + rank * POLL_STAGGER_SECONDS)
 
     def _takeover_delay(self, entry: Entry | None) -> float:
         """Return for how many seconds the ledger must be unchanged before a takeover."""
--- a/railsail/rollouts/coordinator_term.py
+++ b/railsail/rollouts/coordinator_term.py
@@ -39,6 +39,7 @@
 # The canary has several replicas, because one faulty replica does not make the version bad. In the
 # canary a replica receives about as many calls as it would if calls went to all replicas.
 MIN_CANARIES = 3
+# The limit of ``RolloutAllowance.replicas``.
 MAX_NAMED_REPLICAS = 64
 UNLIMITED_CALLS = 1 << 40
 _MS_PER_SECOND = 1000
@@ -62,8 +63,8 @@
 class CoordinatorTerm:
     """The coordination of ``order`` in the term of the ledger's ``entry``.
 
-    The write of ``entry`` began at ``began`` (seconds of the monotonic clock). ``judging`` replaces
-    the test of the version.
+    The write of ``entry`` started at ``write_started_at`` (seconds of the monotonic clock), from
+    which the lease counts. ``judge`` replaces ``VersionJudge.judge`` in tests.
     """
 
     def __init__(
@@ -129,7 +130,7 @@
             self._progress.unjudged = True
 
     def record_write(self, entry: Entry, write_started_at: float) -> None:
-        """Record that the ledger contains ``entry``, by a write that began at ``began``."""
+        """Record that the ledger contains ``entry``, and renew the lease from the write's start."""
         self.entry = entry
         self._lease_started_at = write_started_at
 
@@ -228,12 +229,12 @@
 
     def _send_allowances(self) -> None:
         now = self._now()
-        pause = (
+        interval = (
             DRAIN_ALLOWANCE_INTERVAL_SECONDS
             if self.stage is Stage.DRAIN
             else ALLOWANCE_INTERVAL_SECONDS
         )
-        if now < self._progress.sent_at + pause:
+        if now < self._progress.sent_at + interval:
             return
         self._progress.sent_at = now
         self._progress.serial += 1
@@ -305,18 +306,18 @@
             return self._canary_calls()
         if self.stage is Stage.HOLD or self._is_unbounded():
             return self.entry.reserved
-        wanted = self.entry.reserved + max(0, self._calls_ahead() - self._unspent_calls())
-        return min(wanted, self._bounds.shift_calls(self.arrivals))
+        required = self.entry.reserved + max(0, self._calls_ahead() - self._unspent_calls())
+        return min(required, self._bounds.shift_calls(self.arrivals))
 
     def _canary_calls(self) -> int:
         if self._is_unbounded():
             # Calls are no longer bounded in the shift, so nothing has to be left for it.
             return self._bounds.shift_calls(self.arrivals)
         rate = self._collector.rate(self._now())
-        return self._bounds.canary_calls(self.arrivals, rate, self._elapsed())
+        return self._bounds.canary_calls(self.arrivals, rate, self._elapsed_share())
 
-    def _elapsed(self) -> float:
-        """Return the part of the order's duration that has passed, above 1 after its deadline."""
+    def _elapsed_share(self) -> float:
+        """Return the elapsed fraction of the order's duration, above 1 after its deadline."""
         duration = (self.entry.ends - self.entry.seen) / _MS_PER_SECOND
         return 1.0 - self.seconds_left / duration if duration > 0 else 1.0
 
--- a/railsail/rollouts/evidence_collector.py
+++ b/railsail/rollouts/evidence_collector.py
@@ -20,7 +20,8 @@
 class Source:
     """A dispatcher of a cell that follows the order of one ``version``.
 
-    ``start`` identifies the series of counts that it sends.
+    ``start`` identifies the series of counts that it sends, and ``process_start_id`` the process of
+    its node.
     """
 
     cell: int
--- a/railsail/rollouts/merging.py
+++ b/railsail/rollouts/merging.py
@@ -48,7 +48,10 @@
 
 
 def _without_proven(dropped: frozenset[str], merged: Rollout, in_use: str) -> frozenset[str]:
-    """Return ``dropped`` without the target of the order and the version in use, within limits."""
+    """Return ``dropped`` without the target of the order and the version in use.
+
+    If more than ``MAX_DROPPED`` are left, the last ones by name are kept.
+    """
     proven = {merged.order.target_version, in_use}
     return frozenset(sorted(dropped - proven)[-MAX_DROPPED:])
 
--- a/railsail/rollouts/plan.py
+++ b/railsail/rollouts/plan.py
@@ -14,15 +14,15 @@
 from railsail.rollouts.verdict import Verdict
 
 # Calls stay bounded for this long after the deadline, because the clocks of nodes differ a little.
-# It can be short, since a node's deadline is already late: it reads an order after the store has
-# accepted it.
+# It can be short, because the deadline counts from when a node first read the order, which is after
+# the store accepted it.
 DEADLINE_MARGIN_SECONDS = 0.1
 # Allows for the arrival rate to rise above that of the last seconds. If it rises further, the
 # bounds still hold: other versions receive the rest.
 RATE_MARGIN_FACTOR = 1.05
-# A version may be bad only under load. The target version must have been under full load for the
-# first time before the other versions stop receiving calls, and for the second time before the
-# rollout succeeds.
+# A version may be bad only under load. The target version must have been under full load for
+# ``MIN_SHIFT_LOAD_SECONDS`` before the other versions stop receiving calls, and for
+# ``MIN_LOAD_SECONDS`` before the rollout succeeds.
 MIN_SHIFT_LOAD_SECONDS = 0.2
 MIN_LOAD_SECONDS = 0.45
 # The shift starts at most this long before the deadline. In a longer shift more calls on other
--- a/railsail/rollouts/verdict.py
+++ b/railsail/rollouts/verdict.py
@@ -26,16 +26,16 @@
 # e ** 10 answers on average, and a better version still more rarely.
 ALARM_THRESHOLD = 10.0
 # The two hypotheses of the test. A good version's share of bad answers exceeds the baseline's by at
-# most ``TOLERATED_EXCESS`` and one standard error. In a bad version the part ``FAILED_EXCESS`` or
-# ``SLOW_EXCESS`` of the answers that would otherwise be good is bad. The part is larger for slow
-# answers, because a version that is only a little slower has some, too.
+# most ``TOLERATED_EXCESS`` and one standard error. In a bad version, the fraction ``FAILED_EXCESS``
+# or ``SLOW_EXCESS`` of the answers that would otherwise be good is bad, too. It is larger for slow
+# answers, because a version that is only a little slower also has some.
 TOLERATED_EXCESS = 0.04
 FAILED_EXCESS = 0.25
 SLOW_EXCESS = 0.45
 # An answer is slow if it takes at least this many times the baseline's median.
 SLOW_FACTOR = 2.4
-# A replica is left out as an outlier if the share of bad answers on all others is below this part
-# of its own: then the replica is faulty, not the version.
+# A replica is left out as an outlier if the share of bad answers on all others is below this
+# fraction of its own: then the replica is faulty, not the version.
 OUTLIER_RATIO = 1 / 3
 # Exponential decay of the baseline: at each update, about four a second, earlier answers are
 # multiplied by ``BASELINE_DECAY``. An update of many answers, measured against
@@ -119,7 +119,7 @@
 
 
 class VersionJudge:
-    """The sequential test of one version, which is fed with growing evidence."""
+    """The sequential test of one version."""
 
     def __init__(self) -> None:
         self._routes: dict[int, _RouteState] = {}
@@ -128,10 +128,7 @@
         self._alarm: Judgement | None = None
 
     def judge(self, evidence: Sequence[RouteEvidence]) -> Judgement:
-        """Update the test to the ``evidence`` of all routes, and return the judgement.
-
-        The tallies in ``evidence`` are cumulative.
-        """
+        """Update the test with the cumulative ``evidence`` of all routes; return the judgement."""
         self._update(evidence)
         # A version that was once found bad stays bad.
         return (
--- a/tests/rollouts/base.py
+++ b/tests/rollouts/base.py
@@ -52,18 +52,18 @@
         return self._write(kind, name, value, expected)
 
     async def put_status(self, kind: str, name: str, value: dict, expected: int) -> int:
-        held = self.objects[(kind, name)]
-        if held.version == expected and held.value.get("status") == value:
-            return held.version
-        return self._write(kind, name, {**held.value, "status": value}, expected)
+        current = self.objects[(kind, name)]
+        if current.version == expected and current.value.get("status") == value:
+            return current.version
+        return self._write(kind, name, {**current.value, "status": value}, expected)
 
     def _write(self, kind: str, name: str, value: dict, expected: int) -> int:
         if self.holds_back:
             self.holds_back = False
             self.held_back.append(lambda: self._write(kind, name, value, expected))
             raise StoreUnavailable("no answer; the write takes effect later")
-        held = self.objects.get((kind, name))
-        if (held.version if held else 0) != expected:
+        current = self.objects.get((kind, name))
+        if (current.version if current else 0) != expected:
             raise StoreConflict("another version")
         version = self.set(kind, name, value)
         self.writes += 1
@@ -89,8 +89,8 @@
 
     def order(self, target: object = "v2", seconds: float = 20.0, service: str = SERVICE) -> int:
         """Write an order and keep the status of the object."""
-        held = self.objects.get((ROLLOUT, service))
-        status = held.value.get("status", {}) if held else {}
+        current = self.objects.get((ROLLOUT, service))
+        status = current.value.get("status", {}) if current else {}
         spec = {"service": service, "target_version": target, "duration": seconds}
         return self.set(ROLLOUT, service, spec | {"status": status})
 
--- a/tests/rollouts/test_book.py
+++ b/tests/rollouts/test_book.py
@@ -26,10 +26,10 @@
 
     def change(self, *changes: dict) -> None:
         """Write the operator's object with ``changes``, and pass its watch event to the book."""
-        held = self.store.objects[("rollout", SERVICE)].value
+        current = self.store.objects[("rollout", SERVICE)].value
         for change in changes:
-            held = held | change
-        self.store.set("rollout", SERVICE, held)
+            current = current | change
+        self.store.set("rollout", SERVICE, current)
         self.book.seen(event(self.store))
 
     def order(self, target: object = "v2", seconds: float = 20.0) -> None:
@@ -120,8 +120,8 @@
         self.order()
         self.change(status("running"))
         self.change(status("succeeded"))
-        held = self.store.objects[("rollout", SERVICE)].value | {"status": {}}
-        self.book.seen(WatchEvent("rollout", SERVICE, to_version(1, 1), held))
+        current = self.store.objects[("rollout", SERVICE)].value | {"status": {}}
+        self.book.seen(WatchEvent("rollout", SERVICE, to_version(1, 1), current))
         self.assertIs(self.book.get(SERVICE).order_state, State.SUCCEEDED)
         self.assertEqual(len(self.book.ended_without_status()), 1)
 
@@ -204,8 +204,8 @@
         )
         for change in bad:
             with self.subTest(change):
-                held = self.store.objects[("rollout", SERVICE)].value | change
-                self.book.seen(WatchEvent("rollout", SERVICE, 50, held))
+                current = self.store.objects[("rollout", SERVICE)].value | change
+                self.book.seen(WatchEvent("rollout", SERVICE, 50, current))
                 self.assertEqual(self.book.running(SERVICE), Order(SERVICE, 1, "v2", 20.0))
         self.book.seen(WatchEvent("rollout", SERVICE, 50, {}))
         counted = self.book._kernel.metrics.rollouts_refused.get({"service": SERVICE})
