--- a/tests/platform/test_rollouts.py
+++ b/tests/platform/test_rollouts.py
@@ -74,10 +74,10 @@
         await self.until(lambda: self.status() == RUNNING)
         self.store.put_status("rollouts", "desk", RUNNING | {"state": "rolled_back"})
         book = self.book(node)
-        await self.until(lambda: book.get("desk").current is State.ROLLED_BACK)
+        await self.until(lambda: book.get("desk").order_state is State.ROLLED_BACK)
         self.assertFalse(book.takes_work("desk", "v2"))
         self.store.remove("rollouts", "desk")
-        await self.until(lambda: book.get("desk").gone)
+        await self.until(lambda: book.get("desk").withdrawn)
 
     async def test_store_that_comes_back_from_a_copy(self):
         self.store.put("rollouts", "desk", ORDER)
@@ -87,11 +87,11 @@
         copy = self.store.copy()
         ended = RUNNING | {"state": "rolled_back"}
         self.store.put_status("rollouts", "desk", ended)
-        await self.until(lambda: book.get("desk").current is State.ROLLED_BACK)
+        await self.until(lambda: book.get("desk").order_state is State.ROLLED_BACK)
         self.store.restore(copy)
         self.assertEqual(self.status(), RUNNING)
         await self.until(lambda: self.status() == ended)
-        self.assertIs(book.get("desk").current, State.ROLLED_BACK)
+        self.assertIs(book.get("desk").order_state, State.ROLLED_BACK)
 
     async def test_ledger_that_a_copy_lacks_is_written_again(self):
         copy = self.store.copy()
--- a/tests/platform/test_versions.py
+++ b/tests/platform/test_versions.py
@@ -114,7 +114,7 @@
         statuses = await self.call_until(node, lambda: self.state() == "succeeded")
         self.assertEqual(set(statuses), {200})
         book = node.parts["rollouts"].book
-        await self.until(lambda: book.get("desk").current is State.SUCCEEDED)
+        await self.until(lambda: book.get("desk").order_state is State.SUCCEEDED)
         before = len(self.old.arrivals)
         rounds = iter(range(20))
         await self.call_until(node, lambda: next(rounds, None) is None)
