--- a/tests/rollouts/test_coordinator.py
+++ b/tests/rollouts/test_coordinator.py
@@ -93,9 +93,9 @@
         self.assertLessEqual(self.used, 0.1 * self.arrivals + 50)
 
     async def test_successor_of_a_crashed_coordinator_keeps_its_reserved_calls(self):
-        dead = await self.start_rollout()
+        crashed = await self.start_rollout()
         reserved = self.store.ledger()["reserved"]
-        left = [node for node in self.nodes if node is not dead]
+        left = [node for node in self.nodes if node is not crashed]
         await self.pass_time(LEASE_SECONDS + 1.0, left)
         (leader,) = [node for node in left if node.leads]
         self.assertEqual(self.store.ledger()["term"], 2)
@@ -118,15 +118,15 @@
         self.assertNotEqual(self.store.ledger()["holder"], paused.name)
 
     async def test_coordinator_refused_by_the_store_is_replaced(self):
-        away = await self.start_rollout()
-        self.store.refused_nodes.add(away.name)
+        refused = await self.start_rollout()
+        self.store.refused_nodes.add(refused.name)
         await self.pass_time(4.0)
         leader = self.leader()
-        self.assertIsNot(leader, away)
+        self.assertIsNot(leader, refused)
         self.store.refused_nodes.clear()
         await self.pass_time(1.0)
         self.assertIs(self.leader(), leader)
-        self.assertIsNone(away.coordination.coordinator_term)
+        self.assertIsNone(refused.coordination.coordinator_term)
 
     async def test_coordinator_that_is_about_to_stop_is_replaced(self):
         stopping = await self.start_rollout()
@@ -161,12 +161,12 @@
         self.assertEqual(self.store.status()["state"], "rolled_back")
 
     async def test_successor_applies_a_decision(self):
-        dead = await self.start_rollout()
+        crashed = await self.start_rollout()
         self.judge(Verdict.BAD)
-        dead.coordination.tick()
-        entry = dead.coordination.coordinator_term.next_entry()
-        await dead.coordination._ledger.write(entry)
-        left = [node for node in self.nodes if node is not dead]
+        crashed.coordination.tick()
+        entry = crashed.coordination.coordinator_term.next_entry()
+        await crashed.coordination._ledger.write(entry)
+        left = [node for node in self.nodes if node is not crashed]
         for node in left:
             node.verdict = Verdict.GOOD
             node.read()
@@ -191,10 +191,10 @@
         self.assertLessEqual(self.used, BOUNDS.canary_calls(int(self.arrivals)))
 
     async def test_restarted_fleet_applies_a_decision(self):
-        dead = await self.start_rollout()
+        crashed = await self.start_rollout()
         self.judge(Verdict.BAD)
-        dead.coordination.tick()
-        await dead.coordination._ledger.write(dead.coordination.coordinator_term.next_entry())
+        crashed.coordination.tick()
+        await crashed.coordination._ledger.write(crashed.coordination.coordinator_term.next_entry())
         fresh = FakeNode("a", NAMES, self.store, self.clock)
         await fresh.step()
         self.assertIsNone(fresh.book.running(SERVICE))
--- a/tests/rollouts/test_verdict.py
+++ b/tests/rollouts/test_verdict.py
@@ -13,7 +13,7 @@
 CANARY = 6
 
 
-class Fleet:
+class Simulation:
     """Random answers of a baseline and a target version, judged step by step."""
 
     def __init__(self) -> None:
@@ -52,92 +52,97 @@
 
 class GoodVersionTests(unittest.TestCase):
     def test_version_like_the_baseline_is_good(self):
-        self.assertIs(Fleet().verdict(), Verdict.GOOD)
+        self.assertIs(Simulation().verdict(), Verdict.GOOD)
 
     def test_few_answers_are_undecided(self):
-        self.assertIs(Fleet().step().verdict, Verdict.UNDECIDED)
+        self.assertIs(Simulation().step().verdict, Verdict.UNDECIDED)
 
     def test_no_answers_are_undecided(self):
         self.assertIs(VersionJudge().judge([]).verdict, Verdict.UNDECIDED)
 
     def test_route_without_new_answers_is_no_longer_waited_for(self):
         """A configuration removes a route before the version has enough answers on it."""
-        fleet = Fleet()
+        simulation = Simulation()
         ended = RouteEvidence(3, Tally(answers=400, first=[400] + [0] * 31), {})
         for step in range(2 * UPDATES):
-            fleet.step()
-            evidence = [RouteEvidence(r, fleet.baseline[r], fleet.target[r]) for r in (1, 2)]
-            verdict = fleet.judge.judge([*evidence, ended]).verdict
+            simulation.step()
+            evidence = [
+                RouteEvidence(r, simulation.baseline[r], simulation.target[r]) for r in (1, 2)
+            ]
+            verdict = simulation.judge.judge([*evidence, ended]).verdict
             if step == UPDATES // 4:
                 self.assertIs(verdict, Verdict.UNDECIDED)
         self.assertIs(verdict, Verdict.GOOD)
 
     def test_version_with_one_failing_replica_is_not_bad(self):
-        verdict = Fleet().verdict(fails=lambda route, replica: 0.9 * (replica == "i-2"))
+        verdict = Simulation().verdict(fails=lambda route, replica: 0.9 * (replica == "i-2"))
         self.assertIsNot(verdict, Verdict.BAD)
 
     def test_version_is_good_if_load_slows_all_versions_at_once(self):
-        fleet = Fleet()
+        simulation = Simulation()
         for _ in range(10):
-            fleet.step()
+            simulation.step()
         for _ in range(UPDATES):
-            judgement = fleet.step(all_slower=5.0)
+            judgement = simulation.step(all_slower=5.0)
         self.assertIs(judgement.verdict, Verdict.GOOD)
 
     def test_version_slower_by_two_fifths_is_not_bad(self):
-        self.assertIsNot(Fleet().verdict(slower=1.4), Verdict.BAD)
+        self.assertIsNot(Simulation().verdict(slower=1.4), Verdict.BAD)
 
 
 class BadVersionTests(unittest.TestCase):
-    def assert_found(self, fleet: Fleet, **kinds):
-        self.assertIs(fleet.verdict(**kinds), Verdict.BAD)
+    def assert_found(self, simulation: Simulation, **kinds):
+        self.assertIs(simulation.verdict(**kinds), Verdict.BAD)
         # After 50 bad answers a version counts as known to be bad, and the time for the rollback
         # starts to run.
-        self.assertLess(fleet.bad_answers, 50)
+        self.assertLess(simulation.bad_answers, 50)
 
     def test_half_of_the_answers_failing_is_bad(self):
-        self.assert_found(Fleet(), fails=lambda route, replica: 0.5)
+        self.assert_found(Simulation(), fails=lambda route, replica: 0.5)
 
     def test_half_of_the_answers_of_a_rarer_route_failing_is_bad(self):
-        self.assert_found(Fleet(), fails=lambda route, replica: 0.5 * (route == RARE))
+        self.assert_found(Simulation(), fails=lambda route, replica: 0.5 * (route == RARE))
 
     def test_answers_three_times_slower_are_bad(self):
-        self.assert_found(Fleet(), slower=3.0)
+        self.assert_found(Simulation(), slower=3.0)
 
     def test_failures_after_many_good_answers_are_bad(self):
-        fleet = Fleet()
+        simulation = Simulation()
         for _ in range(UPDATES):
-            fleet.step()
-        self.assert_found(fleet, fails=lambda route, replica: 0.5)
+            simulation.step()
+        self.assert_found(simulation, fails=lambda route, replica: 0.5)
 
     def test_failures_while_the_version_receives_all_calls_are_bad(self):
-        fleet = Fleet()
+        simulation = Simulation()
         for _ in range(UPDATES):
-            fleet.step()
+            simulation.step()
         for _ in range(UPDATES):
             for _ in range(BASELINE):
-                replica = fleet.rng.choice(REPLICAS)
-                fleet.target[COMMON][replica].add(fleet.rng.random() < 0.5, 0.05, 0.2)
-            judgement = fleet.judge.judge(
-                [RouteEvidence(r, fleet.baseline[r], fleet.target[r]) for r in fleet.baseline]
+                replica = simulation.rng.choice(REPLICAS)
+                simulation.target[COMMON][replica].add(simulation.rng.random() < 0.5, 0.05, 0.2)
+            judgement = simulation.judge.judge(
+                [
+                    RouteEvidence(r, simulation.baseline[r], simulation.target[r])
+                    for r in simulation.baseline
+                ]
             )
         self.assertIs(judgement.verdict, Verdict.BAD)
 
     def test_a_bad_version_stays_bad(self):
-        fleet = Fleet()
-        fleet.verdict(fails=lambda route, replica: 0.5)
+        simulation = Simulation()
+        simulation.verdict(fails=lambda route, replica: 0.5)
         for _ in range(UPDATES):
-            judgement = fleet.step()
+            judgement = simulation.step()
         self.assertIs(judgement.verdict, Verdict.BAD)
 
     def test_failures_after_counting_restarted_from_0_are_bad(self):
-        fleet = Fleet()
+        simulation = Simulation()
         for _ in range(UPDATES):
-            fleet.step()
-        for route in fleet.baseline:
-            fleet.baseline[route] = Tally()
-            fleet.target[route] = {name: Tally() for name in REPLICAS}
-        self.assert_found(fleet, fails=lambda route, replica: 0.5)
+            simulation.step()
+        for route in simulation.baseline:
+            simulation.baseline[route] = Tally()
+            simulation.target[route] = {name: Tally() for name in REPLICAS}
+        self.assert_found(simulation, fails=lambda route, replica: 0.5)
 
 
 if __name__ == "__main__":
