--- a/railsail/rollouts/book.py
+++ b/railsail/rollouts/book.py
@@ -1,8 +1,9 @@
-"""What is known of all rollouts: the operator's orders, and how they stand.
+"""The operator's rollout orders and their states, as this node knows them.
 
-The platform's store holds one object for each service. Records merge, so that repeats and
-reorderings do no harm: the newest object tells the order, and a state that has ended stays. Nodes
-pass them on, so that they hold while the store is away and for nodes that start meanwhile.
+The platform's store holds one object for each service. Records are merged, so that repeated and
+reordered updates do no harm: the newest object determines the order, and the end of a rollout is
+never reverted. Nodes forward the records, so that they survive an outage of the store and reach
+nodes that start during it.
 """
 
 import math
@@ -16,57 +17,59 @@
 from railsail.peers.records import RolloutRecord
 from railsail.rollouts.merging import merge
 from railsail.rollouts.orders import Order, Rollout, State
-from railsail.rollouts.stored import BadRollout, parse_rollout
+from railsail.rollouts.serialization import BadRollout, parse_rollout
 from railsail.store.base import Listing, WatchEvent
 
 KIND = "rollout"
-# The platform stops the replicas of other versions once a rollout succeeded, and they leave its
-# list within so many seconds. What is started later with another version takes work again.
-REPLACED_SECONDS = 30.0
+# When a rollout succeeds, the platform stops the replicas of other versions, and they leave its
+# list within this time. Replicas that start later with another version receive calls again.
+REPLACEMENT_SECONDS = 30.0
 
 Flood = Callable[[RolloutUpdate, str], None]
 
 
 class RolloutBook:
-    """Hold the rollout of each service; ``flood`` passes updates to all peers but the one named."""
+    """The rollout of each service; ``flood`` sends an update to all peers except the one named."""
 
     def __init__(self, flood: Flood, kernel: Kernel) -> None:
         self._flood = flood
         self._kernel = kernel
-        self._known: dict[str, Rollout] = {}
+        self._rollouts: dict[str, Rollout] = {}
         self._succeeded_at: dict[str, float] = {}
         self._listeners: list[Callable[[], None]] = []
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Call ``listener`` after each change."""
+        """Register ``listener`` to be called after each change."""
         self._listeners.append(listener)
 
     def get(self, service: str) -> Rollout | None:
-        """Return the rollout of ``service``, ended ones and ones taken away included."""
-        return self._known.get(service)
+        """Return the rollout of ``service``, also if it has ended or was withdrawn."""
+        return self._rollouts.get(service)
 
     def all(self) -> list[Rollout]:
-        """Return all rollouts, by service."""
-        return [self._known[service] for service in sorted(self._known)]
+        """Return all rollouts, ordered by service."""
+        return [self._rollouts[service] for service in sorted(self._rollouts)]
 
     def running(self, service: str) -> Order | None:
-        """Return the order of ``service`` that is neither taken away nor ended."""
-        rollout = self._known.get(service)
-        if rollout is None or rollout.gone or rollout.current.ended:
+        """Return the order of ``service`` if it was not withdrawn and has not ended."""
+        rollout = self._rollouts.get(service)
+        if rollout is None or rollout.withdrawn or rollout.order_state.ended:
             return None
         return rollout.order
 
-    def unwritten(self) -> list[Rollout]:
-        """Return the rollouts that have ended, and whose status in the store does not say so."""
+    def ended_without_status(self) -> list[Rollout]:
+        """Return the rollouts that have ended, but whose status in the store does not say so."""
         return [
             rollout
             for rollout in self.all()
-            if rollout.current.ended and not rollout.gone and rollout.written < rollout.current
+            if rollout.order_state.ended
+            and not rollout.withdrawn
+            and rollout.written_state < rollout.order_state
         ]
 
     def takes_work(self, service: str, software_version: str) -> bool:
-        """Say whether replicas of ``software_version`` may get new calls of ``service`` at all."""
-        rollout = self._known.get(service)
+        """Return True if replicas of ``software_version`` may receive new calls of ``service``."""
+        rollout = self._rollouts.get(service)
         if rollout is None:
             return True
         if rollout.state.ended and software_version == rollout.decided_version:
@@ -74,19 +77,19 @@
         if software_version in rollout.dropped:
             return False
         if software_version == rollout.order.target_version:
-            return not rollout.gone
-        return not self._replaces(rollout)
+            return not rollout.withdrawn
+        return not self._is_replacing(rollout)
 
-    def _replaces(self, rollout: Rollout) -> bool:
-        """Say whether the replicas of versions that ``rollout`` does not name are being stopped."""
-        if rollout.gone or rollout.current is not State.SUCCEEDED:
+    def _is_replacing(self, rollout: Rollout) -> bool:
+        """Return True if the platform is stopping the replicas of all other versions."""
+        if rollout.withdrawn or rollout.order_state is not State.SUCCEEDED:
             return False
         since = self._succeeded_at.get(rollout.order.service, -math.inf)
-        return self._kernel.clock.monotonic() < since + REPLACED_SECONDS
+        return self._kernel.clock.monotonic() < since + REPLACEMENT_SECONDS
 
     def tick(self) -> None:
-        """Tell the listeners where versions take work again because time has passed."""
-        due = self._kernel.clock.monotonic() - REPLACED_SECONDS
+        """Notify the listeners if other versions may receive calls again by the passage of time."""
+        due = self._kernel.clock.monotonic() - REPLACEMENT_SECONDS
         passed = [service for service, at in self._succeeded_at.items() if at <= due]
         for service in passed:
             del self._succeeded_at[service]
@@ -98,63 +101,64 @@
             listener()
 
     def listed(self, listing: Listing) -> None:
-        """Take in a listing of the store; a rollout that it lacks was taken away.
+        """Apply a listing of the store; a rollout that it lacks was withdrawn.
 
-        One that is not settled yet may lack orders that the operator writes again.
+        A listing that is not settled yet may lack orders that the operator will write again, so
+        nothing is withdrawn by it.
         """
         for stored in listing.objects:
             self.seen(WatchEvent(KIND, stored.name, stored.version, stored.value))
         names = {stored.name for stored in listing.objects}
         for rollout in self.all() if listing.settled else ():
-            if rollout.order.service not in names and not rollout.gone:
-                self._take([replace(rollout, gone=True, stored=listing.version)], "")
+            if rollout.order.service not in names and not rollout.withdrawn:
+                self._apply([replace(rollout, withdrawn=True, object_version=listing.version)], "")
 
     def seen(self, event: WatchEvent) -> None:
-        """Take in a watch event of the store."""
-        known = self._known.get(event.name)
+        """Apply a watch event of the store."""
+        known = self._rollouts.get(event.name)
         if event.value is None:
             if known is not None:
-                self._take([replace(known, gone=True, stored=event.version)], "")
+                self._apply([replace(known, withdrawn=True, object_version=event.version)], "")
             return
         try:
             rollout = parse_rollout(event.name, event.version, event.value)
         except BadRollout as problem:
-            self._refuse(event.name, str(problem))
+            self._log_invalid(event.name, str(problem))
             return
-        self._take([rollout], "")
+        self._apply([rollout], "")
 
     def received(self, node: str, update: RolloutUpdate) -> None:
-        """Take in records of the peer ``node``."""
-        self._take([_from_record(record) for record in update.rollouts], node)
+        """Merge the records that the peer ``node`` has sent."""
+        self._apply([_from_record(record) for record in update.rollouts], node)
 
-    def update(self) -> RolloutUpdate:
-        """Return all records, for a peer that connects."""
+    def full_update(self) -> RolloutUpdate:
+        """Return all records, for a peer that has connected."""
         return RolloutUpdate([_to_record(rollout) for rollout in self.all()])
 
-    def decide(self, order: Order, state: State) -> None:
-        """Note that ``order`` stands at ``state``, as the ledger has it."""
-        known = self._known.get(order.service)
+    def record_decision(self, order: Order, state: State) -> None:
+        """Record that ``order`` has ``state`` according to the ledger."""
+        known = self._rollouts.get(order.service)
         if known is None or known.order != order:
             return
         decided = replace(known, state=state, decided_version=order.target_version)
-        self._take([decided], "")
+        self._apply([decided], "")
 
-    def status_stored(self, order: Order, state: State, version: int) -> None:
-        """Note that the status of ``order`` says ``state`` from ``version`` of its object on."""
-        known = self._known.get(order.service)
-        if known is None or known.order != order or version <= known.stored:
+    def record_status(self, order: Order, state: State, version: int) -> None:
+        """Record that the status of ``order`` is ``state`` as of ``version`` of its object."""
+        known = self._rollouts.get(order.service)
+        if known is None or known.order != order or version <= known.object_version:
             return
         target = order.target_version
-        self._take([Rollout(order, False, state, target, version, written=state)], "")
+        self._apply([Rollout(order, False, state, target, version, written_state=state)], "")
 
-    def _refuse(self, service: str, reason: str) -> None:
+    def _log_invalid(self, service: str, reason: str) -> None:
         get_logger().warning("rollout refused", service=service, reason=reason)
         self._kernel.metrics.rollouts_refused.inc({"service": service})
 
-    def _take(self, candidates: list[Rollout], source: str) -> None:
+    def _apply(self, candidates: list[Rollout], source: str) -> None:
         changed = []
         for candidate in candidates:
-            known = self._known.get(candidate.order.service)
+            known = self._rollouts.get(candidate.order.service)
             merged = merge(known, candidate)
             if merged != known:
                 self._put(known, merged)
@@ -166,16 +170,19 @@
 
     def _put(self, known: Rollout | None, rollout: Rollout) -> None:
         service = rollout.order.service
-        self._known[service] = rollout
-        before = known.current if known is not None else State.NONE
-        if rollout.current is State.SUCCEEDED and before is not State.SUCCEEDED:
+        self._rollouts[service] = rollout
+        before = known.order_state if known is not None else State.NONE
+        if rollout.order_state is State.SUCCEEDED and before is not State.SUCCEEDED:
             self._succeeded_at[service] = self._kernel.clock.monotonic()
-        self._tell(known, rollout)
+        self._emit_event(known, rollout)
 
-    def _tell(self, known: Rollout | None, rollout: Rollout) -> None:
+    def _emit_event(self, known: Rollout | None, rollout: Rollout) -> None:
         if (
             known is not None
-            and replace(known, stored=rollout.stored, written=rollout.written) == rollout
+            and replace(
+                known, object_version=rollout.object_version, written_state=rollout.written_state
+            )
+            == rollout
         ):
             return
         order = rollout.order
@@ -185,7 +192,7 @@
             order_version=order.version,
             target_version=order.target_version,
             duration_ms=round(order.duration * 1000),
-            state="gone" if rollout.gone else rollout.current.name.lower(),
+            state="gone" if rollout.withdrawn else rollout.order_state.name.lower(),
         )
 
 
@@ -196,11 +203,11 @@
         order.version,
         order.target_version,
         round(order.duration * 1000),
-        rollout.gone,
+        rollout.withdrawn,
         int(rollout.state),
         rollout.decided_version,
-        rollout.stored,
-        int(rollout.written),
+        rollout.object_version,
+        int(rollout.written_state),
         sorted(rollout.dropped),
         rollout.in_use,
         rollout.in_use_order,
@@ -210,7 +217,7 @@
 def _from_record(record: RolloutRecord) -> Rollout:
     duration = record.duration / 1000
     order = Order(record.service, record.version, record.target_version, duration)
-    state, written = State(record.state), State(record.written)
+    state, written_state = State(record.state), State(record.written)
     dropped = frozenset(record.dropped)
     return Rollout(
         order,
@@ -218,7 +225,7 @@
         state,
         record.decided_version,
         record.stored,
-        written,
+        written_state,
         dropped,
         record.in_use,
         record.in_use_order,
--- a/railsail/rollouts/canaries.py
+++ b/railsail/rollouts/canaries.py
@@ -1,18 +1,22 @@
 """Which replicas of the target version are its canaries.
 
-A failure domain may be slow or lose messages. Canaries that were all in it would speak against a
-good version, whose baseline is spread over the domains; and they would all be lost with it.
+Canaries are spread over the failure domains. A failure domain may be slow or lose messages. If all
+canaries were in it, a good version would look bad beside a baseline that covers all domains, and
+the loss of the domain would take all canaries.
 """
 
 from collections import Counter
 from collections.abc import Iterable, Mapping
 
 
-def over_domains(ranked: Iterable[str], domains: Mapping[str, str]) -> list[str]:
-    """Return the replicas ``ranked`` so that the first ones are in as many domains as can be."""
-    before: Counter[str] = Counter()
-    turns: dict[str, int] = {}
+def spread_over_domains(ranked: Iterable[str], domains: Mapping[str, str]) -> list[str]:
+    """Return ``ranked`` reordered so that its first replicas cover as many domains as possible.
+
+    Within a domain the ranking stays. ``domains`` maps each replica to its failure domain.
+    """
+    domain_counts: Counter[str] = Counter()
+    positions: dict[str, int] = {}
     for name in ranked:
-        turns[name] = before[domains[name]]
-        before[domains[name]] += 1
-    return sorted(turns, key=turns.__getitem__)
+        positions[name] = domain_counts[domains[name]]
+        domain_counts[domains[name]] += 1
+    return sorted(positions, key=positions.__getitem__)
--- a/railsail/rollouts/coordination.py
+++ b/railsail/rollouts/coordination.py
@@ -1,7 +1,7 @@
-"""One node's part in the coordination of one rollout: to lead it, or to stand by.
+"""One node's part in the coordination of one rollout: as its leader or on standby.
 
-The holder of the ledger leads. The others read the ledger now and then, and the one that is ranked
-first takes over where it has not changed for a while, the next ones a little later.
+The holder of the ledger leads. The other candidates poll the ledger. If it has not changed for the
+length of a lease, the candidate ranked first takes over, and the next ones follow a little later.
 """
 
 import asyncio
@@ -15,38 +15,38 @@
 from railsail.peers.messages import RolloutEvidence
 from railsail.rollouts.book import RolloutBook
 from railsail.rollouts.bounds import ExposureBounds
+from railsail.rollouts.coordinator_term import LEASE_SECONDS, CoordinatorTerm
 from railsail.rollouts.fleet import Fleet, ranked_candidates
-from railsail.rollouts.ledger import Entry, Ledger, taken
+from railsail.rollouts.ledger import Entry, Ledger, takeover_entry
 from railsail.rollouts.orders import Order, State
 from railsail.rollouts.publishing import StatusWriter
 from railsail.rollouts.stages import Stage
-from railsail.rollouts.tenure import LEASE_SECONDS, Tenure
 from railsail.rollouts.verdict import Judgement
 from railsail.store.base import Store
 from railsail.store.journal import Backoff
 
-TICK_SECONDS = 0.1
-TICK_SECONDS_IN_SHIFT = 0.05
-# The ledger is written more often while the target gets all calls, which are then reserved soon
-# before they come.
-RENEW_SECONDS = 0.8
-RENEW_SECONDS_IN_SHIFT = 0.4
-# The next candidate follows so much later, the one after it twice as late.
-STEP_SECONDS = 0.4
-# The first candidates read the ledger so often, each later one a little more seldom; reads are
-# priced. The rest of the fleet leaves it to them, and looks now and then.
-CANDIDATES = 6
+TICK_INTERVAL_SECONDS = 0.1
+SHIFT_TICK_INTERVAL_SECONDS = 0.05
+# The leader writes the ledger at this interval, and more often while the target receives all calls,
+# because these are reserved shortly before they arrive.
+RENEWAL_INTERVAL_SECONDS = 0.8
+SHIFT_RENEWAL_INTERVAL_SECONDS = 0.4
+# The candidates' attempts to take over are staggered by this time, in the order of their rank.
+TAKEOVER_STAGGER_SECONDS = 0.4
+# The first candidates poll the ledger, each one at a slightly longer interval than the one ranked
+# before it. All other nodes read it only rarely, because reads of the store are billed.
+POLLING_CANDIDATES = 6
 POLL_SECONDS = 1.0
-POLL_STEP_SECONDS = 0.5
-REST_SECONDS = 30.0
-# To look at the members costs no call.
-LOOK_SECONDS = 1.0
-FIRST_PAUSE_SECONDS = 0.1
-MOST_PAUSE_SECONDS = 0.5
+POLL_STAGGER_SECONDS = 0.5
+RARE_POLL_SECONDS = 30.0
+# The interval at which a node checks whether it may coordinate, which takes no store call.
+CANDIDACY_CHECK_SECONDS = 1.0
+INITIAL_BACKOFF_SECONDS = 0.1
+MAX_BACKOFF_SECONDS = 0.5
 
 
 class Coordination:
-    """Lead the rollout of ``service`` or stand by, until the order that runs now runs no more."""
+    """Lead the rollout of a service or stand by, until its present order no longer runs."""
 
     def __init__(
         self,
@@ -56,72 +56,80 @@
         fleet: Fleet,
         bounds: ExposureBounds,
         kernel: Kernel,
-        judging: Callable[[list], Judgement] | None = None,
+        judge: Callable[[list], Judgement] | None = None,
     ) -> None:
         self.order = order
-        self.tenure: Tenure | None = None
+        self.coordinator_term: CoordinatorTerm | None = None
         self._book = book
         self._status = StatusWriter(store, book)
         self._fleet = fleet
         self._bounds = bounds
         self._kernel = kernel
-        self._judging = judging
+        self._judge = judge
         self._ledger = Ledger(store, order.service, kernel.clock.monotonic)
-        self._backoff = Backoff(kernel.rng, FIRST_PAUSE_SECONDS, MOST_PAUSE_SECONDS)
+        self._backoff = Backoff(kernel.rng, INITIAL_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS)
         self._wake = asyncio.Event()
-        # Whether this node has written that the order runs.
-        self._began_here = False
+        # Whether this node has written the running status of the order.
+        self._wrote_running_status = False
         self._ticking: asyncio.Task | None = None
-        # When this node, as none of the first candidates, reads the ledger.
-        self._rests_until = kernel.clock.monotonic() + REST_SECONDS
+        # When this node next reads the ledger if it is not one of the first candidates.
+        self._next_rare_read_at = kernel.clock.monotonic() + RARE_POLL_SECONDS
 
     @property
     def holder(self) -> str:
-        """Return the node that leads, as far as the ledger was read here."""
+        """Return the node that leads according to the ledger as last read, or an empty string."""
         entry = self._ledger.entry
         return entry.holder if entry is not None else ""
 
     def wake(self) -> None:
-        """Look again at once."""
+        """Make the next step at once."""
         self._wake.set()
 
     def received(self, node: str, evidence: RolloutEvidence) -> None:
-        """Take in ``evidence`` of the dispatcher at ``node``."""
-        if self.tenure is not None:
-            self.tenure.received(node, evidence)
+        """Record ``evidence`` of the dispatcher at ``node`` if this node leads."""
+        if self.coordinator_term is not None:
+            self.coordinator_term.received(node, evidence)
 
     async def run(self) -> None:
-        """Lead or stand by until the order ends, or another takes its place."""
+        """Lead or stand by until the order has ended or was replaced."""
         try:
-            while self._still_ordered():
-                await self._sleep(await self._try_step())
+            while self._is_still_ordered():
+                await self._sleep(await self._step_or_back_off())
         finally:
             if self._ticking is not None:
                 self._ticking.cancel()
 
-    async def _tick_on(self) -> None:
-        while self.tenure is not None:
+    async def _run_ticks(self) -> None:
+        while self.coordinator_term is not None:
             self.tick()
-            shifts = self.tenure is not None and self.tenure.stage >= Stage.SHIFT
-            await asyncio.sleep(TICK_SECONDS_IN_SHIFT if shifts else TICK_SECONDS)
+            is_shifted = (
+                self.coordinator_term is not None and self.coordinator_term.stage >= Stage.SHIFT
+            )
+            await asyncio.sleep(
+                SHIFT_TICK_INTERVAL_SECONDS if is_shifted else TICK_INTERVAL_SECONDS
+            )
 
     def tick(self) -> None:
-        """Do what needs no store: judge, plan and allow calls."""
-        tenure = self.tenure
-        if tenure is None or not self._still_ordered():
+        """Do what needs no store call: judge the version, plan, and send allowances."""
+        coordinator_term = self.coordinator_term
+        if coordinator_term is None or not self._is_still_ordered():
             return
-        tenure.order = self.order
+        coordinator_term.order = self.order
         try:
-            tenure.tick()
+            coordinator_term.tick()
         except Exception:
-            # The store's part goes on: without it another one would take over, and fail alike.
-            get_logger().exception("rollout not planned", service=self.order.service)
-        if tenure.writes_now():
+            # The ledger is still written: otherwise another node would take over and fail alike.
+            get_logger().exception("rollout planning failed", service=self.order.service)
+        if coordinator_term.needs_write():
             self.wake()
 
-    def _still_ordered(self) -> bool:
+    def _is_still_ordered(self) -> bool:
         order = self._book.running(self.order.service)
-        if order is None or order.version > self.order.version or not order.asks_same(self.order):
+        if (
+            order is None
+            or order.version > self.order.version
+            or not order.is_equivalent(self.order)
+        ):
             return False
         # Nodes agree on the lowest version at which the order was read.
         self.order = order
@@ -133,168 +141,180 @@
                 await self._wake.wait()
                 self._wake.clear()
 
-    async def _try_step(self) -> float:
+    async def _step_or_back_off(self) -> float:
         try:
             pause = await self.step()
         except StoreConflict:
             get_logger().info("rollout written by another node", service=self.order.service)
-            self._ledger.unsure = True
-            return FIRST_PAUSE_SECONDS
+            self._ledger.needs_read = True
+            return INITIAL_BACKOFF_SECONDS
         except StoreUnavailable as problem:
             reason = str(problem)
-            get_logger().info("rollout not written", service=self.order.service, reason=reason)
+            get_logger().info("rollout step failed", service=self.order.service, reason=reason)
             return self._backoff.pause()
         self._backoff.reset()
         return pause
 
     async def step(self) -> float:
-        """Make the store calls that are due, and return after how many seconds to look again."""
-        if self.tenure is None:
-            place = self._place()
-            return LOOK_SECONDS if place is None else await self._stand_by(place)
-        if self._ledger.unsure:
+        """Make the store calls that are due, and return the seconds until the next step."""
+        if self.coordinator_term is None:
+            rank = self._polling_rank()
+            return CANDIDACY_CHECK_SECONDS if rank is None else await self._step_as_standby(rank)
+        if self._ledger.needs_read:
             await self._ledger.read()
-            self._note_read()
-        return await self._lead() if self.tenure is not None else FIRST_PAUSE_SECONDS
+            self._check_holder()
+        return (
+            await self._step_as_leader()
+            if self.coordinator_term is not None
+            else INITIAL_BACKOFF_SECONDS
+        )
 
-    def _place(self) -> int | None:
-        """Return this node's place among the candidates, ``None`` where it leaves it to others."""
+    def _polling_rank(self) -> int | None:
+        """Return this node's rank among the candidates, ``None`` if it need not read the ledger."""
         ranked = ranked_candidates(self._fleet, self.order.service)
-        if self._fleet.own not in ranked:
+        if self._fleet.node_id not in ranked:
             return None
-        place = ranked.index(self._fleet.own)
+        rank = ranked.index(self._fleet.node_id)
         now = self._kernel.clock.monotonic()
-        if place < CANDIDATES:
-            return place
-        if now < self._rests_until:
+        if rank < POLLING_CANDIDATES:
+            return rank
+        if now < self._next_rare_read_at:
             return None
-        self._rests_until = now + REST_SECONDS
-        return place
+        self._next_rare_read_at = now + RARE_POLL_SECONDS
+        return rank
 
-    def _note_read(self) -> None:
-        """Step back where another node holds the ledger."""
-        tenure, entry = self.tenure, self._ledger.entry
-        if tenure is None:
+    def _check_holder(self) -> None:
+        """Step down if another node has taken over according to the ledger that was just read."""
+        coordinator_term, entry = self.coordinator_term, self._ledger.entry
+        if coordinator_term is None:
             return
-        if not self._may_lead() or (entry is not None and _is_later(entry, tenure.entry)):
-            self._step_back()
-        elif entry is not None and _is_own(entry, tenure.entry):
-            # A write that was not answered may have taken effect.
-            tenure.stored(entry, self._ledger.changed_at - LEASE_SECONDS)
+        if not self._can_lead() or (entry is not None and _is_later(entry, coordinator_term.entry)):
+            self._step_down()
+        elif entry is not None and _is_own(entry, coordinator_term.entry):
+            # A write without an answer may have taken effect. When is not known, so that the lease
+            # counts as expired until the next write.
+            coordinator_term.record_write(entry, self._ledger.changed_at - LEASE_SECONDS)
 
-    def _step_back(self) -> None:
-        self._tell("stepped back")
-        self.tenure = None
+    def _step_down(self) -> None:
+        self._emit_event("stepped back")
+        self.coordinator_term = None
 
-    def _may_lead(self) -> bool:
-        return self._fleet.own in self._fleet.candidates()
+    def _can_lead(self) -> bool:
+        return self._fleet.node_id in self._fleet.candidates()
 
     def _is_new(self, entry: Entry | None) -> bool:
-        """Say whether the order came after that of ``entry``.
+        """Return True if this order was given after the order of ``entry``.
 
-        A node that starts may know the same order by a later version. The status of an order is
-        written before any call is reserved for it, so that an order which has none is a new one.
+        A node that has just started may know the same order by a later version than the entry's.
+        The status of an order is written before any call is reserved for it, so an order without a
+        status is new.
         """
         if entry is None or not entry.same_order(self.order):
             return True
-        return entry.order < self.order.version and not self._begun()
+        return entry.order < self.order.version and not self._has_status()
 
-    def _begun(self) -> bool:
-        """Say whether the operator's object tells that the order runs."""
+    def _has_status(self) -> bool:
+        """Return True if the operator's object has a status of this order."""
         rollout = self._book.get(self.order.service)
-        return rollout is not None and rollout.written is not State.NONE
+        return rollout is not None and rollout.written_state is not State.NONE
 
-    async def _stand_by(self, place: int) -> float:
+    async def _step_as_standby(self, rank: int) -> float:
         await self._ledger.read()
         entry = self._ledger.entry
         if entry is not None and entry.state.ended and not self._is_new(entry):
-            return await self._heard_end(entry)
+            return await self._apply_end_by_other(entry)
         if entry is not None and entry.order > self.order.version and self._is_new(entry):
-            # The ledger is about an order that is not known here yet.
+            # The ledger is about an order that this node has not received yet.
             return POLL_SECONDS
-        left = self._patience(entry) + place * STEP_SECONDS - self._ledger.age
+        left = self._takeover_delay(entry) + rank * TAKEOVER_STAGGER_SECONDS - self._ledger.age
         if left <= 0:
             return await self._take_over(entry)
-        return min(left, POLL_SECONDS + place * POLL_STEP_SECONDS)
+        return min(left, POLL_SECONDS + rank * POLL_STAGGER_SECONDS)
 
-    def _patience(self, entry: Entry | None) -> float:
-        """Return for how long the ledger must stand still before it is taken over."""
-        if entry is None or entry.holder == self._fleet.own or self._is_new(entry):
+    def _takeover_delay(self, entry: Entry | None) -> float:
+        """Return for how many seconds the ledger must be unchanged before a takeover."""
+        if entry is None or entry.holder == self._fleet.node_id or self._is_new(entry):
             return 0.0
         return LEASE_SECONDS
 
     async def _take_over(self, entry: Entry | None) -> float:
         clock = self._kernel.clock
-        began = clock.monotonic()
+        write_started_at = clock.monotonic()
         new = self._is_new(entry)
-        await self._ledger.write(taken(entry, self.order, self._fleet.own, clock.wall(), new))
-        self.tenure = Tenure(
+        await self._ledger.write(
+            takeover_entry(entry, self.order, self._fleet.node_id, clock.wall(), new)
+        )
+        self.coordinator_term = CoordinatorTerm(
             self.order,
             self._ledger.entry,
-            began,
+            write_started_at,
             self._fleet,
             self._bounds,
             self._kernel,
-            self._judging,
+            self._judge,
         )
-        self._tell("took over" if not new else "began")
+        self._emit_event("took over" if not new else "began")
         if self._ticking is not None:
             self._ticking.cancel()
-        self._ticking = asyncio.ensure_future(self._tick_on())
+        self._ticking = asyncio.ensure_future(self._run_ticks())
         return 0.0
 
-    async def _lead(self) -> float:
-        tenure = self.tenure
-        if not self._may_lead():
-            self._step_back()
-            return LOOK_SECONDS
-        if self._lacks_status():
-            self._began_here = await self._status.write(self.order, State.RUNNING)
-            if not self._began_here:
-                # The store has another order, of which the book hears in a moment.
+    async def _step_as_leader(self) -> float:
+        coordinator_term = self.coordinator_term
+        if not self._can_lead():
+            self._step_down()
+            return CANDIDACY_CHECK_SECONDS
+        if self._needs_running_status():
+            self._wrote_running_status = await self._status.write(self.order, State.RUNNING)
+            if not self._wrote_running_status:
+                # The store has another order, which this node will receive in a moment.
                 return POLL_SECONDS
-        began = self._kernel.clock.monotonic()
-        await self._ledger.write(tenure.next_entry())
-        tenure.stored(self._ledger.entry, began)
-        self._show(tenure)
-        if tenure.entry.state.ended:
-            await self._carry_out(tenure.entry)
-        return RENEW_SECONDS_IN_SHIFT if tenure.stage >= Stage.SHIFT else RENEW_SECONDS
-
-    def _lacks_status(self) -> bool:
-        """Say whether it is to be written that the order runs, for the first time or again.
-
-        A store that came back from a copy may have lost it. Where the status of an earlier order
-        said the same, it was written and nothing changed.
+        write_started_at = self._kernel.clock.monotonic()
+        await self._ledger.write(coordinator_term.next_entry())
+        coordinator_term.record_write(self._ledger.entry, write_started_at)
+        self._update_metrics(coordinator_term)
+        if coordinator_term.entry.state.ended:
+            await self._apply_decision(coordinator_term.entry)
+        return (
+            SHIFT_RENEWAL_INTERVAL_SECONDS
+            if coordinator_term.stage >= Stage.SHIFT
+            else RENEWAL_INTERVAL_SECONDS
+        )
+
+    def _needs_running_status(self) -> bool:
+        """Return True if the running status has to be written, for the first time or again.
+
+        A store that was restored from a copy may have lost it. If an earlier order has left the
+        same status, writing it does not change the object, and it is not written again.
         """
         rollout = self._book.get(self.order.service)
-        if rollout is None or rollout.written is not State.NONE:
+        if rollout is None or rollout.written_state is not State.NONE:
             return False
-        return not self._began_here or rollout.stored > self.order.version
+        return not self._wrote_running_status or rollout.object_version > self.order.version
 
-    async def _carry_out(self, entry: Entry) -> None:
-        """Do what the ledger says was decided; the order then runs no more."""
+    async def _apply_decision(self, entry: Entry) -> None:
+        """Apply the decision in the ledger, which ends the order."""
         labels = {"service": self.order.service, "state": entry.state.name.lower()}
         self._kernel.metrics.rollout_ends.inc(labels)
-        self._book.decide(self.order, entry.state)
+        self._book.record_decision(self.order, entry.state)
         await self._status.write(self.order, entry.state)
 
-    async def _heard_end(self, entry: Entry) -> float:
-        """Tell what another holder decided, and write it where that one does not."""
-        self._book.decide(self.order, entry.state)
-        left = self._patience(entry) - self._ledger.age
+    async def _apply_end_by_other(self, entry: Entry) -> float:
+        """Apply the decision of another holder, and write the status if that node does not."""
+        self._book.record_decision(self.order, entry.state)
+        left = self._takeover_delay(entry) - self._ledger.age
         if left > 0:
             return left
         await self._status.write(self.order, entry.state)
         return POLL_SECONDS
 
-    def _show(self, tenure: Tenure) -> None:
+    def _update_metrics(self, coordinator_term: CoordinatorTerm) -> None:
         labels = {"service": self.order.service}
-        self._kernel.metrics.rollout_stage.set(labels, int(tenure.stage))
-        self._kernel.metrics.rollout_reserved.set(labels, tenure.entry.reserved)
+        self._kernel.metrics.rollout_stage.set(labels, int(coordinator_term.stage))
+        self._kernel.metrics.rollout_reserved.set(labels, coordinator_term.entry.reserved)
 
-    def _tell(self, detail: str) -> None:
-        entry = self.tenure.entry
+    def _emit_event(self, detail: str) -> None:
+        entry = self.coordinator_term.entry
         self._kernel.events.emit(
             Kind.ROLLOUT,
             f"coordinator {detail}",
@@ -307,12 +327,18 @@
         )
 
 
-def _is_own(entry: Entry, own: Entry) -> bool:
-    return (entry.holder, entry.term) == (own.holder, own.term) and entry.beat >= own.beat
+def _is_own(entry: Entry, own_entry: Entry) -> bool:
+    return (entry.holder, entry.term) == (
+        own_entry.holder,
+        own_entry.term,
+    ) and entry.beat >= own_entry.beat
+
 
+def _is_later(entry: Entry, own_entry: Entry) -> bool:
+    """Return True if another holder wrote ``entry`` after ``own_entry``.
 
-def _is_later(entry: Entry, own: Entry) -> bool:
-    """Say whether another holder wrote ``entry`` after ``own``; a restored one is earlier."""
-    if entry.holder == own.holder and entry.term == own.term:
+    An entry of a store that was restored from a copy is earlier.
+    """
+    if entry.holder == own_entry.holder and entry.term == own_entry.term:
         return False
-    return entry.term >= own.term
+    return entry.term >= own_entry.term
--- a/tests/rollouts/base.py
+++ b/tests/rollouts/base.py
@@ -1,4 +1,4 @@
-"""A store, a fleet and dispatchers that follow a script, for tests of rollouts."""
+"""A fake store, fleet and dispatcher for tests of rollouts."""
 
 import random
 import unittest
@@ -15,7 +15,7 @@
 from railsail.rollouts.book import RolloutBook
 from railsail.rollouts.bounds import ExposureBounds
 from railsail.rollouts.coordination import Coordination
-from railsail.rollouts.evidence import CLASSES
+from railsail.rollouts.evidence import BUCKETS
 from railsail.rollouts.fleet import Replica
 from railsail.rollouts.ledger import KIND as LEDGER
 from railsail.rollouts.verdict import Judgement, Verdict
@@ -30,14 +30,14 @@
 
 
 class FakeStore:
-    """Objects with one rising version, whose calls fail as a test wants."""
+    """A store with one increasing version for all objects, whose calls fail as a test requires."""
 
     def __init__(self) -> None:
         self.version = 0
         self.objects: dict[tuple[str, str], StoredObject] = {}
-        # Nodes that it turns away; nothing is done for them.
-        self.turned_away: set[str] = set()
-        # The next write is done, or held back, and not answered.
+        # Nodes whose calls are refused and have no effect.
+        self.refused_nodes: set[str] = set()
+        # Whether the next write gets no answer: it takes effect, or is held back until released.
         self.loses_answer = False
         self.holds_back = False
         self.held_back: list[Callable[[], None]] = []
@@ -52,34 +52,34 @@
         return self._write(kind, name, value, expected)
 
     async def put_status(self, kind: str, name: str, value: dict, expected: int) -> int:
-        held = self.objects[(kind, name)]
-        if held.version == expected and held.value.get("status") == value:
-            return held.version
-        return self._write(kind, name, {**held.value, "status": value}, expected)
+        current = self.objects[(kind, name)]
+        if current.version == expected and current.value.get("status") == value:
+            return current.version
+        return self._write(kind, name, {**current.value, "status": value}, expected)
 
     def _write(self, kind: str, name: str, value: dict, expected: int) -> int:
         if self.holds_back:
             self.holds_back = False
             self.held_back.append(lambda: self._write(kind, name, value, expected))
-            raise StoreUnavailable("no answer; it is done later")
-        held = self.objects.get((kind, name))
-        if (held.version if held else 0) != expected:
+            raise StoreUnavailable("no answer; the write takes effect later")
+        current = self.objects.get((kind, name))
+        if (current.version if current else 0) != expected:
             raise StoreConflict("another version")
         version = self.set(kind, name, value)
         self.writes += 1
         if self.loses_answer:
             self.loses_answer = False
-            raise StoreUnavailable("no answer; it was done")
+            raise StoreUnavailable("no answer; the write has taken effect")
         return version
 
     def set(self, kind: str, name: str, value: dict) -> int:
-        """Write as the operator does, on no condition."""
+        """Write without a condition, as the operator does."""
         self.version += 1
         self.objects[(kind, name)] = StoredObject(kind, name, self.version, value)
         return self.version
 
     def release(self) -> None:
-        """Do the writes that were held back, where their conditions still hold."""
+        """Let the writes that were held back take effect if their conditions still hold."""
         for write in self.held_back:
             try:
                 write()
@@ -88,9 +88,9 @@
         self.held_back.clear()
 
     def order(self, target: object = "v2", seconds: float = 20.0, service: str = SERVICE) -> int:
-        """Write an order; the status of the object stays."""
-        held = self.objects.get((ROLLOUT, service))
-        status = held.value.get("status", {}) if held else {}
+        """Write an order and keep the status of the object."""
+        current = self.objects.get((ROLLOUT, service))
+        status = current.value.get("status", {}) if current else {}
         spec = {"service": service, "target_version": target, "duration": seconds}
         return self.set(ROLLOUT, service, spec | {"status": status})
 
@@ -106,7 +106,7 @@
 
 
 class NodeStore:
-    """The store as one node reaches it."""
+    """The store as seen by one node."""
 
     def __init__(self, store: FakeStore, node: str) -> None:
         self._store = store
@@ -116,8 +116,8 @@
         call = getattr(self._store, name)
 
         async def checked(*args: object) -> object:
-            if self._node in self._store.turned_away:
-                raise StoreUnavailable("turned away")
+            if self._node in self._store.refused_nodes:
+                raise StoreUnavailable("refused")
             return await call(*args)
 
         return checked
@@ -126,13 +126,13 @@
 class FakeFleet:
     """A node's view of a fleet with one cell, whose dispatcher is node ``d``."""
 
-    def __init__(self, own: str, nodes: list[str]) -> None:
-        self.own = own
+    def __init__(self, node_id: str, nodes: list[str]) -> None:
+        self.node_id = node_id
         self.nodes = nodes
         self.sent: list[RolloutAllowance] = []
         self.cells = {0: "d"}
-        # What tells the dispatcher's process from earlier ones.
-        self.process = 1
+        # The start id of the dispatcher's process.
+        self.dispatcher_start_id = 1
         versions = {"old": "v1", "new": "v2"}
         self.all = [
             Replica(f"{w}-{n}", 0, versions[w], 8, True) for n in range(4) for w in versions
@@ -145,7 +145,7 @@
         return self.cells
 
     def start_id(self, node: str) -> int:
-        return self.process
+        return self.dispatcher_start_id
 
     def replicas(self, service: str) -> list[Replica]:
         return self.all
@@ -165,7 +165,7 @@
 
 
 class FakeNode:
-    """A node that may coordinate the rollout; ``verdict`` is what it makes of the evidence."""
+    """A node that may coordinate the rollout; ``verdict`` replaces its test of the evidence."""
 
     def __init__(self, name: str, names: list[str], store: FakeStore, clock: ManualClock) -> None:
         self.name = name
@@ -176,10 +176,10 @@
         self.flooded: list = []
         self.book = new_book(clock, self.flooded)
         self.read()
-        self.begin()
+        self.start_coordination()
 
-    def begin(self) -> None:
-        """Begin to coordinate the order that runs, as a process that starts does."""
+    def start_coordination(self) -> None:
+        """Start to coordinate the running order, as a process does when it starts."""
         self.coordination = Coordination(
             self.book.running(SERVICE),
             self.book,
@@ -194,17 +194,17 @@
         self.book.listed(self.store.listing())
 
     async def step(self) -> float | None:
-        """Do what is due; return ``None`` where the store failed."""
+        """Make the store calls that are due; return ``None`` if the store failed."""
         try:
             return await self.coordination.step()
         except (StoreConflict, StoreUnavailable):
-            self.coordination._ledger.unsure = True
+            self.coordination._ledger.needs_read = True
             return None
 
     @property
     def leads(self) -> bool:
-        tenure = self.coordination.tenure
-        return tenure is not None and tenure.leads()
+        coordinator_term = self.coordination.coordinator_term
+        return coordinator_term is not None and coordinator_term.holds_lease()
 
     @property
     def allowed(self) -> RolloutAllowance:
@@ -223,7 +223,7 @@
 
 
 def tally(route: int, version: str, replica: str, answers: int, failed: int = 0) -> TallyRecord:
-    times = [0] * CLASSES
+    times = [0] * BUCKETS
     return TallyRecord(route, version, replica, answers, failed, times, times)
 
 
@@ -241,31 +241,31 @@
         self.store = FakeStore()
         self.version = self.store.order()
         self.nodes = [FakeNode(name, NAMES, self.store, self.clock) for name in NAMES]
-        # What the dispatcher has granted and sent to the target since it started.
+        # The calls that the dispatcher has granted, and by term those sent to the target.
         self.arrivals = 0.0
         self.exposed: dict[int, int] = {}
         self.running = 0
         self.start = 1
 
     async def pass_time(self, seconds: float, nodes: list[FakeNode] | None = None) -> None:
-        """Let ``nodes`` work; the dispatcher sends the target all that it may."""
+        """Advance the time and let ``nodes`` work; the target receives all calls that it may."""
         for _ in range(round(seconds / STEP)):
             self.clock.advance(STEP)
             self.arrivals += RATE * STEP
             for node in self.nodes if nodes is None else nodes:
-                if node.book.running(SERVICE) is not None and node.coordination._still_ordered():
+                if node.book.running(SERVICE) is not None and node.coordination._is_still_ordered():
                     await node.step()
                     node.coordination.tick()
                 self.answer(node)
 
     def answer(self, node: FakeNode) -> None:
-        """Be the dispatcher: use what the last allowance of ``node`` allows, and tell it."""
+        """Act as the dispatcher: use the last allowance of ``node``, and send evidence to it."""
         if not node.fleet.sent:
             return
         term = node.allowed.term
         before = self.exposed.get(term, 0)
         self.exposed[term] = max(before, min(node.allowed.calls, before + round(RATE * STEP)))
-        told = evidence(
+        answer = evidence(
             int(self.arrivals),
             self.exposed[term],
             self.running,
@@ -273,7 +273,7 @@
             term,
             node.allowed.version,
         )
-        node.coordination.received("d", told)
+        node.coordination.received("d", answer)
 
     @property
     def used(self) -> int:
@@ -283,7 +283,7 @@
         (leader,) = [node for node in self.nodes if node.leads]
         return leader
 
-    async def begin(self) -> FakeNode:
+    async def start_rollout(self) -> FakeNode:
         await self.pass_time(1.0)
         return self.leader()
 
