--- a/railsail/routing/__init__.py
+++ b/railsail/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routes: requests that are passed on to replicas as callers sent them."""
+"""Routes: requests that are forwarded to replicas as callers sent them."""
--- a/railsail/routing/answer.py
+++ b/railsail/routing/answer.py
@@ -1,4 +1,4 @@
-"""What comes back from a replica: held until it is whole, or passed on event by event."""
+"""Receive a replica's answer: buffer it until it is complete, or forward it event by event."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,11 +15,11 @@
 
 
 class AnswerRefused(RailsailError):
-    """The answer cannot be passed on, or goes on where it must not."""
+    """The replica's answer is not valid and must not be forwarded to the caller."""
 
 
 class StreamState:
-    """What of a stream has reached the caller, over all replicas that made a part of it."""
+    """What the caller has received of an event stream, from all replicas that sent a part of it."""
 
     def __init__(self, client: ClientAnswer, last_event: str) -> None:
         self.client = client
@@ -27,7 +27,10 @@
         self.last_event = last_event
 
     async def pass_on(self, head: AnswerHead, events: list[StreamEvent]) -> None:
-        """Pass whole events on to the caller; the first ones go with the head."""
+        """Send whole events to the caller, the first ones together with the head of the answer.
+
+        Raise ``AnswerRefused`` if the number of an event is not above that of the event before it.
+        """
         fresh = self._fresh(events)
         if not fresh:
             return
@@ -56,9 +59,9 @@
 class ReplicaAnswer:
     """Receive one answer of one replica.
 
-    An event stream is passed on as whole events, so that a stream that breaks within one can go on
-    at another replica. Any other answer is held until it is whole. ``begun`` is called when the
-    body of a success begins.
+    An event stream is forwarded in whole events, so that another replica can resume a stream that
+    breaks within an event. Any other answer is buffered until it is complete. ``begun`` is called
+    for each piece of the body of a successful answer.
     """
 
     def __init__(
@@ -82,7 +85,11 @@
         self.progressed_at = asyncio.get_running_loop().time()
 
     async def head(self, status: int, headers: HTTPHeaders) -> None:
-        """Take status and headers; raise ``AnswerRefused`` if they answer another request."""
+        """Check the status and headers.
+
+        Raise ``AnswerRefused`` if the answer has the id of another request, or if it is a success
+        without a signature.
+        """
         head = self._protocol.read_answer(status, headers)
         if head.request_id and head.request_id != self._request.id:
             raise AnswerRefused("the answer bears another request's id")
@@ -93,7 +100,10 @@
         self._progressed()
 
     async def data(self, chunk: bytes) -> None:
-        """Take a piece of the body."""
+        """Forward or buffer a piece of the body.
+
+        Raise ``AnswerRefused`` if an event is out of order, or if a buffered answer is too long.
+        """
         if self.answered is not None and self.answered.success:
             self._begun()
         self._progressed()
@@ -107,11 +117,11 @@
         self._held.append(chunk)
 
     def body(self) -> bytes:
-        """Return a body that was held."""
+        """Return the buffered body."""
         return b"".join(self._held)
 
     def rest(self) -> bytes:
-        """Return what came after the last whole event."""
+        """Return the bytes that follow the last whole event."""
         return self._splitter.rest
 
     def _progressed(self) -> None:
--- a/railsail/routing/budget.py
+++ b/railsail/routing/budget.py
@@ -1,25 +1,25 @@
-"""The budget of repeats that the whole fleet keeps to, without a message about it.
-
-A repeat is any call of a request beyond its first. The fleet may make ``ratio`` repeats for each
-request of a pool plus ``slack`` within any window. Each daemon keeps to the ratio on its own
-requests and to an even share of the slack, so that the sum over all daemons keeps to the whole.
-A daemon that has just started does not know what its past self spent, and has no share of the
-slack until a window has passed. Nothing rests on who can be reached at the moment: the share is
-divided by all members known, those that are gone included.
+"""A retry budget for the whole fleet that needs no messages between nodes.
+
+A retry is any call of a request after its first. For each pool, the fleet may make ``ratio``
+retries per request plus ``slack`` retries in any window. Each daemon applies the ratio to its own
+requests and takes an equal share of the slack, so that the sum over all daemons stays within the
+bound. A daemon that has just started does not know what its previous process spent, and has no
+share of the slack until one window has passed. The share does not depend on which nodes can be
+reached: the slack is divided by the number of all known members, including dead ones.
 """
 
 from collections import deque
 
 import msgspec
 
-# Arrivals at replicas are counted there, a little later than they are counted here.
+# Factor on the window: replicas count a call a little later than this daemon does.
 WINDOW_MARGIN = 1.1
-# Members that are not known yet may have a share as well.
+# Factor on what this daemon may spend: members that it does not know yet may have a share as well.
 SHARE_MARGIN = 0.8
 
 
 class RetryBounds(msgspec.Struct, frozen=True):
-    """Repeats allowed in ``window`` seconds: ``ratio`` for each request, and ``slack``."""
+    """The bound on retries: ``ratio`` per request plus ``slack``, in any ``window`` seconds."""
 
     ratio: float
     slack: float
@@ -27,7 +27,10 @@
 
 
 class RetryBudget:
-    """This daemon's part of the budget of one pool; times are seconds of a monotonic clock."""
+    """This daemon's part of the retry budget of one pool.
+
+    Times are in seconds of a monotonic clock.
+    """
 
     def __init__(self, bounds: RetryBounds, started_at: float) -> None:
         self._bounds = bounds
@@ -35,16 +38,19 @@
         self._started_at = started_at
         self._requests: deque[float] = deque()
         self._repeats: deque[float] = deque()
-        # How many more repeats were allowed when one was asked for last.
+        # Retries that were left when ``allow`` was called last, before it counted one.
         self.left = 0
 
     def request(self, now: float) -> None:
-        """Take note of a request of a caller."""
+        """Record a request of a caller."""
         self._requests.append(now)
         _drop_before(self._requests, now - self._bounds.window)
 
     def allow(self, now: float, members: int) -> bool:
-        """Say whether a repeat may be made now, in a fleet of ``members``, and count it if so."""
+        """Return True and count a retry if the budget allows one now.
+
+        ``members`` is the number of nodes in the fleet.
+        """
         _drop_before(self._requests, now - self._bounds.window)
         _drop_before(self._repeats, now - self._window)
         allowed = self._bounds.ratio * len(self._requests) * SHARE_MARGIN
--- a/railsail/routing/client.py
+++ b/railsail/routing/client.py
@@ -1,4 +1,4 @@
-"""The callers' side of routes: connections, requests as they come, answers as they are given."""
+"""The HTTP server for callers of routes: connections, requests and answers."""
 
 import asyncio
 import math
@@ -20,16 +20,17 @@
 from railsail.core.sockets import detect_dead_peer
 from railsail.core.tasks import TaskSet
 
-# The part of the files that a process may open that connections of callers may take. A node that
-# had none left could neither accept nor call: one that refused 500 requests a second came to its
-# 4,100 within eight seconds, since callers keep the connections of refused requests.
+# Share of the process's file descriptors that callers' connections may take. Without free
+# descriptors a node can neither accept nor open connections. A node that refused 500 requests a
+# second used up its 4,100 descriptors within eight seconds, since callers keep their connections
+# open after a refusal.
 CALLERS_SHARE = 0.25
 
 
 def most_connections(open_files: int) -> float:
-    """Return how many callers' connections may be open before callers are asked to close theirs.
+    """Return how many callers' connections may be open before callers are asked to close them.
 
-    ``open_files`` are the files that the process may open, 0 to ask the system.
+    ``open_files`` is the number of files that the process may open, 0 to ask the operating system.
     """
     allowed = open_files or resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     return math.inf if allowed == resource.RLIM_INFINITY else CALLERS_SHARE * allowed
@@ -40,7 +41,10 @@
 
 
 class ClientAnswer:
-    """The answer to one request; ``closing`` says whether its connection is closed after it."""
+    """The answer to one request.
+
+    ``closing`` returns whether the connection is to be closed after the answer.
+    """
 
     def __init__(self, connection: HTTP1Connection, closing: Callable[[], bool]) -> None:
         self.started = False
@@ -48,9 +52,9 @@
         self._closing = closing
 
     async def begin(self, status: int, headers: HTTPHeaders, chunk: bytes) -> None:
-        """Send status, headers and the first ``chunk`` of a body.
+        """Send the status, the headers and the first ``chunk`` of the body.
 
-        Without a ``Content-Length`` the body goes on until ``end``.
+        Without a ``Content-Length`` header the body continues until ``end`` is called.
         """
         self.started = True
         if self._closing():
@@ -62,14 +66,17 @@
             raise ClientLeft from None
 
     async def write(self, chunk: bytes) -> None:
-        """Send a piece of the body; return when the caller's connection took it."""
+        """Send a piece of the body, and wait until the caller's connection has accepted it."""
         try:
             await self._connection.write(chunk)
         except StreamClosedError:
             raise ClientLeft from None
 
     async def pass_on(self, data: bytes) -> None:
-        """Send bytes of an answer that another node has framed; ``close`` ends it."""
+        """Send raw bytes of an answer that another node has framed.
+
+        Such an answer is ended by ``close``.
+        """
         self.started = True
         try:
             await self._connection.stream.write(data)
@@ -81,15 +88,15 @@
         self._connection.close()
 
     def end(self) -> None:
-        """End the body as a whole one."""
+        """End a complete body."""
         self._connection.finish()
 
     def abort(self) -> None:
-        """Close the connection, so that what was sent cannot be taken for a whole answer."""
+        """Close the connection, so that no caller takes a partial answer for a complete one."""
         self._connection.close()
 
     async def give(self, status: int, headers: HTTPHeaders, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         headers["Content-Length"] = str(len(body))
         await self.begin(status, headers, body)
         self.end()
@@ -99,9 +106,10 @@
 
 
 class ClientServer(HTTPServerConnectionDelegate):
-    """Accept connections of callers, and hand their requests to ``handler``.
+    """Accept connections of callers, and pass their requests to ``handler``.
 
-    While there are more than ``most_connections``, each answer asks its caller to close its own.
+    While more than ``most_connections`` are open, each answer asks its caller to close its
+    connection.
     """
 
     def __init__(self, handler: Handler, most_connections: float = math.inf) -> None:
@@ -114,48 +122,48 @@
         self._closes_idle = False
 
     def start_request(self, server_conn: object, request_conn: HTTP1Connection) -> "_Message":
-        """Make ready for the next request of a connection."""
+        """Return the delegate that receives the next request of a connection."""
         if self._closes_idle:
             request_conn.close()
             return _Message(self, server_conn, request_conn)
         if server_conn not in self._connections:
             self._connections.add(server_conn)
             detect_dead_peer(request_conn.stream.socket)
-        # The library turns it off again after each answer.
+        # Tornado disables TCP_NODELAY again after each answer.
         request_conn.stream.set_nodelay(True)
         self._idle[server_conn] = request_conn
         return _Message(self, server_conn, request_conn)
 
     def on_close(self, server_conn: object) -> None:
-        """Forget a connection that has ended."""
+        """Remove a closed connection."""
         self._connections.discard(server_conn)
         self._idle.pop(server_conn, None)
 
     def leave(self) -> None:
-        """Tell callers with each answer from now on to close their connection."""
+        """From now on, ask callers in each answer to close their connections."""
         self._leaving = True
 
     def close_idle(self) -> None:
-        """Close connections from now on while no request is being read or answered on them."""
+        """From now on, close each connection while no request is being read or answered on it."""
         self._closes_idle = True
         for connection in list(self._idle.values()):
-            # The head of a request may have been read in this turn of the loop already; it is
-            # handed over in the next one, and must be answered.
+            # The head of a request may already have been read in this iteration of the event loop.
+            # Tornado delivers it in the next one, and it has to be answered.
             if connection.stream.reading():
                 connection.close()
 
     @property
     def busy(self) -> int:
-        """Return how many requests were read and are not answered yet.
+        """Return the number of requests that were read and are not answered yet.
 
-        Those whose head was read in this turn of the loop count too.
+        This includes requests whose head was read in this iteration of the event loop.
         """
         idle = [connection.stream for connection in self._idle.values()]
         read = [stream for stream in idle if not (stream.reading() or stream.closed())]
         return len(self._tasks) + len(read)
 
     def began(self, server_conn: object) -> None:
-        """Take note that a request has begun to come."""
+        """Record that a request has started to arrive on a connection."""
         self._idle.pop(server_conn, None)
 
     def _closing(self) -> bool:
@@ -164,13 +172,13 @@
     def received(
         self, line: RequestStartLine, headers: HTTPHeaders, body: bytes, connection: HTTP1Connection
     ) -> asyncio.Task:
-        """Serve a request that was read whole, and return the task that does."""
+        """Handle a request that was read completely, and return the task that does so."""
         answer = ClientAnswer(connection, self._closing)
         return self._tasks.start(self._handler(line, headers, body, answer))
 
 
 class _Message(HTTPMessageDelegate):
-    """One request; its task ends when the caller leaves."""
+    """Receives one request; its task is cancelled when the caller disconnects."""
 
     def __init__(
         self, server: ClientServer, server_conn: object, connection: HTTP1Connection
--- a/railsail/routing/crowding.py
+++ b/railsail/routing/crowding.py
@@ -1,7 +1,7 @@
-"""Tell the log what a full node does with the requests of a workspace that crowds it.
+"""Log what an overloaded node does with the requests of workspaces that overload it.
 
-A line for each would take the time that is missing, so that one a second tells of all since the
-last one.
+A log line per request would take processor time that an overloaded node lacks, so one line a second
+counts all requests since the line before.
 """
 
 import math
@@ -10,12 +10,12 @@
 from railsail.core.events import Kind
 from railsail.core.kernel import Kernel
 
-# Seconds between two lines.
+# Minimum time between two log lines.
 TELL_SECONDS = 1.0
 
 
 class OverloadLog:
-    """Count the requests that a full node did not serve itself, and tell of them each second."""
+    """Count the requests that an overloaded node did not serve itself, and log the counts."""
 
     def __init__(self, kernel: Kernel) -> None:
         self._clock = kernel.clock
@@ -24,17 +24,17 @@
         self._counts: Counter[str] = Counter()
 
     def forwarded(self) -> None:
-        """Take note of a request that another node answered."""
+        """Count a request that another node answered."""
         self._counts["forwarded_since"] += 1
 
     def refused(
         self, request_id: str, workspace: str, came_back: bool, held: int, limit: float
     ) -> None:
-        """Take note of a request that was refused as not run.
+        """Count a request that was refused as not run, and log the counts if a line is due.
 
-        ``came_back`` says that this node had refused it before: callers that come back to the node
-        that refused them are not helped by other nodes. The node held ``held`` requests, of at most
-        ``limit``.
+        ``came_back`` is true if this node has refused the request before: free capacity at other
+        nodes does not help callers that retry at the node that refused them. The node holds
+        ``held`` requests, of at most ``limit``.
         """
         self._counts["requests_since"] += 1
         self._counts["came_back_since"] += came_back
--- a/railsail/routing/defaults.py
+++ b/railsail/routing/defaults.py
@@ -1,11 +1,11 @@
-"""The policy and the class of workspaces that are configured without their own."""
+"""The policy and the priority class of workspaces that are configured without their own."""
 
 from railsail.objects.kinds import Policy, PriorityClass
 
 DEFAULT_CLASS = PriorityClass(name="standard")
 
-# A request waits for a place for a fifth of its objective at most: one that is refused by then can
-# still be served in time when its caller comes back.
+# A request waits for a replica for at most a fifth of its objective: if it is refused by then, its
+# caller can retry and still be served in time.
 DEFAULT_POLICY = Policy(
     name="routed",
     rank="-double(request.priority)",
--- a/railsail/routing/endings.py
+++ b/railsail/routing/endings.py
@@ -1,4 +1,4 @@
-"""Tell the metrics and the time line how a routed request ended, and what decided it."""
+"""Record the outcome of routed requests in the metrics and on the time line."""
 
 from railsail.core.events import Fact, Kind
 from railsail.core.kernel import Kernel
@@ -7,19 +7,19 @@
 
 
 class Endings:
-    """Record the ends of requests; a late or failed one is notable."""
+    """Record how requests ended; late and failed ones are marked as notable."""
 
     def __init__(self, kernel: Kernel) -> None:
         self._events = kernel.events
         self._metrics = kernel.metrics
 
     def left(self, request_id: str, seconds: float) -> None:
-        """Record that the caller left ``seconds`` after its request came."""
+        """Record that the caller disconnected ``seconds`` after its request arrived."""
         total_ms = round(seconds * 1000)
         self._events.emit(Kind.ENDED, "the caller left", request_id, total_ms=total_ms)
 
     def unknown(self, request_id: str, outcome: Unknown, seconds: float) -> None:
-        """Record that another node, which was handed a request, did not tell its outcome."""
+        """Record that the node to which a request was forwarded did not report its outcome."""
         self._events.emit(
             Kind.ENDED,
             outcome.detail,
@@ -39,8 +39,8 @@
     ) -> None:
         """Record an ``outcome`` after ``seconds``.
 
-        ``routed`` is ``None`` where the request was refused before it asked for a replica;
-        ``status`` is what the caller got, 0 where its connection was closed instead.
+        ``routed`` is ``None`` if the request was refused before a replica was requested for it.
+        ``status`` is the status that the caller received, 0 if its connection was closed instead.
         """
         word = type(outcome).__name__.lower()
         facts: dict[str, Fact] = {"outcome": word, "total_ms": round(seconds * 1000)}
--- a/railsail/routing/forwarding.py
+++ b/railsail/routing/forwarding.py
@@ -1,12 +1,13 @@
-"""Hand requests that this node has no time for on to other nodes, and their answers back.
+"""Forward requests that this node has no time for to other nodes, and return their answers.
 
-Callers of one workspace may all reach one node, whose time would then bound what the workspace gets
-of the whole fleet. To hand a request on costs a node a fraction of serving it: the answer is passed
-back as it comes, without a look into it. The other node serves the request as any of its own, asks
-the same dispatchers, and refuses it where there is no room.
+All callers of a workspace may reach the same node, whose processor time would then limit what the
+workspace gets of the whole fleet. Forwarding a request costs a node a fraction of serving it, since
+the answer is copied to the caller without being parsed. The other node serves the request like one
+of its own: it sends a ticket to the same dispatchers, and refuses the request if there is no
+capacity.
 
-A request is sent to one other node at most. Once it was sent, only what that node says of it
-counts: if it says nothing, the outcome is unknown.
+A request is sent to at most one other node. Once it was sent, only the answer of that node counts:
+if there is none, the outcome is unknown.
 """
 
 import asyncio
@@ -30,23 +31,23 @@
 from railsail.routing.client import ClientAnswer
 from railsail.routing.targets import ForwardTargets
 
-# Nodes of a fleet reach each other within a few milliseconds; one that takes longer than this, in
-# seconds, is gone or has no time either.
+# Nodes of a fleet reach each other within a few milliseconds. One that takes longer than this to
+# accept a connection is gone, or has no time either.
 CONNECT_SECONDS = 0.25
-# Nodes that are tried one after the other until one can be connected to.
+# Nodes that are tried, one after the other, until one accepts a connection.
 MOST_TARGETS = 2
-# The other node gives the final answer at the deadline; this node waits so many seconds longer.
+# The other node sends its final answer by the deadline; this node waits this much longer for it.
 GRACE_SECONDS = 0.2
-# Bytes of an answer that are passed back at once.
+# Maximum size of a piece of an answer that is copied at once.
 CHUNK_BYTES = 64 << 10
 MOST_STATUS_LINE_BYTES = 1024
 
 
 class Forwarded(msgspec.Struct, frozen=True):
-    """A request as it is handed on: its first line, headers and body.
+    """A request to forward: its request line, headers and body.
 
-    ``ends_at`` is when its final answer is due, in seconds of the monotonic clock. It runs in one
-    of ``regions``, in any where none are named.
+    ``ends_at`` is when its final answer is due, in seconds of the monotonic clock. It may run only
+    in ``regions``, or in any region if there are none.
     """
 
     line: RequestStartLine
@@ -57,7 +58,7 @@
 
 
 class Forwarder:
-    """Hand requests on, as many at once as ``limit`` allows."""
+    """Forward requests to other nodes, as many at a time as ``limit`` allows."""
 
     def __init__(self, targets: ForwardTargets, limit: ConcurrencyLimit, kernel: Kernel) -> None:
         self._targets = targets
@@ -66,7 +67,10 @@
         self.total = 0
 
     async def forward(self, request: Forwarded, client: ClientAnswer) -> Completed | Unknown | None:
-        """Have another node answer ``request``; ``None`` says that none was sent it."""
+        """Have another node answer ``request``, and return the outcome.
+
+        Return ``None`` if the request was sent to no node.
+        """
         if self._limit.full(self.total) or not self._targets.may_be_sent(request.regions):
             return None
         self.total += 1
@@ -92,7 +96,7 @@
         try:
             return await open_stream(ip, target.forward_port, CONNECT_SECONDS)
         except CannotConnect:
-            # Its neighbours tell the fleet, and the log, when a node is gone.
+            # Its neighbours report to the fleet, and log, that a node is gone.
             self._targets.failed(target.node, self._clock.monotonic())
             return None
 
@@ -120,8 +124,9 @@
 
 def _send(stream: IOStream, request: Forwarded) -> None:
     headers = request.headers.copy()
-    # The connection is for one request: its end shows where an answer ends without a look into it,
-    # and the caller is told by the other node to send no further request on its own connection.
+    # The connection carries a single request, so that its end marks the end of the answer and
+    # nothing has to be parsed to find it. The other node answers with ``Connection: close`` too, so
+    # that the caller sends no further request on its own connection.
     headers["Connection"] = "close"
     headers["Content-Length"] = str(len(request.body))
     connection = HTTP1Connection(stream, is_client=True)
@@ -129,7 +134,7 @@
 
 
 async def _pass_back(stream: IOStream, client: ClientAnswer) -> int:
-    """Pass on all that comes, and return the status of the answer, 0 if none came."""
+    """Copy all that arrives to the caller, and return the status of the answer, 0 if none came."""
     status = 0
     try:
         line = await stream.read_until(b"\r\n", max_bytes=MOST_STATUS_LINE_BYTES)
--- a/railsail/routing/front.py
+++ b/railsail/routing/front.py
@@ -1,4 +1,4 @@
-"""Serve the requests of callers of routes: find the route, check the key, relay, answer."""
+"""Serve callers' requests on routes: find the route, check the key, call a replica, answer."""
 
 import asyncio
 import random
@@ -30,12 +30,12 @@
 from railsail.routing.relief import Relief
 from railsail.routing.table import RouteTable, choose_pool
 
-# The name of no region: requests that may run in it alone may run nowhere.
+# The name of no region: a request that is restricted to it can run nowhere.
 NO_REGION = "-"
 
 
 class RouteFront:
-    """Hold the routes in force, and serve requests by them."""
+    """Serve requests by the routes of the active configuration."""
 
     def __init__(
         self,
@@ -78,7 +78,7 @@
         return self._configuration.catalog
 
     def configured(self, catalog: Catalog) -> None:
-        """Take in the routes of a new version."""
+        """Replace the routes by those of a new version of the configuration."""
         self._routes = RouteTable(catalog.of_kind(Route))
 
     def _find_route(self, host: str, path: str) -> Route | None:
@@ -95,7 +95,7 @@
     async def handle_forwarded(
         self, line: RequestStartLine, headers: HTTPHeaders, body: bytes, client: ClientAnswer
     ) -> None:
-        """Serve one request that another node handed on; it is not handed on again."""
+        """Serve one request that another node has forwarded; it is not forwarded again."""
         arrival = Arrival(line, headers, body, self._clock.monotonic())
         if not await self._relief.relieved(arrival, client, may_forward=False):
             await self._serve_here(arrival, client)
@@ -129,8 +129,8 @@
         except ClientLeft:
             raise
         except Exception:
-            # Without an answer its caller would wait until its deadline, at one node after another.
-            get_logger().exception("request failed here", request=request.id)
+            # Without an answer the caller would wait until its deadline, at one node after another.
+            get_logger().exception("failed to serve a request", request=request.id)
             return Unknown("this node failed while it served the request"), None
 
     async def _serve(
@@ -212,11 +212,14 @@
         )
 
     def _regions(self, route: Route, workspace: str) -> tuple[str, ...]:
-        """Return where a request may run, nothing for anywhere; both have to allow it."""
+        """Return the regions in which a request may run, empty for any region.
+
+        If both the route and the workspace name regions, both have to allow a region.
+        """
         of_owner = self._catalog.regions_of(workspace)
         if not (route.regions and of_owner):
             return route.regions or of_owner
-        # A region that nobody has lets the request run nowhere.
+        # If they have no region in common, the request can run nowhere.
         return tuple(r for r in route.regions if r in of_owner) or (NO_REGION,)
 
     def _verdict(self, request: RoutedRequest, route: Route, pool: Pool, workspace: str) -> Verdict:
--- a/railsail/routing/messages.py
+++ b/railsail/routing/messages.py
@@ -1,4 +1,4 @@
-"""What the parts of the routed path tell each other of requests and answers."""
+"""Data structures that the modules of this package exchange about requests and answers."""
 
 from collections.abc import Sequence
 
@@ -9,18 +9,18 @@
 
 
 class PromptPart(msgspec.Struct, frozen=True):
-    """A part of a prompt; parts with the same ``digest`` are the same tokens."""
+    """A part of a prompt; parts with the same ``digest`` consist of the same tokens."""
 
     digest: int
     tokens: int
 
 
 class Prompt(msgspec.Struct, frozen=True):
-    """What a request tells of the tokens that it needs.
+    """What a request says about its tokens.
 
-    ``tokens`` are those of the prompt, ``most_output`` bounds those to be made and
-    ``expected_output`` is the caller's guess of them; all 0 where the request told nothing.
-    ``parts`` are in order; the last one belongs to the request or to its session.
+    ``tokens`` is the length of the prompt, ``most_output`` the maximum number of tokens to generate
+    and ``expected_output`` the caller's estimate of that number; all are 0 if the request does not
+    say. ``parts`` are in order; the last one belongs to this request or its session alone.
     """
 
     tokens: int = 0
@@ -30,24 +30,24 @@
 
     @property
     def affinity_key(self) -> int:
-        """Return the digest of the longest beginning that other requests share, or 0."""
+        """Return the digest of the longest prompt prefix that other requests share, or 0."""
         if not self.parts:
             return 0
         return self.parts[-2 if len(self.parts) > 1 else 0].digest
 
     @property
     def shared_tokens(self) -> int:
-        """Return the tokens of the beginning that ``affinity_key`` names."""
+        """Return the number of tokens in the prompt prefix that other requests share."""
         return sum(part.tokens for part in self.parts[:-1])
 
 
 class RoutedRequest(msgspec.Struct, frozen=True):
-    """One request as it came, read but not changed.
+    """One request as it arrived, parsed but not changed.
 
-    ``target`` is path and query as sent, ``path`` the path alone. ``headers`` are those that are
-    passed on. ``key`` is the caller's bearer key, empty for none. ``deadline`` is in seconds from
-    the request's arrival, 0 for none. ``last_event`` is the id of the event after which a stream
-    that broke off is to go on, empty for a stream from its start.
+    ``target`` is the path with the query as sent, ``path`` the path alone. ``headers`` are those to
+    forward. ``key`` is the caller's bearer key, empty for none. ``deadline`` is in seconds from the
+    request's arrival, 0 for none. ``last_event`` is the id of the event after which an interrupted
+    stream is to be resumed, empty for a stream from its start.
     """
 
     id: str
@@ -64,7 +64,7 @@
 
 
 class Arrival(msgspec.Struct, frozen=True):
-    """A request as it came; ``at`` is when, in seconds of the monotonic clock."""
+    """A request as it arrived; ``at`` is its time of arrival in seconds of the monotonic clock."""
 
     line: RequestStartLine
     headers: HTTPHeaders
@@ -78,7 +78,7 @@
 
 
 class Origin(msgspec.Struct, frozen=True):
-    """What tells who sent a request, and to which route.
+    """Who sent a request, and to which route.
 
     ``key`` is the caller's bearer key, empty for none. ``deadline`` is in seconds from the
     request's arrival, 0 for none.
@@ -93,7 +93,7 @@
 class Dispatch(msgspec.Struct, frozen=True):
     """What is added to a request when it is sent to ``replica``.
 
-    ``workspace`` is empty for requests that belong to none; ``seconds`` are left to answer it.
+    ``workspace`` is empty for requests without a workspace. ``seconds`` is the time left to answer.
     """
 
     replica: str
@@ -103,13 +103,13 @@
 
 
 class AnswerHead(msgspec.Struct, frozen=True):
-    """Status and headers of a replica's answer.
+    """The status and headers of a replica's answer.
 
-    ``headers`` are those that are passed on. ``not_run`` says that the replica did not run the
-    request, ``misdirected`` that another replica has the address now. ``request_id`` names the
-    request that is answered, empty where the replica named none. ``signed`` says that the answer
-    bears the replica's signature, ``asks_rest`` that the replica turned the request away and named
-    a time to stay away.
+    ``headers`` are those to forward. ``not_run`` is true if the replica did not run the request,
+    ``misdirected`` if another replica has the address now. ``request_id`` is the id of the request
+    that is answered, empty if the replica sent none. ``signed`` is true if the answer has the
+    replica's signature, ``asks_rest`` if the replica turned the request away and named a time of
+    backoff.
     """
 
     status: int
@@ -122,11 +122,11 @@
 
     @property
     def success(self) -> bool:
-        """Say whether the status is that of a success."""
+        """Return True if the status is that of a success."""
         return 200 <= self.status < 300
 
     @property
     def event_stream(self) -> bool:
-        """Say whether the body is a series of events."""
+        """Return True if the body is an event stream."""
         kind = self.headers.get("Content-Type", "").partition(";")[0]
         return kind.strip().lower() == EVENT_STREAM
--- a/railsail/routing/protocol.py
+++ b/railsail/routing/protocol.py
@@ -1,6 +1,7 @@
-"""The typed interface to what callers and replicas of routes speak; one plug-in each.
+"""The interface to the headers that callers and replicas of routes use; plug-ins implement it.
 
-A plug-in holds names and formats. What they mean for a request is decided by the routed path.
+A plug-in knows the names and formats. What they mean for a request is decided by the other modules
+of this package.
 """
 
 from typing import Protocol
@@ -18,34 +19,38 @@
     def read_request(
         self, method: str, target: str, headers: HTTPHeaders, body: bytes
     ) -> RoutedRequest:
-        """Return the request; raise ``ValueError`` with what is wrong."""
+        """Return the parsed request; raise ``ValueError`` with what is wrong."""
 
     def read_origin(self, headers: HTTPHeaders) -> Origin:
-        """Return who sent a request, without reading the rest of it."""
+        """Return who sent a request, without parsing the rest of it."""
 
     def forward_headers(self, headers: HTTPHeaders, spent: float) -> HTTPHeaders:
-        """Return the headers with which a request is handed on to another node.
+        """Return the headers for forwarding a request to another node.
 
-        ``spent`` are the seconds since it came, by which its deadline is nearer.
+        ``spent`` is the time in seconds since the request arrived, which is subtracted from its
+        deadline.
         """
 
     def request_headers(self, request: RoutedRequest, dispatch: Dispatch) -> HTTPHeaders:
-        """Return the headers with which ``request`` is sent to a replica."""
+        """Return the headers for sending ``request`` to a replica."""
 
     def read_answer(self, status: int, headers: HTTPHeaders) -> AnswerHead:
-        """Return what the head of a replica's answer says."""
+        """Return the parsed status and headers of a replica's answer."""
 
     def answered_id(self, headers: HTTPHeaders) -> str:
-        """Return the id of the request that an answer belongs to, nothing if it does not say."""
+        """Return the id of the request that an answer belongs to, empty if the answer has none."""
 
     def read_signs(self, status: int, headers: HTTPHeaders, wall: float) -> AnswerSigns:
-        """Return what the head of a replica's answer says of the replica itself.
+        """Return what the head of a replica's answer says about the replica itself.
 
-        ``wall`` is now, in seconds since the Unix epoch.
+        ``wall`` is the current time, in seconds since the Unix epoch.
         """
 
     def own_headers(self, request_id: str, retry_after: float | None) -> HTTPHeaders:
-        """Return the headers of an answer of the fleet's own; ``retry_after`` is in seconds."""
+        """Return the headers of an answer that the fleet gives itself.
+
+        ``retry_after`` is in seconds, ``None`` for an answer without it.
+        """
 
 
 ROUTE_PROTOCOLS: Registry[type] = Registry("route protocol")
--- a/railsail/routing/reach.py
+++ b/railsail/routing/reach.py
@@ -1,7 +1,7 @@
-"""Which replicas this daemon could not reach a moment ago.
+"""The replicas that this daemon recently failed to connect to.
 
-A dispatcher hears from all entries, and keeps a replica open while most of them reach it. An entry
-that alone is cut off from a replica asks to be given another one.
+A dispatcher receives reports from all entries, and keeps a replica open while most of them can
+connect to it. An entry that alone is cut off from a replica asks for a different one instead.
 """
 
 FORGET_SECONDS = 2.0
@@ -9,24 +9,24 @@
 
 
 class ReplicaReach:
-    """Remember failures to connect; times are in seconds of the monotonic clock."""
+    """Record failures to connect to replicas; times are in seconds of the monotonic clock."""
 
     def __init__(self) -> None:
         self._failed_at: dict[str, float] = {}
 
     def failed(self, replica: str, now: float) -> None:
-        """Take note that ``replica`` could not be connected to."""
+        """Record that a connection to ``replica`` failed."""
         self._failed_at.pop(replica, None)
         self._failed_at[replica] = now
         if len(self._failed_at) > MOST_REPLICAS:
             del self._failed_at[next(iter(self._failed_at))]
 
     def reached(self, replica: str) -> None:
-        """Take note that ``replica`` has answered."""
+        """Record that ``replica`` has answered."""
         self._failed_at.pop(replica, None)
 
     def avoid(self, now: float) -> str:
-        """Return the replica that failed last and not long ago, or an empty string."""
+        """Return the replica that failed last if that was recently, or an empty string."""
         for replica, failed_at in reversed(self._failed_at.items()):
             return replica if now - failed_at < FORGET_SECONDS else ""
         return ""
--- a/railsail/routing/refusals.py
+++ b/railsail/routing/refusals.py
@@ -1,4 +1,4 @@
-"""Answers of the fleet's own: what a caller is told of a request that was not served."""
+"""Error answers to callers whose requests were not served."""
 
 import random
 
@@ -20,7 +20,7 @@
 
 
 class Refusals:
-    """Give the answers of requests that were not served."""
+    """Send error answers for requests that were not served."""
 
     def __init__(self, protocol: RouteProtocol, rng: random.Random) -> None:
         self._protocol = protocol
@@ -29,9 +29,11 @@
     async def answer(
         self, request_id: str, deadline: float, outcome: Outcome, client: ClientAnswer
     ) -> int:
-        """Answer what was not served, and return the status; 0 where the connection was closed.
+        """Answer a request that was not served, and return the status sent.
 
-        ``deadline`` is how many seconds the caller would have waited, 0 where it did not tell.
+        Return 0 if an answer had already started and the connection was closed instead. Of a
+        completed request, only return the status. ``deadline`` is how many seconds the caller would
+        have waited, 0 if it did not say.
         """
         if isinstance(outcome, Completed):
             return outcome.status
@@ -47,7 +49,7 @@
         return status
 
     def _retry_after(self, deadline: float) -> float:
-        # Spread, so that those who were refused together do not come back together.
+        # Jitter keeps callers that were refused at the same time from retrying at the same time.
         longest = MOST_RETRY_SECONDS
         if deadline:
             longest = min(longest, RETRY_SHARE * deadline)
--- a/railsail/routing/relay.py
+++ b/railsail/routing/relay.py
@@ -1,4 +1,4 @@
-"""Bring one routed request to replicas, and the answer back, in as many attempts as are safe."""
+"""Send a routed request to replicas, in as many attempts as are safe, and return the answer."""
 
 import asyncio
 from collections.abc import Callable
@@ -28,31 +28,36 @@
 from railsail.upstreams.sse import BadStream
 
 CONNECT_SECONDS = 0.4
-# Callers come back after at most this part of the time that they have left.
+# Callers are asked to retry within this share of the time that they have left.
 RETRY_SHARE = 1 / 3
-# A repeat that follows a refusal may wait a little, even where the first wait was used up.
+# A request may wait this long for a replica even if the time in which it may wait has passed, so
+# that a retry after a refusal is not refused at once.
 LEAST_WAIT_SECONDS = 0.02
-# A stream that broke midway may wait this long for another replica; then its caller leaves.
+# A stream that broke off may wait this long for another replica; by then its caller gives up.
 RESUME_WAIT_SECONDS = 1.0
-# A request that may repeat goes elsewhere after so many objectives of silence, or so many pauses.
+# If a request can be retried, an attempt is cut off after its replica was silent for this many
+# objectives of the route or, within a stream, for this many of its longest pauses between two
+# events.
 SILENT_OBJECTIVES = 3.0
 SILENT_PAUSES = 4.0
 LEAST_SILENCE_SECONDS = 1.0
-# A token made costs a replica about twice what a token read does.
+# A generated token costs a replica about twice as much as a token of the prompt.
 OUTPUT_COST = 2.0
 _REPEATABLE_REFUSALS = (Reason.UNREACHABLE, Reason.REFUSED)
 
 
 @dataclass
 class Routed:
-    """One request on its way through this daemon; times are seconds of the monotonic clock.
+    """The state of one request while this daemon serves it.
 
-    ``ends_at`` is when it must have its final answer, ``offer_by`` until when it may wait for a
-    place. ``attempts`` counts the replicas that it was sent to; ``ran`` says that one of them may
-    have run it. ``replica`` was sent it last. ``waited`` are the seconds that it waited for places,
-    ``first_after`` those from its arrival to the first byte of an answer, 0 if there is none;
-    ``given_up`` says why no further attempt was made. It runs in one of ``regions``, in any where
-    none are named. Its repeats have the same ``fingerprint``.
+    All times are in seconds, points in time of the monotonic clock. ``ends_at`` is when the final
+    answer is due, ``offer_by`` until when the request may wait for a replica. ``attempts`` counts
+    the replicas that it was sent to; ``ran`` is true if one of them may have run it. ``replica`` is
+    the one that it was sent to last, ``avoid`` the one that failed it last. ``waited`` is how long
+    it waited for replicas in total, ``first_after`` the time from its arrival to the first byte of
+    an answer, 0 without an answer. ``given_up`` is the reason why no further attempt was made. The
+    request may run only in ``regions``, or in any region if there are none. Its retries have the
+    same ``fingerprint``.
     """
 
     request: RoutedRequest
@@ -77,14 +82,14 @@
 
     @property
     def may_repeat(self) -> bool:
-        """Say whether the request may be sent again after an attempt of unknown outcome."""
+        """Return True if the request may be sent again after an attempt of unknown outcome."""
         if self.stream.head is not None and not self.route.resumable:
             return False
         return self.route.may_repeat and not self.verdict.never_repeat
 
 
 class Relay:
-    """Make the attempts of routed requests; ``members`` counts the fleet as far as it is known."""
+    """Make the attempts of routed requests; ``members`` returns the known size of the fleet."""
 
     def __init__(
         self,
@@ -117,7 +122,7 @@
         directory.on_rebirth(lambda before: self._calls.end(before.name))
 
     async def run(self, routed: Routed) -> Outcome:
-        """Make attempts until there is an outcome that must stand, and return it."""
+        """Make attempts until an outcome is final, and return it."""
         budget = self._budget(routed.pool.name)
         budget.request(self._clock.monotonic())
         while True:
@@ -156,7 +161,8 @@
         if routed.attempts >= routed.route.max_attempts:
             routed.given_up = f"the route allows {routed.route.max_attempts} attempts"
             return False
-        # What never reached a replica is no repeat.
+        # The budget counts calls. As long as no attempt has reached a replica, the next one is the
+        # first call and no retry.
         if routed.attempts and not budget.allow(now, self._members()):
             routed.given_up = "the retry budget is spent"
             return False
@@ -213,7 +219,8 @@
             result = CallResult.of(outcome)
             return outcome
         except (asyncio.CancelledError, ClientLeft):
-            # Nobody waits that long for an answer that does not begin, unless something is wrong.
+            # The caller left, but only after a time in which the answer should have started: the
+            # replica is likely to be at fault.
             if not booking.begun and self._clock.monotonic() - sent_at > LEAST_SILENCE_SECONDS:
                 result = CallResult.ERROR
             else:
@@ -296,14 +303,14 @@
         self, routed: Routed, call: HttpRequest, answer: ReplicaAnswer
     ) -> None:
         if not routed.may_repeat:
-            # Silence is no reason to end what cannot be done again.
+            # Silence is no reason to cut off a request that cannot be retried.
             await exchange(call, answer, self._connections)
             return
         task = asyncio.ensure_future(exchange(call, answer, self._connections))
         loop = asyncio.get_running_loop()
         try:
             while not task.done():
-                # While this process stood still it could not hear the replica.
+                # While this process was paused, it could not receive anything from the replica.
                 heard_at = max(answer.progressed_at, self._pauses.ended_at)
                 quiet_until = heard_at + _patience(routed)
                 if loop.time() >= quiet_until:
@@ -329,7 +336,7 @@
         if head.status >= 500 and routed.may_repeat and routed.attempts < routed.route.max_attempts:
             return Unknown(f"status {head.status}", asked_rest=head.asks_rest)
         if head.status in (503, 429, 408):
-            # The status would promise that nothing ran, which the replica did not say.
+            # The status would tell the caller that nothing ran, which the replica did not say.
             return Unknown(f"status {head.status}", asked_rest=head.asks_rest)
         await routed.client.give(head.status, head.headers, answer.body())
         return Completed(head.status, 0.0)
@@ -344,7 +351,7 @@
 
 
 def estimate_cost(routed: Routed) -> float:
-    """Return the expected cost of a request in the unit of its pool."""
+    """Return the expected cost of a request in the cost unit of its pool."""
     if routed.pool.cost_unit is not CostUnit.TOKENS:
         return 1.0
     prompt = routed.request.prompt
--- a/railsail/routing/relief.py
+++ b/railsail/routing/relief.py
@@ -1,8 +1,8 @@
-"""Relieve a node that is full: hand requests on to its peers, or refuse those that crowd it.
+"""Offload requests from a node that is full: forward them to other nodes, or refuse them.
 
-Callers of one workspace may all reach one node, and bring it several times what it can do while
-others idle. Whatever is not needed to hand a request on, or to refuse it, is left out, logs too: at
-such a node this alone may fill the time.
+All callers of a workspace may reach the same node, with several times the load that it can serve,
+while other nodes are idle. Only what is needed to forward or refuse a request is done here, and no
+request is logged on its own: at such a node this work alone may take all of its time.
 """
 
 import contextlib
@@ -28,7 +28,7 @@
 
 
 class _Case(msgspec.Struct, frozen=True):
-    """A request that came to a full node, as far as it was read, and its caller."""
+    """A request that arrived at a full node, parsed only as far as needed, and its caller."""
 
     arrival: Arrival
     origin: Origin
@@ -38,7 +38,7 @@
 
 
 class Relief:
-    """Take requests off a node that holds as many as ``limit`` allows."""
+    """Forward or refuse requests while this node holds as many as ``limit`` allows."""
 
     def __init__(
         self,
@@ -67,7 +67,12 @@
         self._refused = RefusedCallers()
 
     async def relieved(self, arrival: Arrival, client: ClientAnswer, may_forward: bool) -> bool:
-        """Relieve the node of a request if it is full, and say whether it was relieved of it."""
+        """Forward or refuse the request if this node is full, and return True if it did either.
+
+        The node is full if ``limit`` is reached, or if admission would refuse the request. Only
+        workspaces that cause the overload are refused here. If the result is False, this node has
+        to serve the request itself.
+        """
         full = self._limit.full(self._admission.total)
         if not (full or self._admission.may_refuse):
             return False
@@ -105,7 +110,7 @@
                 return False
             await self._refusals.answer(origin.request_id, origin.deadline, outcome, case.client)
         except ClientLeft:
-            # The connection to the other node is closed by now, which ends the work there.
+            # The connection to the other node is closed by now, which cancels the request there.
             return True
         self._metrics.forwarded.inc({"workspace": case.workspace})
         self._crowd_log.forwarded()
@@ -115,7 +120,7 @@
         return True
 
     def _came_back(self, case: _Case) -> bool:
-        """Say whether this node refused the request before, and remember that it does now."""
+        """Return True if this node refused the request before, and record this refusal."""
         arrival, origin = case.arrival, case.origin
         head = (case.workspace, arrival.line.method, origin.host, arrival.line.path)
         known_by = request_fingerprint(head, arrival.body)
@@ -134,8 +139,8 @@
             self._admission.total,
             self._limit.limit,
         )
-        # Callers come back to the node that refused them, which needs time.
+        # Its caller retries at this node, which needs time until then; the answer says how long.
         refused = NotRun(Reason.QUEUE_FULL, "this node is full")
-        # A caller that has left does not wait for the refusal any more.
+        # A caller that has disconnected does not wait for the refusal.
         with contextlib.suppress(ClientLeft):
             await self._refusals.answer(origin.request_id, origin.deadline, refused, case.client)
--- a/railsail/routing/running.py
+++ b/railsail/routing/running.py
@@ -1,7 +1,7 @@
-"""The calls that run at each replica, so that they end with the life that they were sent to.
+"""The calls that run at each replica, so that they are cancelled when the replica restarts.
 
-A replica that was killed and starts again under its name knows nothing of the calls before. Where
-its machine went dark, no connection says so, and a caller would wait until its deadline.
+A replica that was killed and restarts under its name knows nothing of earlier calls. If its machine
+failed, no connection reports that, and a caller would wait until its deadline.
 """
 
 import asyncio
@@ -12,14 +12,14 @@
 
 
 class RunningCalls:
-    """Run calls, each at one replica, and end those of a replica that has started again."""
+    """Run calls to replicas, and cancel those of a replica that has restarted."""
 
     def __init__(self) -> None:
         self._running: defaultdict[str, set[asyncio.Task]] = defaultdict(set)
         self._ended: set[asyncio.Task] = set()
 
     async def run(self, replica: str, call: Coroutine[None, None, None]) -> None:
-        """Make ``call``, which ends with ``CutOff`` if ``replica`` starts again meanwhile."""
+        """Run ``call``; raise ``CutOff`` if ``replica`` restarts in the meantime."""
         task = asyncio.ensure_future(call)
         self._running[replica].add(task)
         try:
@@ -38,7 +38,7 @@
             del self._running[replica]
 
     def end(self, replica: str) -> None:
-        """End the calls at ``replica``, whose process is gone."""
+        """Cancel the calls to ``replica``, whose process is gone."""
         for task in self._running.get(replica, ()):
             self._ended.add(task)
             task.cancel()
--- a/railsail/routing/table.py
+++ b/railsail/routing/table.py
@@ -1,4 +1,4 @@
-"""Which route a request takes, and which of its pools."""
+"""Find the route of a request, and choose one of its pools."""
 
 import random
 from collections.abc import Iterable
@@ -15,11 +15,12 @@
             self._hosts.setdefault(route.host.lower(), {})[route.prefix] = route
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route of a request to ``host``, a name with or without a port."""
+        """Return the route of a request, or ``None``; ``host`` is a name with or without a port."""
         prefixes = self._hosts.get(_without_port(host).lower())
         if prefixes is None:
             return None
-        # Prefixes end with a slash, so that only the slashes of the path need to be tried.
+        # Prefixes end with a slash, so only those parts of the path that end with one need to be
+        # tried.
         end = path.rfind("/")
         while end >= 0:
             route = prefixes.get(path[: end + 1])
@@ -30,7 +31,10 @@
 
 
 def choose_pool(route: Route, rng: random.Random) -> str:
-    """Return one of the route's pools, at random by their weights."""
+    """Return one of the route's pools, chosen at random by weight.
+
+    If all weights are 0, return the first pool.
+    """
     if len(route.pools) == 1:
         return route.pools[0].pool
     names = [share.pool for share in route.pools]
