--- a/railsail/gateway/__init__.py
+++ b/railsail/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP interface for callers."""
+"""The native HTTP interface for callers."""
--- a/railsail/gateway/answers.py
+++ b/railsail/gateway/answers.py
@@ -1,7 +1,7 @@
-"""Answers of claimed requests, kept for a while for a second try at any node.
+"""A cache of the answers to claimed requests, for retries with the same key at any node.
 
 Only the node that ran a request has its answer. Memory is bounded: long answers are not kept, and
-the oldest are dropped.
+the oldest ones are dropped.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 
 
 class KeptAnswer(msgspec.Struct, frozen=True):
-    """A whole answer; ``request`` is the id of the request that it was given to."""
+    """A complete answer; ``request`` is the id of the request that it was given to."""
 
     status: int
     content_type: str
@@ -32,10 +32,10 @@
 
 
 class AnswerCache:
-    """Keep the answers of this node's claimed requests, and ask other nodes for theirs.
+    """Keep the answers of this node's claimed requests, and request those of other nodes.
 
-    ``gone`` says whether the process of a node with a start id is known to have ended: its answers
-    are lost then, and a second try is told so at once.
+    ``gone`` returns whether the process of a node with a given start id is known to have ended. Its
+    answers are lost then, and a retry learns so at once.
     """
 
     def __init__(self, hub: PeerHub, gone: Callable[[str, int], bool], rng: random.Random) -> None:
@@ -51,13 +51,16 @@
         hub.handle(AnswerReply, self._reply)
 
     def begin(self, key: bytes) -> asyncio.Future:
-        """Take note that a try of ``key`` is under way here; it must be ended."""
+        """Record that an attempt with ``key`` runs here, and return the future to pass to ``end``.
+
+        Each attempt that was started must be ended.
+        """
         running: asyncio.Future = asyncio.get_running_loop().create_future()
         self._running.setdefault(key, []).append(running)
         return running
 
     def end(self, key: bytes, running: asyncio.Future, answer: KeptAnswer | None) -> None:
-        """Take note of how a try ended; ``None`` for no whole answer of its own."""
+        """Record the answer of an attempt, ``None`` if it got no complete answer itself."""
         if answer is not None and len(answer.body) <= MOST_ANSWER_BYTES:
             self._keep(key, answer)
         else:
@@ -77,7 +80,10 @@
             self._bytes -= len(oldest.body)
 
     async def find(self, key: bytes, node: str, start_id: int, seconds: float) -> KeptAnswer | None:
-        """Return the answer of ``key`` from the node that claimed it, or ``None``."""
+        """Return the answer for ``key`` from the node that claimed it, or ``None``.
+
+        Wait for it at most ``seconds``.
+        """
         seconds = min(seconds, ASK_SECONDS)
         if self._gone(node, start_id):
             return None
--- a/railsail/gateway/app.py
+++ b/railsail/gateway/app.py
@@ -30,10 +30,10 @@
 
 
 class CallHandler(RequestHandler):
-    """Take one request of a caller."""
+    """Handle one request of a caller."""
 
     def initialize(self, gateway: "Gateway") -> None:
-        """Take the gateway that this handler belongs to."""
+        """Store the gateway that this handler belongs to."""
         self._gateway = gateway
         self._task: asyncio.Task | None = None
         self._sink: CallerSink | None = None
@@ -42,14 +42,14 @@
         self._pool = ""
 
     def check_xsrf_cookie(self) -> None:
-        """Do nothing: callers are known by bearer keys, not by cookies."""
+        """Do nothing: callers authenticate by bearer keys, not by cookies."""
 
     async def _handle(self) -> None:
         self._task = asyncio.current_task()
         try:
             result = await self._serve()
         except asyncio.CancelledError:
-            # The caller left; there is nobody to answer.
+            # The caller disconnected, so that there is nobody to answer.
             self._gateway.ended(self._id, "", "", "caller-left")
             return
         except CallerLeft:
@@ -90,7 +90,7 @@
         return result
 
     async def begin(self, status: int, content_type: str, whole: bool) -> None:
-        """Send status and headers of an answer."""
+        """Send the status and headers of an answer."""
         self.request.connection.stream.set_nodelay(True)
         self._gateway.metrics.first_byte.observe(
             {"pool": self._pool}, self._gateway.clock.monotonic() - self._received_at
@@ -103,12 +103,12 @@
         await self.flush()
 
     async def send(self, chunk: bytes) -> None:
-        """Send a piece of an answer."""
+        """Send a piece of the body."""
         self.write(chunk)
         await self.flush()
 
     def on_connection_close(self) -> None:
-        """Cancel the request of a caller that left."""
+        """Cancel the request of a caller that disconnected."""
         if self._task is not None:
             self._task.cancel()
 
@@ -131,8 +131,8 @@
         if isinstance(result, Completed):
             self.finish()
             return
-        # The answer is not whole: the connection is closed without the end of the body, so that
-        # no client can take what it has for a whole answer.
+        # The answer is not complete: the connection is closed without the end of the body, so that
+        # no client takes a partial answer for a complete one.
         self.request.connection.stream.close()
 
     def _write_error(self, result: Result) -> None:
@@ -175,7 +175,7 @@
 
 
 class Gateway:
-    """All that the handlers of callers share."""
+    """What all handlers of callers' requests share."""
 
     def __init__(
         self,
@@ -195,11 +195,11 @@
     def ended(
         self, request_id: str, workspace: str, pool: str, outcome: str, detail: str = ""
     ) -> None:
-        """Count the end of a request, and put it on the time line."""
+        """Count a request that has ended, and record its end on the time line."""
         self.metrics.requests.inc({"pool": pool, "outcome": outcome})
         self.events.emit(Kind.ENDED, detail or outcome, request_id, workspace)
 
     def application(self) -> Application:
-        """Return the tornado application."""
+        """Return the Tornado application."""
         rules = [(r"/.*", CallHandler, {"gateway": self})]
         return Application(rules, log_function=lambda handler: None)
--- a/railsail/gateway/callers.py
+++ b/railsail/gateway/callers.py
@@ -1,13 +1,13 @@
-"""Who a caller is, by its bearer key."""
+"""Identify callers by their bearer keys."""
 
 from railsail.objects.catalog import Catalog, hash_key, key_index
 from railsail.objects.kinds import Workspace
 
 
 class Callers:
-    """Know callers by their bearer keys.
+    """Map the bearer keys of callers to workspaces.
 
-    A key is looked up by its hash, so that the time taken tells nothing of stored keys.
+    A key is looked up by its hash, so that the time of a lookup reveals nothing about stored keys.
     """
 
     def __init__(self) -> None:
@@ -16,7 +16,7 @@
         self.any_workspace = False
 
     def configured(self, catalog: Catalog) -> None:
-        """Take in the workspaces of a new version."""
+        """Replace the keys by those of a new version of the configuration."""
         self._index = key_index(catalog)
         self.configured_version = catalog.version
         self.any_workspace = bool(catalog.of_kind(Workspace))
@@ -29,5 +29,5 @@
         return self.workspace_of(key.strip())
 
     def workspace_of(self, key: str) -> str | None:
-        """Return the workspace that holds ``key``, or ``None``."""
+        """Return the workspace that owns ``key``, or ``None``."""
         return self._index.get(hash_key(key)) if key else None
--- a/railsail/gateway/claims.py
+++ b/railsail/gateway/claims.py
@@ -1,4 +1,4 @@
-"""Claim idempotency keys through the daemon that batches the key's shard."""
+"""Claim idempotency keys through the daemon that batches the claims of a key's shard."""
 
 import asyncio
 import contextlib
@@ -24,14 +24,15 @@
 RELEASE_SECONDS = 600.0
 RELEASE_TRY_SECONDS = 10.0
 LOOK_SECONDS = 0.5
-# A batcher that has not replied for so long is left for another one: the store may turn just that
-# one away. A slow store answers within it; two batchers of one shard only conflict.
+# A batcher that has not replied within this time is replaced by another one, since the store may
+# refuse just that node. A slow store answers within this time, and two batchers of one shard only
+# cause write conflicts.
 BATCHER_SECONDS = 3.0
 
 
 @dataclass
 class _Asked:
-    """A claim that waits for the reply of the batcher ``node``, which was asked at ``at``."""
+    """A claim that waits for the reply of the batcher ``node``, to which it was sent at ``at``."""
 
     claim: Claim
     node: str
@@ -40,7 +41,7 @@
 
 
 class ClaimService:
-    """Make claims for this node's requests, and batch those of the shards that it is named for."""
+    """Make claims for this node's requests, and batch those of the shards assigned to it."""
 
     def __init__(
         self,
@@ -67,13 +68,13 @@
         hub.on_down(self._link_down)
 
     def new_claim(self, key: bytes, fingerprint: bytes) -> Claim:
-        """Return a claim of this node with an attempt of its own."""
+        """Return a claim of this node with its own attempt number."""
         self._next_number += 1
         own = self._hub.own
         return Claim(key, fingerprint, own.node, own.start_id, self._next_number)
 
     async def claim(self, claim: Claim, seconds: float) -> ClaimAnswer:
-        """Make ``claim`` within ``seconds``; if that fails it is released in the background."""
+        """Make ``claim`` within ``seconds``; if that fails, release it in the background."""
         try:
             async with asyncio.timeout(seconds):
                 answer = await self._make(claim)
@@ -86,11 +87,11 @@
         return answer
 
     def release(self, claim: Claim) -> None:
-        """Give ``claim`` back in the background, because its request was not run."""
+        """Release ``claim`` in the background, because its request was not run."""
         self._tasks.start(self._release(replace(claim, release=True)))
 
     async def settle(self, seconds: float) -> None:
-        """Wait at most ``seconds`` for releases that are under way."""
+        """Wait at most ``seconds`` for releases in progress."""
         await self._tasks.wait(seconds)
 
     async def _release(self, claim: Claim) -> None:
@@ -124,14 +125,14 @@
             del self._asked[number]
 
     def _leave_silent(self, number: int) -> None:
-        # That a batcher lives does not tell that the store answers it.
+        # A batcher that is alive may still get no answers from the store.
         asked = self._asked[number]
         waited = self._clock.monotonic() - asked.at
         if asked.node not in self._usable() or waited > BATCHER_SECONDS:
             self._ask_another(number, asked.node)
 
     def batchers(self) -> set[str]:
-        """Return the nodes that were asked and have not replied."""
+        """Return the nodes that claims were sent to and that have not replied."""
         return {asked.node for asked in self._asked.values()}
 
     def _batcher(self, claim: Claim) -> str:
@@ -141,7 +142,7 @@
     def _send(self, number: int, claim: Claim, node: str) -> None:
         request = ClaimRequest(number, claim.key, claim.fingerprint, claim.attempt, claim.release)
         if not self._hub.send(node, request) and not self._hub.dial(node):
-            # The link is down and may not be dialled yet, so that nothing more will be heard of it.
+            # The link is down and may not be dialled yet, so that no event of the link will follow.
             self._ask_another(number, node)
 
     def _shard(self, key: bytes) -> ClaimShard:
@@ -171,8 +172,8 @@
     def _another(self, claim: Claim, node: str) -> str:
         """Return a node other than ``node`` that makes ``claim``.
 
-        The shard's safety rests on the store, so any one may; of those only linked ones are asked,
-        this node itself among them.
+        The store keeps a shard consistent, so any node may batch it. Only this node and those with
+        an open link are considered.
         """
         linked = [n for n in self._usable() if n != node and self._hub.connected(n)]
         return choose(f"claims {shard_of(claim.key)}", linked) or self._hub.own.node
--- a/railsail/gateway/pace.py
+++ b/railsail/gateway/pace.py
@@ -1,4 +1,4 @@
-"""Whether this node keeps up with its callers, and what it tells the others of its speed."""
+"""Monitor whether this node keeps up with its callers, and report its speed to the other nodes."""
 
 import math
 
@@ -9,13 +9,17 @@
 from railsail.membership.service import Membership
 from railsail.membership.speed import RISE_SECONDS, SAMPLE_SECONDS, UNKNOWN_LEVEL, SpeedMeter
 
-# A node whose loop was late for so many seconds asks the balancer to send callers elsewhere; the
-# balancer takes two seconds more to act, so that a short burst changes nothing.
+# A node whose event loop has been late for this long asks the balancer to send callers elsewhere.
+# The balancer takes two more seconds to act, so that a short burst changes nothing.
 LATE_FOR_SECONDS = 1.0
 
 
 class OwnPace:
-    """Follow the pace of this node; one that is late for its callers does not dispatch."""
+    """Monitor the speed and lateness of this node.
+
+    While the node is late for its callers it reports no speed, so that it is not chosen to
+    dispatch.
+    """
 
     def __init__(
         self, lag: LoopLag, admission: Admission, membership: Membership, kernel: Kernel
@@ -25,23 +29,24 @@
         self._membership = membership
         self._clock = kernel.clock
         self._events = kernel.events
-        # Until when the node keeps from dispatching because it was late.
+        # Until when the node reports no speed, because it was late.
         self._late_until = -math.inf
 
     @property
     def late(self) -> bool:
-        """Say whether the loop has been late for a while, and callers are why."""
+        """Return True if the event loop has been late for a while, probably because of callers."""
         return self._admission.crowded and self._lag.late_for() > LATE_FOR_SECONDS
 
     async def run(self) -> None:
-        """Measure and tell until cancelled."""
+        """Measure and report until cancelled."""
         meter = SpeedMeter(self._clock.monotonic)
         await self._lag.every(SAMPLE_SECONDS, lambda: self._sample(meter))
 
     def _sample(self, meter: SpeedMeter) -> None:
         meter.sample()
         self._note_lateness()
-        # Who is late for its callers must not make those of other nodes wait as well.
+        # A node that is late for its own callers must not delay those of other nodes as a
+        # dispatcher.
         late = self._clock.monotonic() < self._late_until
         level = UNKNOWN_LEVEL if late else meter.level
         if level != self._membership.table.own.speed:
--- a/railsail/gateway/requests.py
+++ b/railsail/gateway/requests.py
@@ -1,4 +1,4 @@
-"""What a caller asks for, read from HTTP and checked."""
+"""Read callers' requests from HTTP, and check them."""
 
 import json
 import re
@@ -14,14 +14,15 @@
 DEADLINE_HEADER = "X-Deadline-Seconds"
 LONGEST_DEADLINE = 86_400.0
 LONGEST_KEY = 200
-# A prompt's beginning names its prefix; shorter prompts have none worth remembering.
+# The first characters of a prompt identify its prefix. A shorter prompt has no prefix worth
+# caching.
 PREFIX_CHARACTERS = 256
 _PASSED_ON = ("Content-Type", "Accept", "Accept-Language")
 _SERVICE_PATH = re.compile(r"/services/([a-z0-9][a-z0-9-]{0,62})(/[^\s]*)?")
 
 
 class BadRequest(Exception):
-    """A request that cannot be run as it stands."""
+    """A request that cannot be run because it is not valid."""
 
     def __init__(self, detail: str) -> None:
         super().__init__(detail)
@@ -31,8 +32,9 @@
 class CallerRequest(msgspec.Struct, frozen=True):
     """One checked request.
 
-    ``path`` and ``body`` are what the upstream is sent. ``deadline`` is in seconds from the start,
-    0 for none. ``key`` is the idempotency key, empty for none.
+    ``path`` and ``body`` are those to send to the upstream. ``prefix`` is a hash of the prompt's
+    prefix, 0 for none. ``deadline`` is in seconds from the start, 0 for none. ``key`` is the
+    idempotency key, empty for none.
     """
 
     pool: str
@@ -50,7 +52,7 @@
 def read_request(
     method: str, path: str, query: str, headers: Mapping[str, str], body: bytes
 ) -> CallerRequest:
-    """Return the request; raise ``BadRequest`` with what is wrong."""
+    """Return the checked request; raise ``BadRequest`` with what is wrong."""
     deadline = _deadline(headers.get(DEADLINE_HEADER, ""))
     key = _key(headers.get(KEY_HEADER, ""))
     passed_on = {name: headers[name] for name in _PASSED_ON if name in headers}
@@ -97,7 +99,7 @@
     if not isinstance(max_tokens, int) or isinstance(max_tokens, bool) or max_tokens < 0:
         raise BadRequest("the field 'max_tokens' must be a whole number")
     if stream:
-        # The engine then says with each event what the stream has cost so far.
+        # With these options the engine reports in each event what the stream has cost so far.
         content["stream_options"] = {"include_usage": True, "continuous_usage_stats": True}
         body = json.dumps(content, separators=(",", ":")).encode()
     prefix = _prefix(content)
--- a/railsail/gateway/serve.py
+++ b/railsail/gateway/serve.py
@@ -1,4 +1,4 @@
-"""Serve one request: admit, judge, claim, and bring it to a replica."""
+"""Serve one request: admit it, evaluate its policy, claim its key and call a replica."""
 
 from collections.abc import Callable
 
@@ -20,18 +20,18 @@
 from railsail.store.claims import Claim, ClaimResult, claim_key, fingerprint
 
 LONGEST_CALL_SECONDS = 3600.0
-# A claim may take this long where the caller gave no deadline.
+# Maximum time for a claim, also if the caller gave no deadline.
 CLAIM_SECONDS = 15.0
 
 
 class Replay(msgspec.Struct, frozen=True):
-    """The answer that an earlier try of the same key was given."""
+    """The answer that was given to an earlier attempt with the same key."""
 
     answer: KeptAnswer
 
 
 class Conflict(msgspec.Struct, frozen=True):
-    """The key was claimed by an earlier try; ``detail`` says why there is no answer of it."""
+    """The key was claimed by an earlier attempt; ``detail`` says why there is no answer."""
 
     detail: str
 
@@ -40,7 +40,7 @@
 
 
 class Server:
-    """Serve the requests of callers; this node is in ``region``."""
+    """Serve the requests of callers; ``region`` is the region of this node."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
     async def serve(
         self, request_id: str, workspace: str, request: CallerRequest, sink: CallerSink
     ) -> Result:
-        """Serve ``request`` of ``workspace``, put its answer into ``sink``, return the result."""
+        """Serve ``request`` of ``workspace``: write the answer to ``sink``, return the result."""
         pool = self._catalog().pool(request.pool)
         if pool is None:
             return NotRun(Reason.UNKNOWN_POOL, f"there is no pool {request.pool!r}")
@@ -113,7 +113,7 @@
         request = served.request
         key = claim_key(served.workspace, request.key)
         claim = self._claims.new_claim(key, fingerprint(request.method, request.path, request.body))
-        # A second try at another node may ask for the answer before the claim's reply is here.
+        # A retry at another node may request the answer before the reply to the claim arrives here.
         running = self._answers.begin(key)
         kept: KeptAnswer | None = None
         try:
@@ -135,7 +135,8 @@
             return await self._tries.run(served)
         finally:
             if not served.sent:
-                # It did not run, or its caller left before it did: the key may be used again.
+                # The request did not run, or its caller disconnected before it did: the key can be
+                # used again.
                 self._claims.release(claim)
 
     async def _second_try(self, served: Served, claim: Claim, holder: Claim) -> Result:
@@ -153,7 +154,7 @@
             return None
         regions = self._catalog().regions_of(served.workspace)
         if regions and self._region not in regions:
-            # What may be served in other regions only is not stored in this one either.
+            # An answer that may be served only in other regions is not stored in this one either.
             return None
         sink = served.sink
         return KeptAnswer(outcome.status, sink.content_type, served.id, sink.copy())
--- a/railsail/gateway/sink.py
+++ b/railsail/gateway/sink.py
@@ -1,4 +1,4 @@
-"""Where the answer of an upstream goes: to the caller, held back while the caller is slow."""
+"""Write the answer of an upstream to the caller, no faster than the caller receives it."""
 
 from typing import Protocol
 
@@ -19,16 +19,16 @@
     """What a sink needs of the HTTP handler."""
 
     async def begin(self, status: int, content_type: str, whole: bool) -> None:
-        """Send status and headers."""
+        """Send the status and headers."""
 
     async def send(self, chunk: bytes) -> None:
-        """Send a piece of the body, and wait until the connection took it."""
+        """Send a piece of the body, and wait until the connection has accepted it."""
 
 
 class CallerSink:
-    """Pass an answer on to a caller, and charge the workspace as it grows.
+    """Write an answer to a caller, and charge the workspace as the cost grows.
 
-    ``keep`` makes the sink keep a copy, for a second try of a claimed request.
+    With ``keep`` the sink keeps a copy of the answer, for retries of a claimed request.
     """
 
     def __init__(self, connection: CallerConnection, keep: bool) -> None:
@@ -44,14 +44,14 @@
         self._booking: Booking | None = None
 
     def meter(self, meter: ChargeMeter, tickets: TicketClient, booking: Booking) -> None:
-        """Charge ``booking`` from now on."""
+        """Charge ``booking`` from now on, starting from a cost of 0."""
         self.cost = 0.0
         self._meter = meter
         self._tickets = tickets
         self._booking = booking
 
     async def start(self, status: int, content_type: str, whole: bool = False) -> None:
-        """Begin the answer; ``whole`` says that all of it is there already."""
+        """Start the answer; ``whole`` is true if all of it is available already."""
         self.started = True
         self.content_type = content_type
         try:
@@ -60,7 +60,7 @@
             raise CallerLeft from None
 
     async def write(self, chunk: bytes) -> None:
-        """Add to the body; return when the caller's connection took it."""
+        """Send a piece of the body, and wait until the caller's connection has accepted it."""
         if self._keep and self._kept_bytes <= MOST_ANSWER_BYTES:
             self._kept.append(chunk)
             self._kept_bytes += len(chunk)
@@ -70,12 +70,12 @@
             raise CallerLeft from None
 
     def progress(self, cost: float) -> None:
-        """Take note of the cost so far, in cost units."""
+        """Record the cost so far, in cost units, and report it if it exceeds what was charged."""
         self.cost = max(self.cost, cost)
         charged = self._meter.overrun(cost) if self._meter else None
         if charged is not None:
             self._tickets.progress(self._booking, charged)
 
     def copy(self) -> bytes:
-        """Return the body that was kept."""
+        """Return the copy of the body."""
         return b"".join(self._kept)
--- a/railsail/gateway/tries.py
+++ b/railsail/gateway/tries.py
@@ -1,4 +1,4 @@
-"""Bring one request to a replica: wait for a grant, call, settle, try again where that is safe."""
+"""Run one request: wait for a grant, call the replica, release the ticket, retry where safe."""
 
 import asyncio
 from collections.abc import Callable
@@ -26,18 +26,18 @@
 from railsail.upstreams.signs import read_signs
 
 MOST_TRIES = 5
-# Urgent work is decided at once; the second allows for a dispatcher that must be replaced.
+# Urgent requests are decided at once. The second allows for replacing a dispatcher that failed.
 LEAST_WAIT_SECONDS = 1.0
 CANCELLED = "cancelled"
 
 
 @dataclass
 class Served:
-    """One request on its way through this node.
+    """The state of one request while this node serves it.
 
-    ``ends_at`` is in seconds of the monotonic clock. ``avoid`` names the replica that did not run
-    it at the last try. ``sent`` says that it may have run, ``ran`` that an earlier try of it may
-    have. Its repeats have the same ``fingerprint``.
+    ``ends_at`` is its deadline in seconds of the monotonic clock. ``avoid`` is the replica that did
+    not run it in the last attempt. ``sent`` is true if it may have run, ``ran`` if an earlier
+    attempt may have run it. Its retries have the same ``fingerprint``.
     """
 
     id: str
@@ -54,7 +54,7 @@
 
 
 class Tries:
-    """Make the tries of requests; ``kind_of`` gives the plug-in of a pool."""
+    """Make the attempts of requests; ``kind_of`` returns the upstream plug-in of a pool."""
 
     def __init__(
         self,
@@ -80,7 +80,7 @@
         self._cancels = TaskSet()
 
     async def run(self, served: Served) -> Outcome:
-        """Try until there is an outcome that must stand, and return it."""
+        """Make attempts until an outcome is final, and return it."""
         self._budget.request()
         outcome: Outcome = NotRun(Reason.EXPIRED)
         for _ in range(MOST_TRIES):
--- a/railsail/gateway/verdicts.py
+++ b/railsail/gateway/verdicts.py
@@ -1,4 +1,4 @@
-"""Judge requests by the policies in force."""
+"""Evaluate the policies of workspaces for their requests."""
 
 from collections.abc import Callable
 
@@ -16,12 +16,15 @@
     WorkspaceInput,
 )
 
-# A workspace without a policy is treated with the most care.
+# The decision for a workspace without a policy is the safest one: its requests are never retried.
 NO_POLICY = Verdict(0.0, 60.0, True, ("policy",))
 
 
 class PolicyEvaluator:
-    """Run the workspace's policy on each request; programs are compiled once a version."""
+    """Evaluate a workspace's policy for each request.
+
+    Policies are compiled once per version of the configuration.
+    """
 
     def __init__(
         self, catalog: Callable[[], Catalog], admission: Admission, metrics: Metrics
@@ -32,11 +35,11 @@
         self._policies: dict[str, CompiledPolicy] = {}
 
     def configured(self, catalog: Catalog) -> None:
-        """Forget the programs compiled for an earlier version."""
+        """Drop the programs compiled for an earlier version of the configuration."""
         self._policies.clear()
 
     def judge(self, workspace: str, request: RequestInput) -> Verdict:
-        """Return what the policy of ``workspace`` says of ``request``."""
+        """Return the decision of the policy of ``workspace`` on ``request``."""
         catalog = self._catalog()
         owner = catalog.workspace(workspace)
         policy = catalog.policy(owner.policy) if owner else None
@@ -45,7 +48,10 @@
         return self.run(policy, workspace, request)
 
     def run(self, policy: Policy, workspace: str, request: RequestInput) -> Verdict:
-        """Return what ``policy`` says of ``request`` of ``workspace``."""
+        """Return the decision of ``policy`` on ``request`` of ``workspace``.
+
+        Count the programs of the policy that failed.
+        """
         if policy.name not in self._policies:
             self._policies[policy.name] = CompiledPolicy(policy)
         verdict = self._policies[policy.name].judge(self._inputs(workspace, request))
