--- a/tests/gateway/__init__.py
+++ b/tests/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package of the same name."""
+"""Tests of the callers' native interface."""
--- a/tests/gateway/test_admission.py
+++ b/tests/gateway/test_admission.py
@@ -1,4 +1,4 @@
-"""Whose requests crowd a node."""
+"""Which workspaces overload a node."""
 
 import unittest
 
--- a/tests/gateway/test_concurrency.py
+++ b/tests/gateway/test_concurrency.py
@@ -1,4 +1,4 @@
-"""How the limit on requests held follows a node's event loop."""
+"""The limit on held requests adapts to the lag of a node's event loop."""
 
 import unittest
 
@@ -24,7 +24,7 @@
         return round(self.limit.limit)
 
     def run(self, samples: int) -> list[int]:
-        """Return what it held at each sample."""
+        """Return how many requests the node held at each sample."""
         taken = []
         for _ in range(samples):
             taken.append(self.held())
@@ -62,18 +62,18 @@
 class CrowdedDomainTests(unittest.TestCase):
     """Most callers of a failure domain reach one node of half a core, which is never full."""
 
-    # Seconds of the node's time that an answer takes in each of its half seconds, and the longest
-    # turn of its loop.
+    # Share of the node's time that one request takes, and the duration of one iteration of its
+    # event loop in seconds.
     SHARE_OF_ONE = 0.02
     TURN = 0.002
 
     def lag_of(self, held: int, backlog: float) -> float:
-        """Return the lag of a loop that holds so many requests, and has so much left to do."""
+        """Return the loop's lag while it holds ``held`` requests and is ``backlog`` s behind."""
         used = min(0.98, held * self.SHARE_OF_ONE)
         return backlog + self.TURN * used / (1 - used)
 
     def play(self, decide) -> float:
-        """Return the mean lag over ten seconds in which as many come as the node can just do."""
+        """Return the mean lag over ten seconds of about as many requests as the node can serve."""
         lag = LoopLag(lambda: 0.0)
         limit = ConcurrencyLimit()
         backlog = 0.0
@@ -89,7 +89,7 @@
     def test_requests_are_handed_on_before_callers_feel_the_lag(self):
         early = self.play(lambda lag: lag.busy)
         late = self.play(lambda lag: lag.late)
-        # A request passes the loop about six times until its answer begins.
+        # A request passes the event loop about six times until its answer starts.
         self.assertLess(6 * early, 0.25 / 4)
         self.assertLess(early, 0.7 * late)
 
--- a/tests/gateway/test_pace.py
+++ b/tests/gateway/test_pace.py
@@ -1,4 +1,4 @@
-"""What a node tells of its speed while it is late for its callers."""
+"""Which speed a node reports while it is late for its callers."""
 
 import random
 import unittest
@@ -19,7 +19,7 @@
 
 
 class Membership:
-    """Keep what the node told of itself."""
+    """Records the speeds that the node reported."""
 
     def __init__(self) -> None:
         self.table = MemberTable(member("own"))
--- a/tests/gateway/test_sessions.py
+++ b/tests/gateway/test_sessions.py
@@ -1,6 +1,6 @@
-"""Whole sessions against golden files: callers' bytes, outcomes and events.
+"""Whole sessions compared with golden files: the bytes, outcomes and events that callers get.
 
-``GOLDEN=write tools/test tests.gateway.test_sessions`` writes the files anew.
+``GOLDEN=write tools/test tests.gateway.test_sessions`` writes the files again.
 """
 
 import os
@@ -43,7 +43,7 @@
         self.service = self.fleet.services["desk-0"]
 
     async def record(self, title: str, response: HTTPResponse) -> None:
-        """Add one call to the session's record."""
+        """Add one call to the record of the session."""
         self.lines.append(f"== {title}")
         self.lines.append(f"status {response.code}")
         for name in HEADERS:
--- a/tests/routing/__init__.py
+++ b/tests/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of routes."""
+"""Tests of routing."""
--- a/tests/routing/test_budget.py
+++ b/tests/routing/test_budget.py
@@ -1,4 +1,4 @@
-"""The budget of repeats: no window of any length holds more than the fleet may make."""
+"""The retry budget: in no window does the fleet make more retries than the bound allows."""
 
 import random
 import unittest
--- a/tests/routing/test_reach.py
+++ b/tests/routing/test_reach.py
@@ -1,4 +1,4 @@
-"""Which replica an entry asks not to be given."""
+"""Which replica an entry asks a dispatcher to avoid."""
 
 import unittest
 
--- a/tests/routing/test_running.py
+++ b/tests/routing/test_running.py
@@ -1,4 +1,4 @@
-"""Calls end with the life of the replica that they were sent to."""
+"""Calls are cancelled when the replica that they were sent to restarts."""
 
 import asyncio
 import unittest
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -1,4 +1,4 @@
-"""Routes by host and longest prefix, and pools by weight."""
+"""Routes are found by host and longest prefix, and pools are chosen by weight."""
 
 import random
 import unittest
--- a/tests/routing/test_targets.py
+++ b/tests/routing/test_targets.py
@@ -1,4 +1,4 @@
-"""Which node a request is handed on to."""
+"""Which node a request is forwarded to."""
 
 import random
 import unittest
@@ -27,7 +27,7 @@
         )
 
     def chosen(self, number: int, now: float = 1.0) -> Counter[str]:
-        """Return how many of ``number`` requests, none of which ends, each node is given."""
+        """Return how many of ``number`` requests each node is sent, while none of them ends."""
         given: Counter[str] = Counter()
         for _ in range(number):
             found = self.targets.choose(now)
@@ -64,8 +64,11 @@
         self.assertEqual(self.chosen(5), {"a": 5})
 
     def test_others_are_asked_where_those_that_go_first_cannot_be_connected_to(self):
-        """All requests beyond what a full node held were refused: the one other node that told its
-        speed could not be connected to, and one that had just started was not asked."""
+        """All requests beyond the limit of a full node were refused.
+
+        The only other node that reported its speed could not be connected to, and a node that had
+        just started was not tried.
+        """
         self.members += [peer("a"), peer("b", speed=UNKNOWN_LEVEL), peer("c", "other")]
         self.assertEqual(self.chosen(5), {"a": 5})
         self.targets.failed("a", 1.0)
