--- a/railsail/gateway/admission.py
+++ b/railsail/gateway/admission.py
@@ -6,10 +6,10 @@
 
 from railsail.core.outcomes import NotRun, Reason
 
-FULL_RETRY_SECONDS = 2.0
+FULL_RETRY_AFTER_SECONDS = 2.0
 # With fewer requests than this, callers are not the reason why a node is late: this many streams
 # take half of the time of a node with an eighth of a core.
-LEAST_CROWD = 16
+MIN_OVERLOAD_REQUESTS = 16
 
 
 class Admission:
@@ -38,7 +38,7 @@
     @property
     def crowded(self) -> bool:
         """Return True if the node holds enough requests to be kept busy by them."""
-        return self._sum >= LEAST_CROWD
+        return self._sum >= MIN_OVERLOAD_REQUESTS
 
     def crowds(self, workspace: str) -> bool:
         """Return True if ``workspace`` has a part in overloading the node.
@@ -47,15 +47,15 @@
         one.
         """
         held = self.held(workspace)
-        return held >= LEAST_CROWD and held * len(self._held) >= self._sum
+        return held >= MIN_OVERLOAD_REQUESTS and held * len(self._held) >= self._sum
 
     def refusal(self, workspace: str) -> NotRun | None:
         """Return why another request of ``workspace`` would be refused, or ``None``."""
         held = self.held(workspace)
         if held >= self._per_workspace:
-            return NotRun(Reason.QUEUE_FULL, "of the workspace", FULL_RETRY_SECONDS)
+            return NotRun(Reason.QUEUE_FULL, "of the workspace", FULL_RETRY_AFTER_SECONDS)
         if held >= (self._total - self._sum + held + 1) / 2:
-            return NotRun(Reason.QUEUE_FULL, "of the node", FULL_RETRY_SECONDS)
+            return NotRun(Reason.QUEUE_FULL, "of the node", FULL_RETRY_AFTER_SECONDS)
         return None
 
     def enter(self, workspace: str) -> NotRun | None:
--- a/railsail/gateway/answers.py
+++ b/railsail/gateway/answers.py
@@ -16,10 +16,10 @@
 from railsail.peers.hub import PeerHub
 from railsail.peers.messages import AnswerReply, AnswerRequest
 
-MOST_ANSWER_BYTES = 256 << 10
-MOST_KEPT_BYTES = 8 << 20
-ASK_SECONDS = 30.0
-LINK_PAUSE_SECONDS = 0.1
+MAX_ANSWER_BYTES = 256 << 10
+MAX_CACHE_BYTES = 8 << 20
+FETCH_TIMEOUT_SECONDS = 30.0
+LINK_RETRY_SECONDS = 0.1
 
 
 class KeptAnswer(msgspec.Struct, frozen=True):
@@ -61,7 +61,7 @@
 
     def end(self, key: bytes, running: asyncio.Future, answer: KeptAnswer | None) -> None:
         """Record the answer of an attempt, ``None`` if it got no complete answer itself."""
-        if answer is not None and len(answer.body) <= MOST_ANSWER_BYTES:
+        if answer is not None and len(answer.body) <= MAX_ANSWER_BYTES:
             self._keep(key, answer)
         else:
             answer = None
@@ -75,7 +75,7 @@
     def _keep(self, key: bytes, answer: KeptAnswer) -> None:
         self._kept[key] = answer
         self._bytes += len(answer.body)
-        while self._bytes > MOST_KEPT_BYTES:
+        while self._bytes > MAX_CACHE_BYTES:
             _, oldest = self._kept.popitem(last=False)
             self._bytes -= len(oldest.body)
 
@@ -84,7 +84,7 @@
 
         Wait for it at most ``seconds``.
         """
-        seconds = min(seconds, ASK_SECONDS)
+        seconds = min(seconds, FETCH_TIMEOUT_SECONDS)
         if self._gone(node, start_id):
             return None
         if node == self._hub.own.node:
@@ -108,7 +108,7 @@
                 while not self._hub.send(node, request):
                     if self._gone(node, start_id):
                         return None
-                    await asyncio.sleep(LINK_PAUSE_SECONDS)
+                    await asyncio.sleep(LINK_RETRY_SECONDS)
                 return await future
         except TimeoutError:
             return None
--- a/railsail/gateway/claims.py
+++ b/railsail/gateway/claims.py
@@ -21,13 +21,13 @@
 )
 from railsail.store.journal import Backoff
 
-RELEASE_SECONDS = 600.0
-RELEASE_TRY_SECONDS = 10.0
-LOOK_SECONDS = 0.5
+RELEASE_TIMEOUT_SECONDS = 600.0
+RELEASE_ATTEMPT_SECONDS = 10.0
+CHECK_INTERVAL_SECONDS = 0.5
 # A batcher that has not replied within this time is replaced by another one, since the store may
 # refuse just that node. A slow store answers within this time, and two batchers of one shard only
 # cause write conflicts.
-BATCHER_SECONDS = 3.0
+BATCHER_TIMEOUT_SECONDS = 3.0
 
 
 @dataclass
@@ -95,11 +95,11 @@
         await self._tasks.wait(seconds)
 
     async def _release(self, claim: Claim) -> None:
-        ends = self._clock.monotonic() + RELEASE_SECONDS
+        ends = self._clock.monotonic() + RELEASE_TIMEOUT_SECONDS
         backoff = Backoff(self._rng, 0.5, 30.0)
         while self._clock.monotonic() < ends:
             try:
-                async with asyncio.timeout(RELEASE_TRY_SECONDS):
+                async with asyncio.timeout(RELEASE_ATTEMPT_SECONDS):
                     await self._make(claim)
                 return
             except TimeoutError:
@@ -109,7 +109,7 @@
         node = self._batcher(claim)
         if node == self._hub.own.node:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(BATCHER_SECONDS):
+                async with asyncio.timeout(BATCHER_TIMEOUT_SECONDS):
                     return await self._shard(claim.key).make(claim)
             node = self._another(claim, node)
         self._next_number += 1
@@ -118,7 +118,7 @@
         self._asked[number] = _Asked(claim, node, answer, self._clock.monotonic())
         try:
             self._send(number, claim, node)
-            while not (await asyncio.wait([answer], timeout=LOOK_SECONDS))[0]:
+            while not (await asyncio.wait([answer], timeout=CHECK_INTERVAL_SECONDS))[0]:
                 self._leave_silent(number)
             return answer.result()
         finally:
@@ -128,7 +128,7 @@
         # A batcher that is alive may still get no answers from the store.
         asked = self._asked[number]
         waited = self._clock.monotonic() - asked.at
-        if asked.node not in self._usable() or waited > BATCHER_SECONDS:
+        if asked.node not in self._usable() or waited > BATCHER_TIMEOUT_SECONDS:
             self._ask_another(number, asked.node)
 
     def batchers(self) -> set[str]:
--- a/railsail/gateway/concurrency.py
+++ b/railsail/gateway/concurrency.py
@@ -8,28 +8,28 @@
 Source: adaptive concurrency limits, as in TCP's congestion control (Jacobson, 1988).
 """
 
-from railsail.gateway.admission import LEAST_CROWD
+from railsail.gateway.admission import MIN_OVERLOAD_REQUESTS
 
 # Initial limit of requests held at once: 64 streams of 14 events a second, at 0.23 ms of a whole
 # core per event, take 40% of a node with half a core.
-FIRST_LIMIT = 64.0
+INITIAL_LIMIT = 64.0
 # Initial limit of requests forwarded to other nodes at once. Forwarding an answer of 40 events
 # takes 2.3 ms of a whole core, about a fifth of what serving it takes.
-FIRST_FORWARDED = 320.0
+INITIAL_FORWARDED_LIMIT = 320.0
 # Lower bound of the limit of forwarded requests. A node may be late only because of the requests
 # that it refuses: most of their callers retry, so forwarding less would not make it less late.
 # Without this bound a node of half a core that received 1,000 requests a second forwarded at most
 # 41 of them, with it 377 to 706.
-LEAST_FORWARDED = 160.0
+MIN_FORWARDED_LIMIT = 160.0
 # The limit never falls below the number of requests that can keep a node busy.
-LEAST_LIMIT = float(LEAST_CROWD)
+MIN_LIMIT = float(MIN_OVERLOAD_REQUESTS)
 # Factors by which the limit changes with each sample of the loop's lag. It halves within a third of
 # a second and doubles within three quarters, so that a faster node finds its limit in a few
 # seconds.
-DECREASE = 0.9
-INCREASE = 1.05
+DECREASE_FACTOR = 0.9
+INCREASE_FACTOR = 1.05
 # The limit holds callers back while more than this share of it is in use.
-NEAR = 0.9
+NEAR_LIMIT_SHARE = 0.9
 
 
 class ConcurrencyLimit:
@@ -38,7 +38,7 @@
     It starts at ``first``, and never falls below ``floor``.
     """
 
-    def __init__(self, first: float = FIRST_LIMIT, floor: float = LEAST_LIMIT) -> None:
+    def __init__(self, first: float = INITIAL_LIMIT, floor: float = MIN_LIMIT) -> None:
         self.limit = first
         self._floor = floor
 
@@ -54,9 +54,9 @@
     def adjust(self, late: bool, held: int) -> None:
         """Adjust the limit to whether the loop was late while the node held ``held`` requests."""
         if late:
-            self.limit = max(self._floor, min(self.limit, held) * DECREASE)
-        elif held > NEAR * self.limit:
-            self.limit *= INCREASE
+            self.limit = max(self._floor, min(self.limit, held) * DECREASE_FACTOR)
+        elif held > NEAR_LIMIT_SHARE * self.limit:
+            self.limit *= INCREASE_FACTOR
 
 
 class NodeLimits:
@@ -64,7 +64,7 @@
 
     def __init__(self) -> None:
         self.served = ConcurrencyLimit()
-        self.forwarded = ConcurrencyLimit(FIRST_FORWARDED, LEAST_FORWARDED)
+        self.forwarded = ConcurrencyLimit(INITIAL_FORWARDED_LIMIT, MIN_FORWARDED_LIMIT)
 
     def adjust(self, late: bool, served: int, forwarded: int) -> None:
         """Adjust the limits to whether the loop was late while this many requests ran."""
--- a/railsail/gateway/pace.py
+++ b/railsail/gateway/pace.py
@@ -11,7 +11,7 @@
 
 # A node whose event loop has been late for this long asks the balancer to send callers elsewhere.
 # The balancer takes two more seconds to act, so that a short burst changes nothing.
-LATE_FOR_SECONDS = 1.0
+LATE_AFTER_SECONDS = 1.0
 
 
 class OwnPace:
@@ -35,7 +35,7 @@
     @property
     def late(self) -> bool:
         """Return True if the event loop has been late for a while, probably because of callers."""
-        return self._admission.crowded and self._lag.late_for() > LATE_FOR_SECONDS
+        return self._admission.crowded and self._lag.late_for() > LATE_AFTER_SECONDS
 
     async def run(self) -> None:
         """Measure and report until cancelled."""
--- a/railsail/gateway/requests.py
+++ b/railsail/gateway/requests.py
@@ -12,12 +12,12 @@
 MODEL_PATHS = ("/v1/chat/completions", "/v1/completions")
 KEY_HEADER = "Idempotency-Key"
 DEADLINE_HEADER = "X-Deadline-Seconds"
-LONGEST_DEADLINE = 86_400.0
-LONGEST_KEY = 200
+MAX_DEADLINE_SECONDS = 86_400.0
+MAX_KEY_CHARACTERS = 200
 # The first characters of a prompt identify its prefix. A shorter prompt has no prefix worth
 # caching.
 PREFIX_CHARACTERS = 256
-_PASSED_ON = ("Content-Type", "Accept", "Accept-Language")
+_FORWARDED_HEADERS = ("Content-Type", "Accept", "Accept-Language")
 _SERVICE_PATH = re.compile(r"/services/([a-z0-9][a-z0-9-]{0,62})(/[^\s]*)?")
 
 
@@ -55,7 +55,7 @@
     """Return the checked request; raise ``BadRequest`` with what is wrong."""
     deadline = _deadline(headers.get(DEADLINE_HEADER, ""))
     key = _key(headers.get(KEY_HEADER, ""))
-    passed_on = {name: headers[name] for name in _PASSED_ON if name in headers}
+    passed_on = {name: headers[name] for name in _FORWARDED_HEADERS if name in headers}
     if path in MODEL_PATHS:
         return _model_request(path, passed_on, body, deadline, key)
     match = _SERVICE_PATH.fullmatch(path)
@@ -74,14 +74,14 @@
         seconds = float(text)
     except ValueError:
         raise BadRequest(f"{DEADLINE_HEADER} is not a number") from None
-    if not 0.0 < seconds <= LONGEST_DEADLINE:
-        raise BadRequest(f"{DEADLINE_HEADER} must be above 0 and at most {LONGEST_DEADLINE:g}")
+    if not 0.0 < seconds <= MAX_DEADLINE_SECONDS:
+        raise BadRequest(f"{DEADLINE_HEADER} must be above 0 and at most {MAX_DEADLINE_SECONDS:g}")
     return seconds
 
 
 def _key(text: str) -> str:
-    if len(text) > LONGEST_KEY or not text.isprintable():
-        raise BadRequest(f"{KEY_HEADER} must be printable, at most {LONGEST_KEY} characters")
+    if len(text) > MAX_KEY_CHARACTERS or not text.isprintable():
+        raise BadRequest(f"{KEY_HEADER} must be printable, at most {MAX_KEY_CHARACTERS} characters")
     return text
 
 
--- a/railsail/gateway/serve.py
+++ b/railsail/gateway/serve.py
@@ -19,9 +19,9 @@
 from railsail.objects.kinds import Pool
 from railsail.store.claims import Claim, ClaimResult, claim_key, fingerprint
 
-LONGEST_CALL_SECONDS = 3600.0
+DEFAULT_DEADLINE_SECONDS = 3600.0
 # Maximum time for a claim, also if the caller gave no deadline.
-CLAIM_SECONDS = 15.0
+CLAIM_TIMEOUT_SECONDS = 15.0
 
 
 class Replay(msgspec.Struct, frozen=True):
@@ -89,7 +89,7 @@
     ) -> Served:
         verdict = self._judge.judge(workspace, describe(request, pool))
         now = self._clock.monotonic()
-        ends_at = now + (request.deadline or LONGEST_CALL_SECONDS)
+        ends_at = now + (request.deadline or DEFAULT_DEADLINE_SECONDS)
         word = "once" if verdict.never_repeat else "repeatable"
         detail = f"{pool.name} rank {verdict.rank:g} may wait {verdict.may_wait:g} s, {word}"
         known_by = request_fingerprint((workspace, request.method, request.path), request.body)
@@ -118,7 +118,7 @@
         kept: KeptAnswer | None = None
         try:
             left = served.ends_at - self._clock.monotonic()
-            answer = await self._claims.claim(claim, min(left, CLAIM_SECONDS))
+            answer = await self._claims.claim(claim, min(left, CLAIM_TIMEOUT_SECONDS))
             if answer.result is ClaimResult.CLAIMED:
                 self._events.emit(Kind.CLAIMED, "", served.id, served.workspace)
                 outcome = await self._run_holding(served, claim)
--- a/railsail/gateway/sink.py
+++ b/railsail/gateway/sink.py
@@ -7,7 +7,7 @@
 from railsail.core.exceptions import RailsailError
 from railsail.dispatch.bookings import Booking
 from railsail.dispatch.entry import TicketClient
-from railsail.gateway.answers import MOST_ANSWER_BYTES
+from railsail.gateway.answers import MAX_ANSWER_BYTES
 from railsail.scheduling.estimates import ChargeMeter
 
 
@@ -61,7 +61,7 @@
 
     async def write(self, chunk: bytes) -> None:
         """Send a piece of the body, and wait until the caller's connection has accepted it."""
-        if self._keep and self._kept_bytes <= MOST_ANSWER_BYTES:
+        if self._keep and self._kept_bytes <= MAX_ANSWER_BYTES:
             self._kept.append(chunk)
             self._kept_bytes += len(chunk)
         try:
--- a/railsail/gateway/tries.py
+++ b/railsail/gateway/tries.py
@@ -25,9 +25,9 @@
 from railsail.upstreams.heard import HeardSigns
 from railsail.upstreams.signs import read_signs
 
-MOST_TRIES = 5
+MAX_ATTEMPTS = 5
 # Urgent requests are decided at once. The second allows for replacing a dispatcher that failed.
-LEAST_WAIT_SECONDS = 1.0
+MIN_WAIT_SECONDS = 1.0
 CANCELLED = "cancelled"
 
 
@@ -83,7 +83,7 @@
         """Make attempts until an outcome is final, and return it."""
         self._budget.request()
         outcome: Outcome = NotRun(Reason.EXPIRED)
-        for _ in range(MOST_TRIES):
+        for _ in range(MAX_ATTEMPTS):
             outcome = await self._try_once(served)
             if not self._try_again(served, outcome):
                 break
@@ -136,7 +136,7 @@
 
     def _wait_seconds(self, served: Served) -> float:
         left = served.ends_at - self._clock.monotonic()
-        return min(max(served.verdict.may_wait, LEAST_WAIT_SECONDS), left)
+        return min(max(served.verdict.may_wait, MIN_WAIT_SECONDS), left)
 
     async def _call(self, served: Served, booking: Booking, replica: str) -> Outcome:
         upstream = self._directory.get(replica)
--- a/railsail/routing/answer.py
+++ b/railsail/routing/answer.py
@@ -11,7 +11,7 @@
 from railsail.routing.protocol import RouteProtocol
 from railsail.upstreams.sse import EventSplitter, StreamEvent
 
-MOST_HELD_BYTES = 64 << 20
+MAX_BUFFERED_BYTES = 64 << 20
 
 
 class AnswerRefused(RailsailError):
@@ -112,7 +112,7 @@
             self._progressed()
             return
         self._held_bytes += len(chunk)
-        if self._held_bytes > MOST_HELD_BYTES:
+        if self._held_bytes > MAX_BUFFERED_BYTES:
             raise AnswerRefused("the answer is too long")
         self._held.append(chunk)
 
--- a/railsail/routing/crowding.py
+++ b/railsail/routing/crowding.py
@@ -11,7 +11,7 @@
 from railsail.core.kernel import Kernel
 
 # Minimum time between two log lines.
-TELL_SECONDS = 1.0
+LOG_INTERVAL_SECONDS = 1.0
 
 
 class OverloadLog:
@@ -39,7 +39,7 @@
         self._counts["requests_since"] += 1
         self._counts["came_back_since"] += came_back
         now = self._clock.monotonic()
-        if now - self._told_at < TELL_SECONDS:
+        if now - self._told_at < LOG_INTERVAL_SECONDS:
             return
         self._events.emit(
             Kind.ENDED,
--- a/railsail/routing/forwarding.py
+++ b/railsail/routing/forwarding.py
@@ -35,12 +35,12 @@
 # accept a connection is gone, or has no time either.
 CONNECT_SECONDS = 0.25
 # Nodes that are tried, one after the other, until one accepts a connection.
-MOST_TARGETS = 2
+MAX_TARGETS = 2
 # The other node sends its final answer by the deadline; this node waits this much longer for it.
 GRACE_SECONDS = 0.2
 # Maximum size of a piece of an answer that is copied at once.
 CHUNK_BYTES = 64 << 10
-MOST_STATUS_LINE_BYTES = 1024
+MAX_STATUS_LINE_BYTES = 1024
 
 
 class Forwarded(msgspec.Struct, frozen=True):
@@ -82,7 +82,7 @@
     async def _forward(
         self, request: Forwarded, client: ClientAnswer
     ) -> Completed | Unknown | None:
-        for _ in range(MOST_TARGETS):
+        for _ in range(MAX_TARGETS):
             target = self._targets.choose(self._clock.monotonic())
             if target is None:
                 return None
@@ -137,7 +137,7 @@
     """Copy all that arrives to the caller, and return the status of the answer, 0 if none came."""
     status = 0
     try:
-        line = await stream.read_until(b"\r\n", max_bytes=MOST_STATUS_LINE_BYTES)
+        line = await stream.read_until(b"\r\n", max_bytes=MAX_STATUS_LINE_BYTES)
         status = parse_response_start_line(line.decode("latin-1").strip()).code
         await client.pass_on(line + await stream.read_bytes(CHUNK_BYTES, partial=True))
         while True:
--- a/railsail/routing/reach.py
+++ b/railsail/routing/reach.py
@@ -5,7 +5,7 @@
 """
 
 FORGET_SECONDS = 2.0
-MOST_REPLICAS = 1024
+MAX_REPLICAS = 1024
 
 
 class ReplicaReach:
@@ -18,7 +18,7 @@
         """Record that a connection to ``replica`` failed."""
         self._failed_at.pop(replica, None)
         self._failed_at[replica] = now
-        if len(self._failed_at) > MOST_REPLICAS:
+        if len(self._failed_at) > MAX_REPLICAS:
             del self._failed_at[next(iter(self._failed_at))]
 
     def reached(self, replica: str) -> None:
--- a/railsail/routing/refusals.py
+++ b/railsail/routing/refusals.py
@@ -5,10 +5,10 @@
 from railsail.core.outcomes import Completed, NotRun, Outcome, Reason, Unknown
 from railsail.routing.client import ClientAnswer
 from railsail.routing.protocol import RouteProtocol
-from railsail.routing.relay import RETRY_SHARE
+from railsail.routing.relay import RETRY_AFTER_SHARE
 
-LEAST_RETRY_SECONDS = 0.3
-MOST_RETRY_SECONDS = 2.5
+MIN_RETRY_AFTER_SECONDS = 0.3
+MAX_RETRY_AFTER_SECONDS = 2.5
 _STATUS = {
     Reason.BAD_REQUEST: 400,
     Reason.UNAUTHORIZED: 401,
@@ -50,10 +50,10 @@
 
     def _retry_after(self, deadline: float) -> float:
         # Jitter keeps callers that were refused at the same time from retrying at the same time.
-        longest = MOST_RETRY_SECONDS
+        longest = MAX_RETRY_AFTER_SECONDS
         if deadline:
-            longest = min(longest, RETRY_SHARE * deadline)
-        return self._rng.uniform(min(LEAST_RETRY_SECONDS, longest), longest)
+            longest = min(longest, RETRY_AFTER_SHARE * deadline)
+        return self._rng.uniform(min(MIN_RETRY_AFTER_SECONDS, longest), longest)
 
 
 def _status(outcome: NotRun | Unknown) -> int:
--- a/railsail/routing/relay.py
+++ b/railsail/routing/relay.py
@@ -29,21 +29,21 @@
 
 CONNECT_SECONDS = 0.4
 # Callers are asked to retry within this share of the time that they have left.
-RETRY_SHARE = 1 / 3
+RETRY_AFTER_SHARE = 1 / 3
 # A request may wait this long for a replica even if the time in which it may wait has passed, so
 # that a retry after a refusal is not refused at once.
-LEAST_WAIT_SECONDS = 0.02
+MIN_WAIT_SECONDS = 0.02
 # A stream that broke off may wait this long for another replica; by then its caller gives up.
 RESUME_WAIT_SECONDS = 1.0
 # If a request can be retried, an attempt is cut off after its replica was silent for this many
 # objectives of the route or, within a stream, for this many of its longest pauses between two
 # events.
-SILENT_OBJECTIVES = 3.0
-SILENT_PAUSES = 4.0
-LEAST_SILENCE_SECONDS = 1.0
+SILENCE_TIMEOUT_OBJECTIVES = 3.0
+SILENCE_TIMEOUT_PAUSES = 4.0
+MIN_SILENCE_TIMEOUT_SECONDS = 1.0
 # A generated token costs a replica about twice as much as a token of the prompt.
-OUTPUT_COST = 2.0
-_REPEATABLE_REFUSALS = (Reason.UNREACHABLE, Reason.REFUSED)
+OUTPUT_TOKEN_COST = 2.0
+_RETRYABLE_REASONS = (Reason.UNREACHABLE, Reason.REFUSED)
 
 
 @dataclass
@@ -150,7 +150,7 @@
         if isinstance(outcome, Completed) or now >= routed.ends_at:
             return False
         if isinstance(outcome, NotRun):
-            if outcome.reason not in _REPEATABLE_REFUSALS:
+            if outcome.reason not in _RETRYABLE_REASONS:
                 return False
             cause = "not-run"
         elif routed.may_repeat:
@@ -180,7 +180,7 @@
 
     def _wait_seconds(self, routed: Routed) -> float:
         now = self._clock.monotonic()
-        least = RESUME_WAIT_SECONDS if routed.stream.head is not None else LEAST_WAIT_SECONDS
+        least = RESUME_WAIT_SECONDS if routed.stream.head is not None else MIN_WAIT_SECONDS
         return max(0.0, min(max(routed.offer_by - now, least), routed.ends_at - now))
 
     def _want(self, routed: Routed, patience: float) -> PoolRequest:
@@ -199,7 +199,7 @@
             shared_tokens=prompt.shared_tokens,
             objective=routed.route.objective,
             patience=patience,
-            returns_within=RETRY_SHARE * max(0.0, routed.ends_at - now),
+            returns_within=RETRY_AFTER_SHARE * max(0.0, routed.ends_at - now),
             regions=routed.regions,
             fingerprint=routed.fingerprint,
             route=self._route(routed),
@@ -221,7 +221,10 @@
         except (asyncio.CancelledError, ClientLeft):
             # The caller left, but only after a time in which the answer should have started: the
             # replica is likely to be at fault.
-            if not booking.begun and self._clock.monotonic() - sent_at > LEAST_SILENCE_SECONDS:
+            if (
+                not booking.begun
+                and self._clock.monotonic() - sent_at > MIN_SILENCE_TIMEOUT_SECONDS
+            ):
                 result = CallResult.ERROR
             else:
                 result = CallResult.CALLER_LEFT
@@ -358,10 +361,10 @@
     output = prompt.expected_output or prompt.most_output
     if prompt.most_output:
         output = min(output, prompt.most_output)
-    return max(1.0, prompt.tokens + OUTPUT_COST * output)
+    return max(1.0, prompt.tokens + OUTPUT_TOKEN_COST * output)
 
 
 def _patience(routed: Routed) -> float:
     if routed.stream.head is not None and routed.route.pause:
-        return max(LEAST_SILENCE_SECONDS, SILENT_PAUSES * routed.route.pause)
-    return max(LEAST_SILENCE_SECONDS, SILENT_OBJECTIVES * routed.route.objective)
+        return max(MIN_SILENCE_TIMEOUT_SECONDS, SILENCE_TIMEOUT_PAUSES * routed.route.pause)
+    return max(MIN_SILENCE_TIMEOUT_SECONDS, SILENCE_TIMEOUT_OBJECTIVES * routed.route.objective)
--- a/railsail/routing/relief.py
+++ b/railsail/routing/relief.py
@@ -23,7 +23,7 @@
 from railsail.routing.forwarding import Forwarded, Forwarder
 from railsail.routing.messages import Arrival, Origin
 from railsail.routing.protocol import RouteProtocol
-from railsail.routing.refusals import MOST_RETRY_SECONDS, Refusals
+from railsail.routing.refusals import MAX_RETRY_AFTER_SECONDS, Refusals
 from railsail.scheduling.returning import RefusedCallers
 
 
@@ -126,7 +126,7 @@
         known_by = request_fingerprint(head, arrival.body)
         now = self._clock.monotonic()
         came_back = self._refused.comes_back(known_by, now)
-        self._refused.refused(known_by, MOST_RETRY_SECONDS, now)
+        self._refused.refused(known_by, MAX_RETRY_AFTER_SECONDS, now)
         return came_back
 
     async def _refuse(self, case: _Case) -> None:
--- a/railsail/routing/targets.py
+++ b/railsail/routing/targets.py
@@ -9,10 +9,10 @@
 
 # Seconds between updates of the candidates. Checking every member for each request would cost more
 # than forwarding it, and the fleet learns within a second that a node has left.
-LOOK_UP_SECONDS = 0.5
+REFRESH_SECONDS = 0.5
 # A node that could not be connected to is skipped for this long; by then its neighbours know
 # whether it is gone.
-FAILED_SECONDS = 2.0
+CONNECT_BACKOFF_SECONDS = 2.0
 
 
 class ForwardTargets:
@@ -63,7 +63,7 @@
         return (self._running[member.node] + 1) / 2**member.speed
 
     def _look_up(self, now: float) -> None:
-        self._look_up_at = now + LOOK_UP_SECONDS
+        self._look_up_at = now + REFRESH_SECONDS
         self._failed_until = {n: until for n, until in self._failed_until.items() if until > now}
         own = self._own()
         others = [m for m in self._members() if m.node != own.node and m.forward_port]
@@ -96,4 +96,4 @@
 
     def failed(self, node: str, now: float) -> None:
         """Record that a connection to ``node`` failed."""
-        self._failed_until[node] = now + FAILED_SECONDS
+        self._failed_until[node] = now + CONNECT_BACKOFF_SECONDS
--- a/tests/gateway/test_admission.py
+++ b/tests/gateway/test_admission.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from railsail.gateway.admission import LEAST_CROWD, Admission
+from railsail.gateway.admission import MIN_OVERLOAD_REQUESTS, Admission
 
 
 class CrowdTests(unittest.TestCase):
@@ -14,19 +14,19 @@
             self.assertIsNone(self.admission.enter(workspace))
 
     def test_few_requests_crowd_nothing(self):
-        self.hold("one", LEAST_CROWD - 1)
+        self.hold("one", MIN_OVERLOAD_REQUESTS - 1)
         self.assertFalse(self.admission.crowded or self.admission.crowds("one"))
 
     def test_workspace_with_most_requests_crowds_and_a_light_one_does_not(self):
-        self.hold("flood", 5 * LEAST_CROWD)
-        self.hold("light", LEAST_CROWD)
+        self.hold("flood", 5 * MIN_OVERLOAD_REQUESTS)
+        self.hold("light", MIN_OVERLOAD_REQUESTS)
         self.assertTrue(self.admission.crowded)
         self.assertTrue(self.admission.crowds("flood"))
         self.assertFalse(self.admission.crowds("light") or self.admission.crowds("new"))
 
     def test_workspaces_with_equal_shares_all_crowd(self):
-        self.hold("one", LEAST_CROWD)
-        self.hold("two", LEAST_CROWD)
+        self.hold("one", MIN_OVERLOAD_REQUESTS)
+        self.hold("two", MIN_OVERLOAD_REQUESTS)
         self.assertTrue(self.admission.crowds("one") and self.admission.crowds("two"))
 
 
--- a/tests/gateway/test_concurrency.py
+++ b/tests/gateway/test_concurrency.py
@@ -4,10 +4,10 @@
 
 from railsail.core.looplag import STEP_SECONDS, LoopLag
 from railsail.gateway.concurrency import (
-    FIRST_FORWARDED,
-    FIRST_LIMIT,
-    LEAST_FORWARDED,
-    LEAST_LIMIT,
+    INITIAL_FORWARDED_LIMIT,
+    INITIAL_LIMIT,
+    MIN_FORWARDED_LIMIT,
+    MIN_LIMIT,
     ConcurrencyLimit,
     NodeLimits,
 )
@@ -46,7 +46,7 @@
         limit = ConcurrencyLimit()
         for _ in range(100):
             limit.adjust(False, 10)
-        self.assertEqual(limit.limit, FIRST_LIMIT)
+        self.assertEqual(limit.limit, INITIAL_LIMIT)
 
     def test_limit_falls_from_what_is_held_and_not_below_the_least(self):
         limit = ConcurrencyLimit()
@@ -54,7 +54,7 @@
         self.assertLess(limit.limit, 40)
         for _ in range(100):
             limit.adjust(True, 0)
-        self.assertEqual(limit.limit, LEAST_LIMIT)
+        self.assertEqual(limit.limit, MIN_LIMIT)
         self.assertTrue(limit.full(16))
         self.assertFalse(limit.full(15))
 
@@ -99,7 +99,7 @@
         limits = NodeLimits()
         limits.adjust(True, 64, 300)
         while not limits.served.least:
-            self.assertEqual(limits.forwarded.limit, FIRST_FORWARDED)
+            self.assertEqual(limits.forwarded.limit, INITIAL_FORWARDED_LIMIT)
             limits.adjust(True, 64, 300)
         self.assertLess(limits.forwarded.limit, 300)
 
@@ -107,15 +107,15 @@
         limits = NodeLimits()
         for _ in range(200):
             limits.adjust(True, 16, 0)
-        self.assertEqual(limits.served.limit, LEAST_LIMIT)
-        self.assertEqual(limits.forwarded.limit, LEAST_FORWARDED)
+        self.assertEqual(limits.served.limit, MIN_LIMIT)
+        self.assertEqual(limits.forwarded.limit, MIN_FORWARDED_LIMIT)
         self.assertFalse(limits.forwarded.full(100))
 
     def test_both_rise_where_they_hold_requests_back(self):
         limits = NodeLimits()
         limits.adjust(False, 64, 10)
-        self.assertGreater(limits.served.limit, FIRST_LIMIT)
-        self.assertEqual(limits.forwarded.limit, FIRST_FORWARDED)
+        self.assertGreater(limits.served.limit, INITIAL_LIMIT)
+        self.assertEqual(limits.forwarded.limit, INITIAL_FORWARDED_LIMIT)
 
 
 if __name__ == "__main__":
--- a/tests/gateway/test_pace.py
+++ b/tests/gateway/test_pace.py
@@ -9,8 +9,8 @@
 from railsail.core.kernel import Kernel
 from railsail.core.looplag import LATE_SECONDS, SAMPLES, LoopLag
 from railsail.core.metrics import Metrics
-from railsail.gateway.admission import LEAST_CROWD, Admission
-from railsail.gateway.pace import LATE_FOR_SECONDS, OwnPace
+from railsail.gateway.admission import MIN_OVERLOAD_REQUESTS, Admission
+from railsail.gateway.pace import LATE_AFTER_SECONDS, OwnPace
 from railsail.membership.speed import RISE_SECONDS, SAMPLE_SECONDS, UNKNOWN_LEVEL
 from railsail.membership.table import MemberTable
 from tests.membership.test_table import member
@@ -59,18 +59,18 @@
         do()
 
     def test_short_lateness_counts_for_nothing(self):
-        self.hold(LEAST_CROWD)
-        self.be_late(LATE_FOR_SECONDS / 2)
+        self.hold(MIN_OVERLOAD_REQUESTS)
+        self.be_late(LATE_AFTER_SECONDS / 2)
         self.assertFalse(self.pace.late)
 
     def test_node_that_holds_little_is_not_late_for_its_callers(self):
-        self.hold(LEAST_CROWD - 1)
-        self.be_late(LATE_FOR_SECONDS * 2)
+        self.hold(MIN_OVERLOAD_REQUESTS - 1)
+        self.be_late(LATE_AFTER_SECONDS * 2)
         self.assertFalse(self.pace.late)
 
     async def test_late_node_tells_the_lowest_level_until_it_was_in_time_for_a_while(self):
-        self.hold(LEAST_CROWD)
-        self.be_late(LATE_FOR_SECONDS * 2)
+        self.hold(MIN_OVERLOAD_REQUESTS)
+        self.be_late(LATE_AFTER_SECONDS * 2)
         self.assertTrue(self.pace.late)
         self.assertEqual((await self.told_after_a_step())[-1], UNKNOWN_LEVEL)
         for _ in range(SAMPLES):
--- a/tests/platform/base.py
+++ b/tests/platform/base.py
@@ -8,7 +8,7 @@
 
 from railsail.conf.settings import parse
 from railsail.core.logs import configure_logs
-from railsail.gateway.concurrency import FIRST_LIMIT
+from railsail.gateway.concurrency import INITIAL_LIMIT
 from railsail.node import Node
 from railsail.standins.fleet import free_ports
 from tests.platform.standins import (
@@ -79,7 +79,7 @@
         """Keep the lag of the test's own loop from ``node``'s limits: it tells of the machine."""
         node.lag.take = lambda seconds: None
         # What it told before this, while the node started, is forgotten too.
-        node.front._relief._limit.limit = FIRST_LIMIT
+        node.front._relief._limit.limit = INITIAL_LIMIT
 
     async def asyncTearDown(self) -> None:
         for node in self.nodes:
--- a/tests/platform/test_crowded.py
+++ b/tests/platform/test_crowded.py
@@ -23,7 +23,7 @@
 from dataclasses import replace
 from unittest import mock
 
-from railsail.gateway.admission import LEAST_CROWD
+from railsail.gateway.admission import MIN_OVERLOAD_REQUESTS
 from railsail.node import Node
 from railsail.routing import forwarding, relay
 from railsail.scheduling import room
@@ -107,15 +107,15 @@
         self.hold_lag(idle)
         await self.until(lambda: self.knows_port(full, idle))
         if not settings:
-            full.front._relief._limit.limit = float(LEAST_CROWD)
+            full.front._relief._limit.limit = float(MIN_OVERLOAD_REQUESTS)
         deadline = str(LONG_MS)
         self.held = [
             asyncio.ensure_future(
                 self.call(full, "/once/", Request_Id=f"h-{number}", Deadline_Ms=deadline)
             )
-            for number in range(LEAST_CROWD)
+            for number in range(MIN_OVERLOAD_REQUESTS)
         ]
-        await self.until(lambda: full.admission.total == LEAST_CROWD)
+        await self.until(lambda: full.admission.total == MIN_OVERLOAD_REQUESTS)
         return full, idle
 
     def knows_port(self, node: Node, other: Node) -> bool:
@@ -145,7 +145,7 @@
         self.assertEqual([answer.status for answer in answers], [200] * MORE)
 
     async def test_bound_on_a_workspace_at_one_node_does_not_bind_it_in_the_fleet(self):
-        full, _ = await self.serve_crowded(queue_per_workspace=str(LEAST_CROWD))
+        full, _ = await self.serve_crowded(queue_per_workspace=str(MIN_OVERLOAD_REQUESTS))
         answers = await self.call_many(full)
         self.assertEqual([answer.status for answer in answers], [200] * MORE)
 
@@ -182,7 +182,7 @@
         _, writer = await self.connect(full)
         writer.write(request("/once/", Request_Id="r-leaves"))
         await self.until(lambda: idle.admission.total == 1)
-        await self.until(lambda: len(self.replicas[0].received) == LEAST_CROWD + 1)
+        await self.until(lambda: len(self.replicas[0].received) == MIN_OVERLOAD_REQUESTS + 1)
         writer.close()
         await self.until(lambda: self.replicas[0].left == 1)
         await self.until(lambda: idle.admission.total == 0 and full.forwarder.total == 0)
@@ -190,14 +190,14 @@
     async def test_outcome_is_unknown_where_the_other_node_dies(self):
         full, idle = await self.serve_crowded()
         call = asyncio.ensure_future(self.call(full, "/once/", Request_Id="r-dies"))
-        await self.until(lambda: len(self.replicas[0].received) == LEAST_CROWD + 1)
+        await self.until(lambda: len(self.replicas[0].received) == MIN_OVERLOAD_REQUESTS + 1)
         await idle.abort()
         self.assertEqual((await call).status, 502)
 
     async def test_stream_that_the_other_node_breaks_off_does_not_look_whole(self):
         full, idle = await self.serve_crowded()
         call = asyncio.ensure_future(self.call(full, "/resume/"))
-        await self.until(lambda: len(self.replicas[0].received) == LEAST_CROWD + 1)
+        await self.until(lambda: len(self.replicas[0].received) == MIN_OVERLOAD_REQUESTS + 1)
         await asyncio.sleep(BREAK_SECONDS)
         await idle.abort()
         answer = await call
@@ -261,7 +261,7 @@
             await writer.drain()
 
         full, idle = await self.serve_crowded()
-        await self.until(lambda: len(self.replicas[0].received) == LEAST_CROWD)
+        await self.until(lambda: len(self.replicas[0].received) == MIN_OVERLOAD_REQUESTS)
         self.replicas[0].script = leaving
         self.assertEqual((await self.call(full, "/again/")).status, 200)
         await self.until(lambda: idle.directory.get("i-0").leaving)
--- a/tests/platform/test_late.py
+++ b/tests/platform/test_late.py
@@ -5,13 +5,13 @@
 from unittest import mock
 
 from railsail.core.looplag import LATE_SECONDS, SAMPLES
-from railsail.gateway.admission import LEAST_CROWD
-from railsail.gateway.concurrency import FIRST_LIMIT
-from railsail.gateway.pace import LATE_FOR_SECONDS
+from railsail.gateway.admission import MIN_OVERLOAD_REQUESTS
+from railsail.gateway.concurrency import INITIAL_LIMIT
+from railsail.gateway.pace import LATE_AFTER_SECONDS
 from railsail.node import Node
 from railsail.routing import crowding
-from railsail.routing.refusals import LEAST_RETRY_SECONDS
-from railsail.routing.relay import RETRY_SHARE
+from railsail.routing.refusals import MIN_RETRY_AFTER_SECONDS
+from railsail.routing.relay import RETRY_AFTER_SHARE
 from tests.platform.base import LONG_MS, ROUTES, PlatformTestCase
 from tests.platform.standins import answering, hanging
 
@@ -30,7 +30,7 @@
         node.lag.take = lambda seconds: None
         for _ in range(SAMPLES):
             type(node.lag).take(node.lag, LATE_SECONDS * 2)
-        node.lag._late_since -= 2 * LATE_FOR_SECONDS
+        node.lag._late_since -= 2 * LATE_AFTER_SECONDS
         for _ in range(SAMPLES_TO_LEAST):
             node.lag._listeners[0]()
 
@@ -39,9 +39,9 @@
         long = str(LONG_MS)
         calls = [
             asyncio.ensure_future(self.call(node, "/once/", Deadline_Ms=long))
-            for _ in range(LEAST_CROWD)
+            for _ in range(MIN_OVERLOAD_REQUESTS)
         ]
-        await self.until(lambda: node.admission.total == LEAST_CROWD)
+        await self.until(lambda: node.admission.total == MIN_OVERLOAD_REQUESTS)
         return calls
 
     async def test_crowding_workspace_is_refused_as_not_run_and_told_to_come_back_later(self):
@@ -51,8 +51,8 @@
         answer = await self.call(node, "/once/", Request_Id="r-2")
         self.assertEqual(answer.status, 503)
         # It comes back to the same node, which must have had time, and before it gives up.
-        self.assertGreaterEqual(float(answer.headers["Retry-After"]), LEAST_RETRY_SECONDS)
-        self.assertLessEqual(float(answer.headers["Retry-After"]), RETRY_SHARE * 4.0)
+        self.assertGreaterEqual(float(answer.headers["Retry-After"]), MIN_RETRY_AFTER_SECONDS)
+        self.assertLessEqual(float(answer.headers["Retry-After"]), RETRY_AFTER_SHARE * 4.0)
         self.assertNotIn("r-2", [got.headers["Request-Id"] for got in self.replicas[0].received])
         self.assertIn("this node is late", node.not_ready())
         for call in calls:
@@ -64,7 +64,7 @@
         self.make_late(node)
         told = []
         node.events.on_emit(lambda event: told.append(event.facts))
-        with mock.patch.object(crowding, "TELL_SECONDS", 0.0):
+        with mock.patch.object(crowding, "LOG_INTERVAL_SECONDS", 0.0):
             await self.call(node, "/once/", body=b"one", Request_Id="r-2", Deadline_Ms="3500")
             await self.call(node, "/once/", body=b"other", Request_Id="r-3")
             await self.call(node, "/once/", body=b"one", Request_Id="r-4", Deadline_Ms="2500")
@@ -85,10 +85,10 @@
         # The test's own loop may be late where the machine is busy.
         node.lag.take = lambda seconds: None
         # What it told before this, while the node started, is forgotten too.
-        node.front._relief._limit.limit = FIRST_LIMIT
+        node.front._relief._limit.limit = INITIAL_LIMIT
         calls = await self.crowd(node)
         task = asyncio.ensure_future(self.call(node, "/once/", Request_Id="r-2"))
-        await self.until(lambda: node.admission.total == LEAST_CROWD + 1)
+        await self.until(lambda: node.admission.total == MIN_OVERLOAD_REQUESTS + 1)
         for call in [task, *calls]:
             call.cancel()
 
--- a/tests/routing/test_reach.py
+++ b/tests/routing/test_reach.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from railsail.routing.reach import FORGET_SECONDS, MOST_REPLICAS, ReplicaReach
+from railsail.routing.reach import FORGET_SECONDS, MAX_REPLICAS, ReplicaReach
 
 
 class ReachTests(unittest.TestCase):
@@ -26,9 +26,9 @@
         self.assertEqual(self.reach.avoid(1.1), "")
 
     def test_memory_is_bounded(self):
-        for number in range(MOST_REPLICAS + 5):
+        for number in range(MAX_REPLICAS + 5):
             self.reach.failed(f"r{number}", float(number))
-        self.assertEqual(len(self.reach._failed_at), MOST_REPLICAS)
+        self.assertEqual(len(self.reach._failed_at), MAX_REPLICAS)
 
 
 if __name__ == "__main__":
--- a/tests/routing/test_targets.py
+++ b/tests/routing/test_targets.py
@@ -7,7 +7,7 @@
 
 from railsail.membership.speed import UNKNOWN_LEVEL
 from railsail.membership.table import Member
-from railsail.routing.targets import FAILED_SECONDS, LOOK_UP_SECONDS, ForwardTargets
+from railsail.routing.targets import CONNECT_BACKOFF_SECONDS, REFRESH_SECONDS, ForwardTargets
 from tests.membership.test_table import member
 
 SPEED = 4
@@ -92,13 +92,13 @@
         self.members += [peer("a"), peer("b")]
         self.targets.failed("a", 1.0)
         self.assertEqual(self.chosen(5), {"b": 5})
-        self.assertEqual(set(self.chosen(20, 1.0 + FAILED_SECONDS)), {"a", "b"})
+        self.assertEqual(set(self.chosen(20, 1.0 + CONNECT_BACKOFF_SECONDS)), {"a", "b"})
 
     def test_node_that_left_is_given_nothing_soon_after(self):
         self.members += [peer("a"), peer("b")]
         self.chosen(2)
         self.members.remove(peer("a"))
-        self.assertEqual(self.chosen(5, 1.0 + LOOK_UP_SECONDS), {"b": 5})
+        self.assertEqual(self.chosen(5, 1.0 + REFRESH_SECONDS), {"b": 5})
 
     def test_requests_that_ended_count_no_more(self):
         self.members += [peer("a"), peer("b")]
