--- a/railsail/gateway/admission.py
+++ b/railsail/gateway/admission.py
@@ -1,7 +1,7 @@
-"""Limits on the requests that this node holds at once, per workspace and in total.
+"""Limits on the requests in flight at this node, per workspace and in total.
 
 A workspace that floods the node is refused before it takes the capacity that others need: one
-workspace may hold at most half of the capacity that the others leave free.
+workspace may use at most half of the capacity that the others leave free.
 """
 
 from railsail.core.outcomes import NotRun, Reason
@@ -13,62 +13,64 @@
 
 
 class Admission:
-    """Count the requests that this node holds, and refuse those beyond the limits."""
+    """Count the requests in flight at this node, and refuse those beyond the limits."""
 
-    def __init__(self, per_workspace: int, total: int) -> None:
-        self._per_workspace = per_workspace
-        self._total = total
-        self._held: dict[str, int] = {}
-        self._sum = 0
+    def __init__(self, max_per_workspace: int, max_total: int) -> None:
+        self._max_per_workspace = max_per_workspace
+        self._max_total = max_total
+        self._in_flight: dict[str, int] = {}
+        self._in_flight_total = 0
 
-    def held(self, workspace: str) -> int:
-        """Return the number of requests of ``workspace`` that the node holds."""
-        return self._held.get(workspace, 0)
+    def in_flight(self, workspace: str) -> int:
+        """Return the number of requests of ``workspace`` in flight."""
+        return self._in_flight.get(workspace, 0)
 
     @property
     def total(self) -> int:
-        """Return the number of all requests that the node holds."""
-        return self._sum
+        """Return the number of all requests in flight."""
+        return self._in_flight_total
 
     @property
-    def may_refuse(self) -> bool:
-        """Return True if the node holds enough requests for some workspace to be refused."""
-        return self._sum >= min(self._per_workspace, (self._total + 1) / 2)
+    def can_refuse(self) -> bool:
+        """Return True if enough requests are in flight for some workspace to be refused."""
+        return self._in_flight_total >= min(self._max_per_workspace, (self._max_total + 1) / 2)
 
     @property
-    def crowded(self) -> bool:
-        """Return True if the node holds enough requests to be kept busy by them."""
-        return self._sum >= MIN_OVERLOAD_REQUESTS
+    def is_loaded(self) -> bool:
+        """Return True if enough requests are in flight to keep the node busy."""
+        return self._in_flight_total >= MIN_OVERLOAD_REQUESTS
 
-    def crowds(self, workspace: str) -> bool:
+    def causes_overload(self, workspace: str) -> bool:
         """Return True if ``workspace`` has a part in overloading the node.
 
-        This is a workspace of which the node holds many requests, and no fewer than of the average
-        one.
+        It then has many requests in flight, and no fewer than the average workspace.
         """
-        held = self.held(workspace)
-        return held >= MIN_OVERLOAD_REQUESTS and held * len(self._held) >= self._sum
+        in_flight = self.in_flight(workspace)
+        return (
+            in_flight >= MIN_OVERLOAD_REQUESTS
+            and in_flight * len(self._in_flight) >= self._in_flight_total
+        )
 
     def refusal(self, workspace: str) -> NotRun | None:
         """Return why another request of ``workspace`` would be refused, or ``None``."""
-        held = self.held(workspace)
-        if held >= self._per_workspace:
+        in_flight = self.in_flight(workspace)
+        if in_flight >= self._max_per_workspace:
             return NotRun(Reason.QUEUE_FULL, "of the workspace", FULL_RETRY_AFTER_SECONDS)
-        if held >= (self._total - self._sum + held + 1) / 2:
+        if in_flight >= (self._max_total - self._in_flight_total + in_flight + 1) / 2:
             return NotRun(Reason.QUEUE_FULL, "of the node", FULL_RETRY_AFTER_SECONDS)
         return None
 
-    def enter(self, workspace: str) -> NotRun | None:
+    def admit(self, workspace: str) -> NotRun | None:
         """Admit one more request of ``workspace``, or return its refusal."""
         refused = self.refusal(workspace)
         if refused is None:
-            self._held[workspace] = self.held(workspace) + 1
-            self._sum += 1
+            self._in_flight[workspace] = self.in_flight(workspace) + 1
+            self._in_flight_total += 1
         return refused
 
-    def leave(self, workspace: str) -> None:
+    def release(self, workspace: str) -> None:
         """Stop counting a request of ``workspace``."""
-        self._sum -= 1
-        self._held[workspace] -= 1
-        if not self._held[workspace]:
-            del self._held[workspace]
+        self._in_flight_total -= 1
+        self._in_flight[workspace] -= 1
+        if not self._in_flight[workspace]:
+            del self._in_flight[workspace]
--- a/railsail/gateway/concurrency.py
+++ b/railsail/gateway/concurrency.py
@@ -10,7 +10,7 @@
 
 from railsail.gateway.admission import MIN_OVERLOAD_REQUESTS
 
-# Initial limit of requests held at once: 64 streams of 14 events a second, at 0.23 ms of a whole
+# Initial limit of requests served at once: 64 streams of 14 events a second, at 0.23 ms of a whole
 # core per event, take 40% of a node with half a core.
 INITIAL_LIMIT = 64.0
 # Initial limit of requests forwarded to other nodes at once. Forwarding an answer of 40 events
@@ -47,15 +47,15 @@
         """Return True if the limit cannot fall further."""
         return self.limit <= self._floor
 
-    def full(self, held: int) -> bool:
-        """Return True if a node that holds ``held`` requests should hold no more."""
-        return held >= self.limit
+    def full(self, in_flight: int) -> bool:
+        """Return True if a node with ``in_flight`` requests should accept no more."""
+        return in_flight >= self.limit
 
-    def adjust(self, late: bool, held: int) -> None:
-        """Adjust the limit to whether the loop was late while the node held ``held`` requests."""
+    def adjust(self, late: bool, in_flight: int) -> None:
+        """Adjust the limit to whether the loop was late with ``in_flight`` requests."""
         if late:
-            self.limit = max(self._floor, min(self.limit, held) * DECREASE_FACTOR)
-        elif held > NEAR_LIMIT_SHARE * self.limit:
+            self.limit = max(self._floor, min(self.limit, in_flight) * DECREASE_FACTOR)
+        elif in_flight > NEAR_LIMIT_SHARE * self.limit:
             self.limit *= INCREASE_FACTOR
 
 
@@ -67,7 +67,7 @@
         self.forwarded = ConcurrencyLimit(INITIAL_FORWARDED_LIMIT, MIN_FORWARDED_LIMIT)
 
     def adjust(self, late: bool, served: int, forwarded: int) -> None:
-        """Adjust the limits to whether the loop was late while this many requests ran."""
+        """Adjust both limits to whether the loop was late with this many requests of each kind."""
         self.served.adjust(late, served)
         # Forwarding costs the least, so its limit falls only after the other one has reached its
         # lower bound. While the node is late, neither limit rises.
--- a/railsail/gateway/pace.py
+++ b/railsail/gateway/pace.py
@@ -35,7 +35,7 @@
     @property
     def late(self) -> bool:
         """Return True if the event loop has been late for a while, probably because of callers."""
-        return self._admission.crowded and self._lag.late_for() > LATE_AFTER_SECONDS
+        return self._admission.is_loaded and self._lag.late_for() > LATE_AFTER_SECONDS
 
     async def run(self) -> None:
         """Measure and report until cancelled."""
--- a/railsail/gateway/serve.py
+++ b/railsail/gateway/serve.py
@@ -70,14 +70,14 @@
         pool = self._catalog().pool(request.pool)
         if pool is None:
             return NotRun(Reason.UNKNOWN_POOL, f"there is no pool {request.pool!r}")
-        refused = self._admission.enter(workspace)
+        refused = self._admission.admit(workspace)
         if refused is not None:
             return refused
         try:
             served = self._begin(request_id, workspace, request, pool, sink)
             return await self._run(served)
         finally:
-            self._admission.leave(workspace)
+            self._admission.release(workspace)
 
     def _begin(
         self,
--- a/railsail/gateway/verdicts.py
+++ b/railsail/gateway/verdicts.py
@@ -64,7 +64,7 @@
         return Inputs(
             WorkspaceInput(workspace, bought.name, bought.weight),
             request,
-            LoadInput(self._admission.held(workspace), self._admission.total),
+            LoadInput(self._admission.in_flight(workspace), self._admission.total),
         )
 
 
--- a/railsail/routing/crowding.py
+++ b/railsail/routing/crowding.py
@@ -20,7 +20,7 @@
     def __init__(self, kernel: Kernel) -> None:
         self._clock = kernel.clock
         self._events = kernel.events
-        self._told_at = -math.inf
+        self._logged_at = -math.inf
         self._counts: Counter[str] = Counter()
 
     def forwarded(self) -> None:
@@ -28,18 +28,18 @@
         self._counts["forwarded_since"] += 1
 
     def refused(
-        self, request_id: str, workspace: str, came_back: bool, held: int, limit: float
+        self, request_id: str, workspace: str, is_retry: bool, in_flight: int, limit: float
     ) -> None:
         """Count a request that was refused as not run, and log the counts if a line is due.
 
-        ``came_back`` is true if this node has refused the request before: free capacity at other
-        nodes does not help callers that retry at the node that refused them. The node holds
-        ``held`` requests, of at most ``limit``.
+        ``is_retry`` is true if this node has refused the request before: free capacity at other
+        nodes does not help callers that retry at the node that refused them. The node has
+        ``in_flight`` requests, of at most ``limit``.
         """
         self._counts["requests_since"] += 1
-        self._counts["came_back_since"] += came_back
+        self._counts["came_back_since"] += is_retry
         now = self._clock.monotonic()
-        if now - self._told_at < LOG_INTERVAL_SECONDS:
+        if now - self._logged_at < LOG_INTERVAL_SECONDS:
             return
         self._events.emit(
             Kind.ENDED,
@@ -47,9 +47,9 @@
             request_id,
             workspace,
             notable=True,
-            held=held,
+            held=in_flight,
             limit=round(limit),
             **self._counts,
         )
-        self._told_at = now
+        self._logged_at = now
         self._counts.clear()
--- a/railsail/routing/front.py
+++ b/railsail/routing/front.py
@@ -27,7 +27,7 @@
 from railsail.routing.protocol import RouteProtocol
 from railsail.routing.refusals import Refusals
 from railsail.routing.relay import Relay, Routed
-from railsail.routing.relief import Relief
+from railsail.routing.relief import Offloader
 from railsail.routing.table import RouteTable, choose_pool
 
 # The name of no region: a request that is restricted to it can run nowhere.
@@ -61,7 +61,7 @@
         self._rng: random.Random = kernel.rng
         self._routes = RouteTable()
         self._refusals = Refusals(protocol, kernel.rng)
-        self._relief = Relief(
+        self._offloader = Offloader(
             protocol,
             self._find_route,
             self._regions,
@@ -89,7 +89,7 @@
     ) -> None:
         """Serve one request of a caller."""
         arrival = Arrival(line, headers, body, self._clock.monotonic())
-        if not await self._relief.relieved(arrival, client, may_forward=True):
+        if not await self._offloader.offload(arrival, client, can_forward=True):
             await self._serve_here(arrival, client)
 
     async def handle_forwarded(
@@ -97,7 +97,7 @@
     ) -> None:
         """Serve one request that another node has forwarded; it is not forwarded again."""
         arrival = Arrival(line, headers, body, self._clock.monotonic())
-        if not await self._relief.relieved(arrival, client, may_forward=False):
+        if not await self._offloader.offload(arrival, client, can_forward=False):
             await self._serve_here(arrival, client)
 
     async def _serve_here(self, arrival: Arrival, client: ClientAnswer) -> None:
@@ -142,14 +142,14 @@
             self._events.emit(Kind.RECEIVED, request=request.id, **held.facts())
             return found, None
         route, pool, workspace = found
-        refused = self._admission.enter(workspace)
+        refused = self._admission.admit(workspace)
         if refused is not None:
             return refused, None
         try:
             routed = self._begin(request, route, pool, workspace, client, received_at)
             return await self._relay.run(routed), routed
         finally:
-            self._admission.leave(workspace)
+            self._admission.release(workspace)
 
     def _find(self, request: RoutedRequest) -> NotRun | tuple[Route, Pool, str]:
         catalog = self._catalog
--- a/railsail/routing/relief.py
+++ b/railsail/routing/relief.py
@@ -27,7 +27,7 @@
 from railsail.scheduling.returning import RefusedCallers
 
 
-class _Case(msgspec.Struct, frozen=True):
+class _Candidate(msgspec.Struct, frozen=True):
     """A request that arrived at a full node, parsed only as far as needed, and its caller."""
 
     arrival: Arrival
@@ -37,7 +37,7 @@
     client: ClientAnswer
 
 
-class Relief:
+class Offloader:
     """Forward or refuse requests while this node holds as many as ``limit`` allows."""
 
     def __init__(
@@ -63,10 +63,10 @@
         self._clock = kernel.clock
         self._metrics = kernel.metrics
         self._endings = Endings(kernel)
-        self._crowd_log = OverloadLog(kernel)
-        self._refused = RefusedCallers()
+        self._overload_log = OverloadLog(kernel)
+        self._refused_callers = RefusedCallers()
 
-    async def relieved(self, arrival: Arrival, client: ClientAnswer, may_forward: bool) -> bool:
+    async def offload(self, arrival: Arrival, client: ClientAnswer, can_forward: bool) -> bool:
         """Forward or refuse the request if this node is full, and return True if it did either.
 
         The node is full if ``limit`` is reached, or if admission would refuse the request. Only
@@ -74,73 +74,77 @@
         to serve the request itself.
         """
         full = self._limit.full(self._admission.total)
-        if not (full or self._admission.may_refuse):
+        if not (full or self._admission.can_refuse):
             return False
-        case = self._read(arrival, client)
-        if case is None:
+        candidate = self._read(arrival, client)
+        if candidate is None:
             return False
-        if not full and self._admission.refusal(case.workspace) is None:
+        if not full and self._admission.refusal(candidate.workspace) is None:
             return False
-        if may_forward and await self._forwarded(case):
+        if can_forward and await self._forward(candidate):
             return True
-        if not self._admission.crowds(case.workspace):
+        if not self._admission.causes_overload(candidate.workspace):
             return False
-        await self._refuse(case)
+        await self._refuse(candidate)
         return True
 
-    def _read(self, arrival: Arrival, client: ClientAnswer) -> _Case | None:
+    def _read(self, arrival: Arrival, client: ClientAnswer) -> _Candidate | None:
         origin = self._protocol.read_origin(arrival.headers)
         route = self._find_route(origin.host, arrival.path)
         if route is None:
             return None
         workspace = self._callers.workspace_of(origin.key) or ""
-        return _Case(arrival, origin, route, workspace, client)
-
-    async def _forwarded(self, case: _Case) -> bool:
-        arrival, origin, route = case.arrival, case.origin, case.route
-        longest = min(origin.deadline or route.timeout, route.timeout)
-        spent = self._clock.monotonic() - arrival.at
-        headers = self._protocol.forward_headers(arrival.headers, spent)
-        ends_at = arrival.at + longest
-        regions = self._regions_of(route, case.workspace)
+        return _Candidate(arrival, origin, route, workspace, client)
+
+    async def _forward(self, candidate: _Candidate) -> bool:
+        arrival, origin, route = candidate.arrival, candidate.origin, candidate.route
+        timeout = min(origin.deadline or route.timeout, route.timeout)
+        elapsed = self._clock.monotonic() - arrival.at
+        headers = self._protocol.forward_headers(arrival.headers, elapsed)
+        ends_at = arrival.at + timeout
+        regions = self._regions_of(route, candidate.workspace)
         request = Forwarded(arrival.line, headers, arrival.body, ends_at, regions)
         try:
-            outcome = await self._forwarder.forward(request, case.client)
+            outcome = await self._forwarder.forward(request, candidate.client)
             if outcome is None:
                 return False
-            await self._refusals.answer(origin.request_id, origin.deadline, outcome, case.client)
+            await self._refusals.answer(
+                origin.request_id, origin.deadline, outcome, candidate.client
+            )
         except ClientLeft:
             # The connection to the other node is closed by now, which cancels the request there.
             return True
-        self._metrics.forwarded.inc({"workspace": case.workspace})
-        self._crowd_log.forwarded()
+        self._metrics.forwarded.inc({"workspace": candidate.workspace})
+        self._overload_log.forwarded()
         if isinstance(outcome, Unknown):
             seconds = self._clock.monotonic() - arrival.at
             self._endings.unknown(origin.request_id, outcome, seconds)
         return True
 
-    def _came_back(self, case: _Case) -> bool:
+    def _is_retry(self, candidate: _Candidate) -> bool:
         """Return True if this node refused the request before, and record this refusal."""
-        arrival, origin = case.arrival, case.origin
-        head = (case.workspace, arrival.line.method, origin.host, arrival.line.path)
-        known_by = request_fingerprint(head, arrival.body)
+        arrival, origin = candidate.arrival, candidate.origin
+        head = (candidate.workspace, arrival.line.method, origin.host, arrival.line.path)
+        shared_fingerprint = request_fingerprint(head, arrival.body)
         now = self._clock.monotonic()
-        came_back = self._refused.comes_back(known_by, now)
-        self._refused.refused(known_by, MAX_RETRY_AFTER_SECONDS, now)
-        return came_back
-
-    async def _refuse(self, case: _Case) -> None:
-        origin = case.origin
-        self._metrics.crowded_out.inc({"workspace": case.workspace})
-        self._crowd_log.refused(
+        is_retry = self._refused_callers.comes_back(shared_fingerprint, now)
+        self._refused_callers.refused(shared_fingerprint, MAX_RETRY_AFTER_SECONDS, now)
+        return is_retry
+
+    async def _refuse(self, candidate: _Candidate) -> None:
+        origin = candidate.origin
+        self._metrics.crowded_out.inc({"workspace": candidate.workspace})
+        self._overload_log.refused(
             origin.request_id,
-            case.workspace,
-            self._came_back(case),
+            candidate.workspace,
+            self._is_retry(candidate),
             self._admission.total,
             self._limit.limit,
         )
         # Its caller retries at this node, which needs time until then; the answer says how long.
-        refused = NotRun(Reason.QUEUE_FULL, "this node is full")
+        refusal = NotRun(Reason.QUEUE_FULL, "this node is full")
         # A caller that has disconnected does not wait for the refusal.
         with contextlib.suppress(ClientLeft):
-            await self._refusals.answer(origin.request_id, origin.deadline, refused, case.client)
+            await self._refusals.answer(
+                origin.request_id, origin.deadline, refusal, candidate.client
+            )
--- a/tests/gateway/test_concurrency.py
+++ b/tests/gateway/test_concurrency.py
@@ -1,4 +1,4 @@
-"""The limit on held requests adapts to the lag of a node's event loop."""
+"""The limit on requests in flight adapts to the lag of a node's event loop."""
 
 import unittest
 
--- a/tests/gateway/test_pace.py
+++ b/tests/gateway/test_pace.py
@@ -42,7 +42,7 @@
 
     def hold(self, requests: int) -> None:
         for _ in range(requests):
-            self.admission.enter("one")
+            self.admission.admit("one")
 
     def be_late(self, seconds: float) -> None:
         for _ in range(SAMPLES):
--- a/tests/platform/base.py
+++ b/tests/platform/base.py
@@ -79,7 +79,7 @@
         """Keep the lag of the test's own loop from ``node``'s limits: it tells of the machine."""
         node.lag.take = lambda seconds: None
         # What it told before this, while the node started, is forgotten too.
-        node.front._relief._limit.limit = INITIAL_LIMIT
+        node.front._offloader._limit.limit = INITIAL_LIMIT
 
     async def asyncTearDown(self) -> None:
         for node in self.nodes:
--- a/tests/platform/test_crowded.py
+++ b/tests/platform/test_crowded.py
@@ -107,7 +107,7 @@
         self.hold_lag(idle)
         await self.until(lambda: self.knows_port(full, idle))
         if not settings:
-            full.front._relief._limit.limit = float(MIN_OVERLOAD_REQUESTS)
+            full.front._offloader._limit.limit = float(MIN_OVERLOAD_REQUESTS)
         deadline = str(LONG_MS)
         self.held = [
             asyncio.ensure_future(
@@ -249,7 +249,7 @@
 
     async def test_request_is_handed_on_once_only(self):
         full, idle = await self.serve_crowded()
-        idle.front._relief._limit.limit = 0.0
+        idle.front._offloader._limit.limit = 0.0
         answer = await self.call(full, "/again/")
         # The other node is full as well, but nobody crowds it.
         self.assertEqual((answer.status, full.forwarder.total, idle.forwarder.total), (200, 0, 0))
--- a/tests/platform/test_late.py
+++ b/tests/platform/test_late.py
@@ -85,7 +85,7 @@
         # The test's own loop may be late where the machine is busy.
         node.lag.take = lambda seconds: None
         # What it told before this, while the node started, is forgotten too.
-        node.front._relief._limit.limit = INITIAL_LIMIT
+        node.front._offloader._limit.limit = INITIAL_LIMIT
         calls = await self.crowd(node)
         task = asyncio.ensure_future(self.call(node, "/once/", Request_Id="r-2"))
         await self.until(lambda: node.admission.total == MIN_OVERLOAD_REQUESTS + 1)
--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -322,15 +322,15 @@
         The log has ``received`` one millisecond before ``state=stopped``, and ``requests_cut`` 1.
         """
         node = await self.serve(answering())
-        relieved = node.front._relief.relieved
+        offload = node.front._offloader.offload
         read = asyncio.Event()
 
-        async def late(arrival, client, may_forward):
+        async def late(arrival, client, can_forward):
             read.set()
             await asyncio.sleep(1.0)
-            return await relieved(arrival, client, may_forward)
+            return await offload(arrival, client, can_forward)
 
-        node.front._relief.relieved = late
+        node.front._offloader.offload = late
         call = asyncio.ensure_future(self.call(node, "/once/"))
         await read.wait()
         await node.drain()
