--- a/railsail/routing/front.py
+++ b/railsail/routing/front.py
@@ -24,10 +24,10 @@
 from railsail.routing.endings import Endings
 from railsail.routing.forwarding import Forwarder
 from railsail.routing.messages import Arrival, RoutedRequest
+from railsail.routing.offload import Offloader
 from railsail.routing.protocol import RouteProtocol
 from railsail.routing.refusals import Refusals
 from railsail.routing.relay import Relay, Routed
-from railsail.routing.relief import Offloader
 from railsail.routing.table import RouteTable, choose_pool
 
 # The name of no region: a request that is restricted to it can run nowhere.
--- a/tests/platform/test_late.py
+++ b/tests/platform/test_late.py
@@ -9,7 +9,7 @@
 from railsail.gateway.concurrency import INITIAL_LIMIT
 from railsail.gateway.pace import LATE_AFTER_SECONDS
 from railsail.node import Node
-from railsail.routing import crowding
+from railsail.routing import overload_log
 from railsail.routing.refusals import MIN_RETRY_AFTER_SECONDS
 from railsail.routing.relay import RETRY_AFTER_SHARE
 from tests.platform.base import LONG_MS, ROUTES, PlatformTestCase
@@ -64,7 +64,7 @@
         self.make_late(node)
         told = []
         node.events.on_emit(lambda event: told.append(event.facts))
-        with mock.patch.object(crowding, "LOG_INTERVAL_SECONDS", 0.0):
+        with mock.patch.object(overload_log, "LOG_INTERVAL_SECONDS", 0.0):
             await self.call(node, "/once/", body=b"one", Request_Id="r-2", Deadline_Ms="3500")
             await self.call(node, "/once/", body=b"other", Request_Id="r-3")
             await self.call(node, "/once/", body=b"one", Request_Id="r-4", Deadline_Ms="2500")
