--- a/railsail/routing/front.py
+++ b/railsail/routing/front.py
@@ -21,12 +21,12 @@
 from railsail.routing.answer import StreamState
 from railsail.routing.client import ClientAnswer, ClientLeft
 from railsail.routing.defaults import DEFAULT_POLICY
-from railsail.routing.endings import Endings
+from railsail.routing.error_answers import Refusals
 from railsail.routing.forwarding import Forwarder
 from railsail.routing.messages import Arrival, RoutedRequest
 from railsail.routing.offload import Offloader
+from railsail.routing.outcome_recorder import Endings
 from railsail.routing.protocol import RouteProtocol
-from railsail.routing.refusals import Refusals
 from railsail.routing.relay import Relay, Routed
 from railsail.routing.table import RouteTable, choose_pool
 
--- a/railsail/routing/offload.py
+++ b/railsail/routing/offload.py
@@ -18,12 +18,12 @@
 from railsail.gateway.concurrency import ConcurrencyLimit
 from railsail.objects.kinds import Route
 from railsail.routing.client import ClientAnswer, ClientLeft
-from railsail.routing.endings import Endings
+from railsail.routing.error_answers import MAX_RETRY_AFTER_SECONDS, Refusals
 from railsail.routing.forwarding import Forwarded, Forwarder
 from railsail.routing.messages import Arrival, Origin
+from railsail.routing.outcome_recorder import Endings
 from railsail.routing.overload_log import OverloadLog
 from railsail.routing.protocol import RouteProtocol
-from railsail.routing.refusals import MAX_RETRY_AFTER_SECONDS, Refusals
 from railsail.scheduling.returning import RefusedCallers
 
 
--- a/railsail/routing/relay.py
+++ b/railsail/routing/relay.py
@@ -16,9 +16,9 @@
 from railsail.routing.answer import AnswerRefused, ReplicaAnswer, StreamState
 from railsail.routing.budget import RetryBounds, RetryBudget
 from railsail.routing.client import ClientAnswer, ClientLeft
+from railsail.routing.connect_failures import ReplicaReach
 from railsail.routing.messages import Dispatch, RoutedRequest
 from railsail.routing.protocol import RouteProtocol
-from railsail.routing.reach import ReplicaReach
 from railsail.routing.running import RunningCalls
 from railsail.scheduling.health import CallResult
 from railsail.upstreams.directory import UpstreamDirectory
--- a/tests/platform/test_late.py
+++ b/tests/platform/test_late.py
@@ -10,7 +10,7 @@
 from railsail.gateway.pace import LATE_AFTER_SECONDS
 from railsail.node import Node
 from railsail.routing import overload_log
-from railsail.routing.refusals import MIN_RETRY_AFTER_SECONDS
+from railsail.routing.error_answers import MIN_RETRY_AFTER_SECONDS
 from railsail.routing.relay import RETRY_AFTER_SHARE
 from tests.platform.base import LONG_MS, ROUTES, PlatformTestCase
 from tests.platform.standins import answering, hanging
--- a/tests/routing/test_reach.py
+++ b/tests/routing/test_connect_failures.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from railsail.routing.reach import FORGET_SECONDS, MAX_REPLICAS, ReplicaReach
+from railsail.routing.connect_failures import FORGET_SECONDS, MAX_REPLICAS, ReplicaReach
 
 
 class ReachTests(unittest.TestCase):
