--- a/railsail/gateway/serve.py
+++ b/railsail/gateway/serve.py
@@ -89,7 +89,7 @@
     ) -> Served:
         verdict = self._judge.judge(workspace, describe(request, pool))
         now = self._clock.monotonic()
-        ends_at = now + (request.deadline or DEFAULT_DEADLINE_SECONDS)
+        deadline_at = now + (request.deadline or DEFAULT_DEADLINE_SECONDS)
         word = "once" if verdict.never_repeat else "repeatable"
         detail = f"{pool.name} rank {verdict.rank:g} may wait {verdict.may_wait:g} s, {word}"
         known_by = request_fingerprint((workspace, request.method, request.path), request.body)
@@ -101,7 +101,7 @@
             fingerprint=fingerprint_name(known_by),
         )
         return Served(
-            request_id, workspace, request, pool, verdict, sink, ends_at, fingerprint=known_by
+            request_id, workspace, request, pool, verdict, sink, deadline_at, fingerprint=known_by
         )
 
     async def _run(self, served: Served) -> Result:
@@ -117,7 +117,7 @@
         running = self._answers.begin(key)
         kept: KeptAnswer | None = None
         try:
-            left = served.ends_at - self._clock.monotonic()
+            left = served.deadline_at - self._clock.monotonic()
             answer = await self._claims.claim(claim, min(left, CLAIM_TIMEOUT_SECONDS))
             if answer.result is ClaimResult.CLAIMED:
                 self._events.emit(Kind.CLAIMED, "", served.id, served.workspace)
@@ -143,7 +143,7 @@
         self._events.emit(Kind.CLAIM_HELD, f"by {holder.node}", served.id, served.workspace)
         if holder.fingerprint != claim.fingerprint:
             return Conflict("the key was used for another request")
-        left = served.ends_at - self._clock.monotonic()
+        left = served.deadline_at - self._clock.monotonic()
         answer = await self._answers.find(claim.key, holder.node, holder.start_id, left)
         if answer is None:
             return Conflict("an earlier try has the key, and its answer is not to be had")
--- a/railsail/gateway/tries.py
+++ b/railsail/gateway/tries.py
@@ -35,8 +35,8 @@
 class Served:
     """The state of one request while this node serves it.
 
-    ``ends_at`` is its deadline in seconds of the monotonic clock. ``avoid`` is the replica that did
-    not run it in the last attempt. ``sent`` is true if it may have run, ``ran`` if an earlier
+    ``deadline_at`` is its deadline in seconds of the monotonic clock. ``avoid`` is the replica that
+    did not run it in the last attempt. ``sent`` is true if it may have run, ``ran`` if an earlier
     attempt may have run it. Its retries have the same ``fingerprint``.
     """
 
@@ -46,7 +46,7 @@
     pool: Pool
     verdict: Verdict
     sink: CallerSink
-    ends_at: float
+    deadline_at: float
     avoid: str = ""
     sent: bool = False
     ran: bool = False
@@ -91,7 +91,7 @@
         return truth_of(outcome, served.ran)
 
     def _try_again(self, served: Served, outcome: Outcome) -> bool:
-        if served.sink.started or self._clock.monotonic() >= served.ends_at:
+        if served.sink.started or self._clock.monotonic() >= served.deadline_at:
             return False
         if isinstance(outcome, NotRun):
             again = outcome.reason in (Reason.UNREACHABLE, Reason.REFUSED)
@@ -135,7 +135,7 @@
         return route_fingerprint(f"{served.request.method} {served.request.path.partition('?')[0]}")
 
     def _wait_seconds(self, served: Served) -> float:
-        left = served.ends_at - self._clock.monotonic()
+        left = served.deadline_at - self._clock.monotonic()
         return min(max(served.verdict.may_wait, MIN_WAIT_SECONDS), left)
 
     async def _call(self, served: Served, booking: Booking, replica: str) -> Outcome:
@@ -150,7 +150,7 @@
         outcome: Outcome = Unknown(CANCELLED)
         served.sent = True
         try:
-            async with asyncio.timeout(max(0.0, served.ends_at - self._clock.monotonic())):
+            async with asyncio.timeout(max(0.0, served.deadline_at - self._clock.monotonic())):
                 outcome = await kind.run(call, served.sink)
         except TimeoutError:
             self._cancel(kind, call)
--- a/railsail/routing/error_answers.py
+++ b/railsail/routing/error_answers.py
@@ -19,14 +19,14 @@
 _TIMEOUT_STATUS = 504
 
 
-class Refusals:
+class ErrorAnswers:
     """Send error answers for requests that were not served."""
 
     def __init__(self, protocol: RouteProtocol, rng: random.Random) -> None:
         self._protocol = protocol
         self._rng = rng
 
-    async def answer(
+    async def send(
         self, request_id: str, deadline: float, outcome: Outcome, client: ClientAnswer
     ) -> int:
         """Answer a request that was not served, and return the status sent.
--- a/railsail/routing/forwarding.py
+++ b/railsail/routing/forwarding.py
@@ -43,17 +43,17 @@
 MAX_STATUS_LINE_BYTES = 1024
 
 
-class Forwarded(msgspec.Struct, frozen=True):
+class ForwardedRequest(msgspec.Struct, frozen=True):
     """A request to forward: its request line, headers and body.
 
-    ``ends_at`` is when its final answer is due, in seconds of the monotonic clock. It may run only
-    in ``regions``, or in any region if there are none.
+    ``deadline_at`` is when its final answer is due, in seconds of the monotonic clock. It may run
+    only in ``regions``, or in any region if there are none.
     """
 
     line: RequestStartLine
     headers: HTTPHeaders
     body: bytes
-    ends_at: float
+    deadline_at: float
     regions: tuple[str, ...] = ()
 
 
@@ -66,12 +66,14 @@
         self._clock = kernel.clock
         self.total = 0
 
-    async def forward(self, request: Forwarded, client: ClientAnswer) -> Completed | Unknown | None:
+    async def forward(
+        self, request: ForwardedRequest, client: ClientAnswer
+    ) -> Completed | Unknown | None:
         """Have another node answer ``request``, and return the outcome.
 
         Return ``None`` if the request was sent to no node.
         """
-        if self._limit.full(self.total) or not self._targets.may_be_sent(request.regions):
+        if self._limit.full(self.total) or not self._targets.can_serve(request.regions):
             return None
         self.total += 1
         try:
@@ -80,7 +82,7 @@
             self.total -= 1
 
     async def _forward(
-        self, request: Forwarded, client: ClientAnswer
+        self, request: ForwardedRequest, client: ClientAnswer
     ) -> Completed | Unknown | None:
         for _ in range(MAX_TARGETS):
             target = self._targets.choose(self._clock.monotonic())
@@ -88,7 +90,7 @@
                 return None
             stream = await self._connect(target)
             if stream is not None:
-                return await self._have_answered(target, stream, request, client)
+                return await self._exchange(target, stream, request, client)
         return None
 
     async def _connect(self, target: Member) -> IOStream | None:
@@ -97,23 +99,23 @@
             return await open_stream(ip, target.forward_port, CONNECT_SECONDS)
         except CannotConnect:
             # Its neighbours report to the fleet, and log, that a node is gone.
-            self._targets.failed(target.node, self._clock.monotonic())
+            self._targets.connect_failed(target.node, self._clock.monotonic())
             return None
 
-    async def _have_answered(
-        self, target: Member, stream: IOStream, request: Forwarded, client: ClientAnswer
+    async def _exchange(
+        self, target: Member, stream: IOStream, request: ForwardedRequest, client: ClientAnswer
     ) -> Completed | Unknown:
-        self._targets.began(target.node)
-        left = request.ends_at + GRACE_SECONDS - self._clock.monotonic()
+        self._targets.request_started(target.node)
+        remaining = request.deadline_at + GRACE_SECONDS - self._clock.monotonic()
         try:
-            async with asyncio.timeout(max(0.0, left)):
+            async with asyncio.timeout(max(0.0, remaining)):
                 _send(stream, request)
-                status = await _pass_back(stream, client)
+                status = await _copy_answer(stream, client)
         except TimeoutError:
             return Unknown(f"{target.node} gave no whole answer in time", timed_out=True)
         finally:
             stream.close()
-            self._targets.ended(target.node)
+            self._targets.request_ended(target.node)
         if not status:
             return Unknown(f"{target.node} took the request and gave no answer")
         if stream.error is not None:
@@ -122,7 +124,7 @@
         return Completed(status, 0.0)
 
 
-def _send(stream: IOStream, request: Forwarded) -> None:
+def _send(stream: IOStream, request: ForwardedRequest) -> None:
     headers = request.headers.copy()
     # The connection carries a single request, so that its end marks the end of the answer and
     # nothing has to be parsed to find it. The other node answers with ``Connection: close`` too, so
@@ -133,7 +135,7 @@
     connection.write_headers(request.line, headers, request.body)
 
 
-async def _pass_back(stream: IOStream, client: ClientAnswer) -> int:
+async def _copy_answer(stream: IOStream, client: ClientAnswer) -> int:
     """Copy all that arrives to the caller, and return the status of the answer, 0 if none came."""
     status = 0
     try:
--- a/railsail/routing/front.py
+++ b/railsail/routing/front.py
@@ -21,11 +21,11 @@
 from railsail.routing.answer import StreamState
 from railsail.routing.client import ClientAnswer, ClientLeft
 from railsail.routing.defaults import DEFAULT_POLICY
-from railsail.routing.error_answers import Refusals
+from railsail.routing.error_answers import ErrorAnswers
 from railsail.routing.forwarding import Forwarder
 from railsail.routing.messages import Arrival, RoutedRequest
 from railsail.routing.offload import Offloader
-from railsail.routing.outcome_recorder import Endings
+from railsail.routing.outcome_recorder import OutcomeRecorder
 from railsail.routing.protocol import RouteProtocol
 from railsail.routing.relay import Relay, Routed
 from railsail.routing.table import RouteTable, choose_pool
@@ -57,10 +57,10 @@
         self._configuration = configuration
         self._clock = kernel.clock
         self._events = kernel.events
-        self._endings = Endings(kernel)
+        self._recorder = OutcomeRecorder(kernel)
         self._rng: random.Random = kernel.rng
         self._routes = RouteTable()
-        self._refusals = Refusals(protocol, kernel.rng)
+        self._error_answers = ErrorAnswers(protocol, kernel.rng)
         self._offloader = Offloader(
             protocol,
             self._find_route,
@@ -69,7 +69,7 @@
             admission,
             limit,
             forwarder,
-            self._refusals,
+            self._error_answers,
             kernel,
         )
 
@@ -108,18 +108,18 @@
             )
         except ValueError as problem:
             bad = NotRun(Reason.BAD_REQUEST, str(problem))
-            await self._refusals.answer("", 0.0, bad, client)
+            await self._error_answers.send("", 0.0, bad, client)
             return
         try:
             outcome, routed = await self._serve_safely(request, client, arrival.at)
-            status = await self._refusals.answer(request.id, request.deadline, outcome, client)
+            status = await self._error_answers.send(request.id, request.deadline, outcome, client)
         except (ClientLeft, asyncio.CancelledError) as problem:
-            self._endings.left(request.id, self._clock.monotonic() - arrival.at)
+            self._recorder.record_disconnect(request.id, self._clock.monotonic() - arrival.at)
             if isinstance(problem, asyncio.CancelledError):
                 raise
             return
         seconds = self._clock.monotonic() - arrival.at
-        self._endings.ended(request.id, routed, outcome, status, seconds)
+        self._recorder.record_outcome(request.id, routed, outcome, status, seconds)
 
     async def _serve_safely(
         self, request: RoutedRequest, client: ClientAnswer, received_at: float
--- a/railsail/routing/offload.py
+++ b/railsail/routing/offload.py
@@ -18,10 +18,10 @@
 from railsail.gateway.concurrency import ConcurrencyLimit
 from railsail.objects.kinds import Route
 from railsail.routing.client import ClientAnswer, ClientLeft
-from railsail.routing.error_answers import MAX_RETRY_AFTER_SECONDS, Refusals
-from railsail.routing.forwarding import Forwarded, Forwarder
+from railsail.routing.error_answers import MAX_RETRY_AFTER_SECONDS, ErrorAnswers
+from railsail.routing.forwarding import ForwardedRequest, Forwarder
 from railsail.routing.messages import Arrival, Origin
-from railsail.routing.outcome_recorder import Endings
+from railsail.routing.outcome_recorder import OutcomeRecorder
 from railsail.routing.overload_log import OverloadLog
 from railsail.routing.protocol import RouteProtocol
 from railsail.scheduling.returning import RefusedCallers
@@ -49,7 +49,7 @@
         admission: Admission,
         limit: ConcurrencyLimit,
         forwarder: Forwarder,
-        refusals: Refusals,
+        error_answers: ErrorAnswers,
         kernel: Kernel,
     ) -> None:
         self._protocol = protocol
@@ -59,10 +59,10 @@
         self._admission = admission
         self._limit = limit
         self._forwarder = forwarder
-        self._refusals = refusals
+        self._error_answers = error_answers
         self._clock = kernel.clock
         self._metrics = kernel.metrics
-        self._endings = Endings(kernel)
+        self._recorder = OutcomeRecorder(kernel)
         self._overload_log = OverloadLog(kernel)
         self._refused_callers = RefusedCallers()
 
@@ -101,14 +101,14 @@
         timeout = min(origin.deadline or route.timeout, route.timeout)
         elapsed = self._clock.monotonic() - arrival.at
         headers = self._protocol.forward_headers(arrival.headers, elapsed)
-        ends_at = arrival.at + timeout
+        deadline_at = arrival.at + timeout
         regions = self._regions_of(route, candidate.workspace)
-        request = Forwarded(arrival.line, headers, arrival.body, ends_at, regions)
+        request = ForwardedRequest(arrival.line, headers, arrival.body, deadline_at, regions)
         try:
             outcome = await self._forwarder.forward(request, candidate.client)
             if outcome is None:
                 return False
-            await self._refusals.answer(
+            await self._error_answers.send(
                 origin.request_id, origin.deadline, outcome, candidate.client
             )
         except ClientLeft:
@@ -118,7 +118,7 @@
         self._overload_log.forwarded()
         if isinstance(outcome, Unknown):
             seconds = self._clock.monotonic() - arrival.at
-            self._endings.unknown(origin.request_id, outcome, seconds)
+            self._recorder.record_unknown(origin.request_id, outcome, seconds)
         return True
 
     def _is_retry(self, candidate: _Candidate) -> bool:
@@ -145,6 +145,6 @@
         refusal = NotRun(Reason.QUEUE_FULL, "this node is full")
         # A caller that has disconnected does not wait for the refusal.
         with contextlib.suppress(ClientLeft):
-            await self._refusals.answer(
+            await self._error_answers.send(
                 origin.request_id, origin.deadline, refusal, candidate.client
             )
--- a/railsail/routing/outcome_recorder.py
+++ b/railsail/routing/outcome_recorder.py
@@ -6,19 +6,19 @@
 from railsail.routing.relay import Routed
 
 
-class Endings:
+class OutcomeRecorder:
     """Record how requests ended; late and failed ones are marked as notable."""
 
     def __init__(self, kernel: Kernel) -> None:
         self._events = kernel.events
         self._metrics = kernel.metrics
 
-    def left(self, request_id: str, seconds: float) -> None:
+    def record_disconnect(self, request_id: str, seconds: float) -> None:
         """Record that the caller disconnected ``seconds`` after its request arrived."""
         total_ms = round(seconds * 1000)
         self._events.emit(Kind.ENDED, "the caller left", request_id, total_ms=total_ms)
 
-    def unknown(self, request_id: str, outcome: Unknown, seconds: float) -> None:
+    def record_unknown(self, request_id: str, outcome: Unknown, seconds: float) -> None:
         """Record that the node to which a request was forwarded did not report its outcome."""
         self._events.emit(
             Kind.ENDED,
@@ -29,7 +29,7 @@
             total_ms=round(seconds * 1000),
         )
 
-    def ended(
+    def record_outcome(
         self,
         request_id: str,
         routed: Routed | None,
@@ -42,8 +42,8 @@
         ``routed`` is ``None`` if the request was refused before a replica was requested for it.
         ``status`` is the status that the caller received, 0 if its connection was closed instead.
         """
-        word = type(outcome).__name__.lower()
-        facts: dict[str, Fact] = {"outcome": word, "total_ms": round(seconds * 1000)}
+        outcome_name = type(outcome).__name__.lower()
+        facts: dict[str, Fact] = {"outcome": outcome_name, "total_ms": round(seconds * 1000)}
         if status:
             facts["status"] = status
         if isinstance(outcome, NotRun):
@@ -51,26 +51,26 @@
         pool = ""
         if routed is not None:
             pool = routed.pool.name
-            facts |= _journey(routed)
-            self._observe(routed, word, seconds)
-        self._metrics.requests.inc({"pool": pool, "outcome": word})
+            facts |= _request_facts(routed)
+            self._observe_stages(routed, outcome_name, seconds)
+        self._metrics.requests.inc({"pool": pool, "outcome": outcome_name})
         detail = outcome.detail if isinstance(outcome, NotRun | Unknown) else ""
         notable = _late(routed) or not isinstance(outcome, Completed)
         self._events.emit(Kind.ENDED, detail, request_id, notable=notable, **facts)
 
-    def _observe(self, routed: Routed, outcome: str, seconds: float) -> None:
+    def _observe_stages(self, routed: Routed, outcome: str, seconds: float) -> None:
         stages = {"queue": routed.waited, "first-byte": routed.first_after, "whole": seconds}
-        for stage, taken in stages.items():
-            if stage != "first-byte" or taken:
+        for stage, duration in stages.items():
+            if stage != "first-byte" or duration:
                 labels = {"route": routed.route.name, "outcome": outcome, "stage": stage}
-                self._metrics.stages.observe(labels, taken)
+                self._metrics.stages.observe(labels, duration)
 
 
 def _late(routed: Routed | None) -> bool:
     return routed is not None and 0 < routed.route.objective < routed.first_after
 
 
-def _journey(routed: Routed) -> dict[str, Fact]:
+def _request_facts(routed: Routed) -> dict[str, Fact]:
     facts: dict[str, Fact] = {
         "attempts": routed.attempts,
         "waited_ms": round(routed.waited * 1000),
--- a/railsail/routing/relay.py
+++ b/railsail/routing/relay.py
@@ -16,7 +16,7 @@
 from railsail.routing.answer import AnswerRefused, ReplicaAnswer, StreamState
 from railsail.routing.budget import RetryBounds, RetryBudget
 from railsail.routing.client import ClientAnswer, ClientLeft
-from railsail.routing.connect_failures import ReplicaReach
+from railsail.routing.connect_failures import ConnectFailures
 from railsail.routing.messages import Dispatch, RoutedRequest
 from railsail.routing.protocol import RouteProtocol
 from railsail.routing.running import RunningCalls
@@ -50,14 +50,14 @@
 class Routed:
     """The state of one request while this daemon serves it.
 
-    All times are in seconds, points in time of the monotonic clock. ``ends_at`` is when the final
-    answer is due, ``offer_by`` until when the request may wait for a replica. ``attempts`` counts
-    the replicas that it was sent to; ``ran`` is true if one of them may have run it. ``replica`` is
-    the one that it was sent to last, ``avoid`` the one that failed it last. ``waited`` is how long
-    it waited for replicas in total, ``first_after`` the time from its arrival to the first byte of
-    an answer, 0 without an answer. ``given_up`` is the reason why no further attempt was made. The
-    request may run only in ``regions``, or in any region if there are none. Its retries have the
-    same ``fingerprint``.
+    All times are in seconds, points in time of the monotonic clock. ``deadline_at`` is when the
+    final answer is due, ``offer_by`` until when the request may wait for a replica. ``attempts``
+    counts the replicas that it was sent to; ``ran`` is true if one of them may have run it.
+    ``replica`` is the one that it was sent to last, ``avoid`` the one that failed it last.
+    ``waited`` is how long it waited for replicas in total, ``first_after`` the time from its
+    arrival to the first byte of an answer, 0 without an answer. ``given_up`` is the reason why no
+    further attempt was made. The request may run only in ``regions``, or in any region if there are
+    none. Its retries have the same ``fingerprint``.
     """
 
     request: RoutedRequest
@@ -66,7 +66,7 @@
     workspace: str
     verdict: Verdict
     client: ClientAnswer
-    ends_at: float
+    deadline_at: float
     offer_by: float
     stream: StreamState
     attempts: int = 0
@@ -117,7 +117,7 @@
         self._pauses = kernel.pauses
         self._started_at = kernel.clock.monotonic()
         self._budgets: dict[str, RetryBudget] = {}
-        self._reach = ReplicaReach()
+        self._connect_failures = ConnectFailures()
         self._calls = RunningCalls()
         directory.on_rebirth(lambda before: self._calls.end(before.name))
 
@@ -147,7 +147,7 @@
 
     def _go_on(self, routed: Routed, outcome: Outcome, budget: RetryBudget) -> bool:
         now = self._clock.monotonic()
-        if isinstance(outcome, Completed) or now >= routed.ends_at:
+        if isinstance(outcome, Completed) or now >= routed.deadline_at:
             return False
         if isinstance(outcome, NotRun):
             if outcome.reason not in _RETRYABLE_REASONS:
@@ -181,7 +181,7 @@
     def _wait_seconds(self, routed: Routed) -> float:
         now = self._clock.monotonic()
         least = RESUME_WAIT_SECONDS if routed.stream.head is not None else MIN_WAIT_SECONDS
-        return max(0.0, min(max(routed.offer_by - now, least), routed.ends_at - now))
+        return max(0.0, min(max(routed.offer_by - now, least), routed.deadline_at - now))
 
     def _want(self, routed: Routed, patience: float) -> PoolRequest:
         prompt = routed.request.prompt
@@ -194,12 +194,12 @@
             estimate=estimate_cost(routed),
             urgent=False,
             prefix=prompt.affinity_key if routed.route.affinity else 0,
-            avoid=routed.avoid or self._reach.avoid(now),
+            avoid=routed.avoid or self._connect_failures.replica_to_avoid(now),
             prompt_tokens=prompt.tokens if routed.pool.cost_unit is CostUnit.TOKENS else 0,
             shared_tokens=prompt.shared_tokens,
             objective=routed.route.objective,
             patience=patience,
-            returns_within=RETRY_AFTER_SHARE * max(0.0, routed.ends_at - now),
+            returns_within=RETRY_AFTER_SHARE * max(0.0, routed.deadline_at - now),
             regions=routed.regions,
             fingerprint=routed.fingerprint,
             route=self._route(routed),
@@ -240,7 +240,7 @@
         if upstream is None:
             return NotRun(Reason.UNREACHABLE, "the replica is not known any more")
         request = routed.request
-        left = routed.ends_at - self._clock.monotonic()
+        left = routed.deadline_at - self._clock.monotonic()
         if left <= 0:
             return NotRun(Reason.EXPIRED, "there is no time left")
         routed.replica = replica
@@ -286,13 +286,13 @@
         self, routed: Routed, replica: str, call: HttpRequest, answer: ReplicaAnswer
     ) -> Outcome:
         routed.attempts += 1
-        left = routed.ends_at - self._clock.monotonic()
+        left = routed.deadline_at - self._clock.monotonic()
         try:
             async with asyncio.timeout(left):
                 await self._calls.run(replica, self._exchange_watched(routed, call, answer))
         except NotSent as problem:
             routed.attempts -= 1
-            self._reach.failed(replica, self._clock.monotonic())
+            self._connect_failures.record_failure(replica, self._clock.monotonic())
             return NotRun(Reason.UNREACHABLE, str(problem))
         except (CutOff, BadStream, AnswerRefused) as problem:
             routed.ran = True
@@ -325,7 +325,7 @@
 
     async def _judge(self, routed: Routed, replica: str, answer: ReplicaAnswer) -> Outcome:
         head = answer.answered
-        self._reach.reached(replica)
+        self._connect_failures.record_answer(replica)
         if head.misdirected:
             self._directory.sign_leaving(replica, Source.MISDIRECTED, self._clock.wall())
             return NotRun(Reason.REFUSED, "another replica has the address")
--- a/railsail/routing/targets.py
+++ b/railsail/routing/targets.py
@@ -34,13 +34,13 @@
         self._own = own
         self._rng = rng
         # The candidates, and the nodes that are used only if none of the candidates is left.
-        self._found: list[Member] = []
-        self._last_resort: list[Member] = []
-        self._look_up_at = 0.0
+        self._candidates: list[Member] = []
+        self._fallback: list[Member] = []
+        self._refresh_at = 0.0
         self._running: Counter[str] = Counter()
         self._failed_until: dict[str, float] = {}
 
-    def may_be_sent(self, regions: tuple[str, ...]) -> bool:
+    def can_serve(self, regions: tuple[str, ...]) -> bool:
         """Return True if a request that may run only in ``regions`` may be forwarded.
 
         All candidates are in the region of this node. The caller may have come from another region,
@@ -50,20 +50,22 @@
 
     def choose(self, now: float) -> Member | None:
         """Return the node with the fewest forwarded requests for its speed, or ``None``."""
-        if now >= self._look_up_at:
-            self._look_up(now)
-        able = self._able(self._found, now) or self._able(self._last_resort, now)
-        return min(able, key=self._load, default=None)
-
-    def _able(self, members: list[Member], now: float) -> list[Member]:
+        if now >= self._refresh_at:
+            self._refresh(now)
+        connectable = self._connectable(self._candidates, now) or self._connectable(
+            self._fallback, now
+        )
+        return min(connectable, key=self._load, default=None)
+
+    def _connectable(self, members: list[Member], now: float) -> list[Member]:
         return [m for m in members if now >= self._failed_until.get(m.node, 0.0)]
 
     def _load(self, member: Member) -> float:
         # One level of speed is a factor of two.
         return (self._running[member.node] + 1) / 2**member.speed
 
-    def _look_up(self, now: float) -> None:
-        self._look_up_at = now + REFRESH_SECONDS
+    def _refresh(self, now: float) -> None:
+        self._refresh_at = now + REFRESH_SECONDS
         self._failed_until = {n: until for n, until in self._failed_until.items() if until > now}
         own = self._own()
         others = [m for m in self._members() if m.node != own.node and m.forward_port]
@@ -80,20 +82,20 @@
         # the requests with the shortest objective were answered in time beside a flood, without
         # them 0.88 (one simulated day of 85 nodes each).
         dispatchers = self._dispatchers()
-        self._found = [m for m in chosen if m.node not in dispatchers]
+        self._candidates = [m for m in chosen if m.node not in dispatchers]
         # All others, for when no candidate accepts a connection: a refusal would be no better.
-        self._last_resort = [m for m in others if m not in self._found]
+        self._fallback = [m for m in others if m not in self._candidates]
 
-    def began(self, node: str) -> None:
+    def request_started(self, node: str) -> None:
         """Record that a request was forwarded to ``node``."""
         self._running[node] += 1
 
-    def ended(self, node: str) -> None:
+    def request_ended(self, node: str) -> None:
         """Record that a request forwarded to ``node`` has ended."""
         self._running[node] -= 1
         if not self._running[node]:
             del self._running[node]
 
-    def failed(self, node: str, now: float) -> None:
+    def connect_failed(self, node: str, now: float) -> None:
         """Record that a connection to ``node`` failed."""
         self._failed_until[node] = now + CONNECT_BACKOFF_SECONDS
--- a/tests/platform/test_crowded.py
+++ b/tests/platform/test_crowded.py
@@ -221,7 +221,7 @@
         full, idle = await self.serve_crowded()
         await idle.drain()
         await self.until(lambda: len(full.membership.table.usable()) == 1)
-        full.forwarder._targets._look_up_at = 0.0
+        full.forwarder._targets._refresh_at = 0.0
         answer = await self.call(full, "/again/")
         self.assertEqual(answer.status, 503)
         self.assertNotIn("r-1", [got.headers["Request-Id"] for got in self.replicas[0].received])
--- a/tests/routing/test_connect_failures.py
+++ b/tests/routing/test_connect_failures.py
@@ -2,33 +2,33 @@
 
 import unittest
 
-from railsail.routing.connect_failures import FORGET_SECONDS, MAX_REPLICAS, ReplicaReach
+from railsail.routing.connect_failures import FORGET_SECONDS, MAX_REPLICAS, ConnectFailures
 
 
-class ReachTests(unittest.TestCase):
+class ConnectFailuresTests(unittest.TestCase):
     def setUp(self):
-        self.reach = ReplicaReach()
+        self.failures = ConnectFailures()
 
     def test_nothing_is_avoided_at_first(self):
-        self.assertEqual(self.reach.avoid(0.0), "")
+        self.assertEqual(self.failures.replica_to_avoid(0.0), "")
 
     def test_replica_that_failed_last_is_avoided_for_a_while(self):
-        self.reach.failed("a", 1.0)
-        self.reach.failed("b", 1.1)
-        self.assertEqual(self.reach.avoid(1.2), "b")
-        self.reach.failed("a", 1.3)
-        self.assertEqual(self.reach.avoid(1.4), "a")
-        self.assertEqual(self.reach.avoid(1.31 + FORGET_SECONDS), "")
+        self.failures.record_failure("a", 1.0)
+        self.failures.record_failure("b", 1.1)
+        self.assertEqual(self.failures.replica_to_avoid(1.2), "b")
+        self.failures.record_failure("a", 1.3)
+        self.assertEqual(self.failures.replica_to_avoid(1.4), "a")
+        self.assertEqual(self.failures.replica_to_avoid(1.31 + FORGET_SECONDS), "")
 
     def test_replica_that_answers_is_not_avoided(self):
-        self.reach.failed("a", 1.0)
-        self.reach.reached("a")
-        self.assertEqual(self.reach.avoid(1.1), "")
+        self.failures.record_failure("a", 1.0)
+        self.failures.record_answer("a")
+        self.assertEqual(self.failures.replica_to_avoid(1.1), "")
 
     def test_memory_is_bounded(self):
         for number in range(MAX_REPLICAS + 5):
-            self.reach.failed(f"r{number}", float(number))
-        self.assertEqual(len(self.reach._failed_at), MAX_REPLICAS)
+            self.failures.record_failure(f"r{number}", float(number))
+        self.assertEqual(len(self.failures._failed_at), MAX_REPLICAS)
 
 
 if __name__ == "__main__":
--- a/tests/routing/test_targets.py
+++ b/tests/routing/test_targets.py
@@ -31,7 +31,7 @@
         given: Counter[str] = Counter()
         for _ in range(number):
             found = self.targets.choose(now)
-            self.targets.began(found.node)
+            self.targets.request_started(found.node)
             given[found.node] += 1
         return given
 
@@ -54,13 +54,13 @@
         self.own = replace(self.own, region="south")
         allowed = {(): True, ("north", "south"): True, ("north",): False}
         for regions, expected in allowed.items():
-            self.assertEqual(self.targets.may_be_sent(regions), expected)
+            self.assertEqual(self.targets.can_serve(regions), expected)
 
     def test_dispatchers_are_the_last_resort(self):
         self.members += [peer("a"), peer("b")]
         self.dispatchers = {"a"}
         self.assertEqual(self.chosen(5), {"b": 5})
-        self.targets.failed("b", 1.0)
+        self.targets.connect_failed("b", 1.0)
         self.assertEqual(self.chosen(5), {"a": 5})
 
     def test_others_are_asked_where_those_that_go_first_cannot_be_connected_to(self):
@@ -71,9 +71,9 @@
         """
         self.members += [peer("a"), peer("b", speed=UNKNOWN_LEVEL), peer("c", "other")]
         self.assertEqual(self.chosen(5), {"a": 5})
-        self.targets.failed("a", 1.0)
+        self.targets.connect_failed("a", 1.0)
         self.assertEqual(set(self.chosen(6)), {"c"})
-        self.targets.failed("c", 1.0)
+        self.targets.connect_failed("c", 1.0)
         self.assertEqual(set(self.chosen(6)), {"b"})
 
     def test_nodes_that_are_late_or_take_nothing_are_left_out(self):
@@ -90,7 +90,7 @@
 
     def test_node_that_could_not_be_connected_to_is_left_out_for_a_while(self):
         self.members += [peer("a"), peer("b")]
-        self.targets.failed("a", 1.0)
+        self.targets.connect_failed("a", 1.0)
         self.assertEqual(self.chosen(5), {"b": 5})
         self.assertEqual(set(self.chosen(20, 1.0 + CONNECT_BACKOFF_SECONDS)), {"a", "b"})
 
@@ -103,7 +103,7 @@
     def test_requests_that_ended_count_no_more(self):
         self.members += [peer("a"), peer("b")]
         self.chosen(2)
-        self.targets.ended("a")
+        self.targets.request_ended("a")
         self.assertEqual(self.targets.choose(1.0).node, "a")
 
 
