--- a/railsail/routing/answer.py
+++ b/railsail/routing/answer.py
@@ -26,41 +26,41 @@
         self.head: AnswerHead | None = None
         self.last_event = last_event
 
-    async def pass_on(self, head: AnswerHead, events: list[StreamEvent]) -> None:
+    async def forward(self, head: AnswerHead, events: list[StreamEvent]) -> None:
         """Send whole events to the caller, the first ones together with the head of the answer.
 
         Raise ``AnswerRefused`` if the number of an event is not above that of the event before it.
         """
-        fresh = self._fresh(events)
-        if not fresh:
+        checked = self._check_order(events)
+        if not checked:
             return
-        data = b"".join(event.raw for event in fresh)
-        numbered = [event.number for event in fresh if event.number >= 0]
+        data = b"".join(event.raw for event in checked)
+        numbered = [event.number for event in checked if event.number >= 0]
         if numbered:
             self.last_event = str(numbered[-1])
         if self.head is None:
             self.head = head
-            await self.client.begin(head.status, head.headers, data)
+            await self.client.start(head.status, head.headers, data)
         else:
             await self.client.write(data)
 
-    def _fresh(self, events: list[StreamEvent]) -> list[StreamEvent]:
+    def _check_order(self, events: list[StreamEvent]) -> list[StreamEvent]:
         last = int(self.last_event) if self.last_event else -1
-        fresh = []
+        checked = []
         for event in events:
             if 0 <= event.number <= last:
                 raise AnswerRefused(f"event {event.number} came after event {last}")
             if event.number >= 0:
                 last = event.number
-            fresh.append(event)
-        return fresh
+            checked.append(event)
+        return checked
 
 
 class ReplicaAnswer:
     """Receive one answer of one replica.
 
     An event stream is forwarded in whole events, so that another replica can resume a stream that
-    breaks within an event. Any other answer is buffered until it is complete. ``begun`` is called
+    breaks within an event. Any other answer is buffered until it is complete. ``on_body`` is called
     for each piece of the body of a successful answer.
     """
 
@@ -70,18 +70,18 @@
         request: RoutedRequest,
         streaming: bool,
         stream: StreamState,
-        begun: Callable[[], None],
+        on_body: Callable[[], None],
     ) -> None:
-        self.answered: AnswerHead | None = None
+        self.received_head: AnswerHead | None = None
         self.stream = stream
-        self.streams = False
+        self.is_stream = False
         self._protocol = protocol
         self._request = request
         self._streaming = streaming
-        self._begun = begun
+        self._on_body = on_body
         self._splitter = EventSplitter()
-        self._held: list[bytes] = []
-        self._held_bytes = 0
+        self._buffer: list[bytes] = []
+        self._buffered_bytes = 0
         self.progressed_at = asyncio.get_running_loop().time()
 
     async def head(self, status: int, headers: HTTPHeaders) -> None:
@@ -95,34 +95,34 @@
             raise AnswerRefused("the answer bears another request's id")
         if head.success and not head.signed:
             raise AnswerRefused("a success without a signature")
-        self.answered = head
-        self.streams = self._streaming and head.success and head.event_stream
-        self._progressed()
+        self.received_head = head
+        self.is_stream = self._streaming and head.success and head.event_stream
+        self._record_progress()
 
     async def data(self, chunk: bytes) -> None:
         """Forward or buffer a piece of the body.
 
         Raise ``AnswerRefused`` if an event is out of order, or if a buffered answer is too long.
         """
-        if self.answered is not None and self.answered.success:
-            self._begun()
-        self._progressed()
-        if self.streams:
-            await self.stream.pass_on(self.answered, self._splitter.feed(chunk))
-            self._progressed()
+        if self.received_head is not None and self.received_head.success:
+            self._on_body()
+        self._record_progress()
+        if self.is_stream:
+            await self.stream.forward(self.received_head, self._splitter.feed(chunk))
+            self._record_progress()
             return
-        self._held_bytes += len(chunk)
-        if self._held_bytes > MAX_BUFFERED_BYTES:
+        self._buffered_bytes += len(chunk)
+        if self._buffered_bytes > MAX_BUFFERED_BYTES:
             raise AnswerRefused("the answer is too long")
-        self._held.append(chunk)
+        self._buffer.append(chunk)
 
     def body(self) -> bytes:
         """Return the buffered body."""
-        return b"".join(self._held)
+        return b"".join(self._buffer)
 
-    def rest(self) -> bytes:
+    def trailing_bytes(self) -> bytes:
         """Return the bytes that follow the last whole event."""
         return self._splitter.rest
 
-    def _progressed(self) -> None:
+    def _record_progress(self) -> None:
         self.progressed_at = asyncio.get_running_loop().time()
--- a/railsail/routing/client.py
+++ b/railsail/routing/client.py
@@ -24,7 +24,7 @@
 # descriptors a node can neither accept nor open connections. A node that refused 500 requests a
 # second used up its 4,100 descriptors within eight seconds, since callers keep their connections
 # open after a refusal.
-CALLERS_SHARE = 0.25
+CALLERS_DESCRIPTOR_SHARE = 0.25
 
 
 def most_connections(open_files: int) -> float:
@@ -33,46 +33,46 @@
     ``open_files`` is the number of files that the process may open, 0 to ask the operating system.
     """
     allowed = open_files or resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    return math.inf if allowed == resource.RLIM_INFINITY else CALLERS_SHARE * allowed
+    return math.inf if allowed == resource.RLIM_INFINITY else CALLERS_DESCRIPTOR_SHARE * allowed
 
 
-class ClientLeft(RailsailError):
+class ClientDisconnected(RailsailError):
     """The caller closed its connection."""
 
 
 class ClientAnswer:
     """The answer to one request.
 
-    ``closing`` returns whether the connection is to be closed after the answer.
+    ``should_close`` returns whether the connection is to be closed after the answer.
     """
 
-    def __init__(self, connection: HTTP1Connection, closing: Callable[[], bool]) -> None:
+    def __init__(self, connection: HTTP1Connection, should_close: Callable[[], bool]) -> None:
         self.started = False
         self._connection = connection
-        self._closing = closing
+        self._should_close = should_close
 
-    async def begin(self, status: int, headers: HTTPHeaders, chunk: bytes) -> None:
+    async def start(self, status: int, headers: HTTPHeaders, chunk: bytes) -> None:
         """Send the status, the headers and the first ``chunk`` of the body.
 
         Without a ``Content-Length`` header the body continues until ``end`` is called.
         """
         self.started = True
-        if self._closing():
+        if self._should_close():
             headers["Connection"] = "close"
         line = ResponseStartLine("HTTP/1.1", status, responses.get(status, "Unknown"))
         try:
             await self._connection.write_headers(line, headers, chunk)
         except StreamClosedError:
-            raise ClientLeft from None
+            raise ClientDisconnected from None
 
     async def write(self, chunk: bytes) -> None:
         """Send a piece of the body, and wait until the caller's connection has accepted it."""
         try:
             await self._connection.write(chunk)
         except StreamClosedError:
-            raise ClientLeft from None
+            raise ClientDisconnected from None
 
-    async def pass_on(self, data: bytes) -> None:
+    async def write_raw(self, data: bytes) -> None:
         """Send raw bytes of an answer that another node has framed.
 
         Such an answer is ended by ``close``.
@@ -81,7 +81,7 @@
         try:
             await self._connection.stream.write(data)
         except StreamClosedError:
-            raise ClientLeft from None
+            raise ClientDisconnected from None
 
     def close(self) -> None:
         """Close the connection after an answer that another node has framed."""
@@ -95,10 +95,10 @@
         """Close the connection, so that no caller takes a partial answer for a complete one."""
         self._connection.close()
 
-    async def give(self, status: int, headers: HTTPHeaders, body: bytes) -> None:
+    async def send(self, status: int, headers: HTTPHeaders, body: bytes) -> None:
         """Send a complete answer."""
         headers["Content-Length"] = str(len(body))
-        await self.begin(status, headers, body)
+        await self.start(status, headers, body)
         self.end()
 
 
@@ -108,31 +108,33 @@
 class ClientServer(HTTPServerConnectionDelegate):
     """Accept connections of callers, and pass their requests to ``handler``.
 
-    While more than ``most_connections`` are open, each answer asks its caller to close its
+    While more than ``max_connections`` are open, each answer asks its caller to close its
     connection.
     """
 
-    def __init__(self, handler: Handler, most_connections: float = math.inf) -> None:
+    def __init__(self, handler: Handler, max_connections: float = math.inf) -> None:
         self._handler = handler
-        self._most_connections = most_connections
+        self._max_connections = max_connections
         self._tasks = TaskSet()
         self._connections: set[object] = set()
         self._idle: dict[object, HTTP1Connection] = {}
-        self._leaving = False
-        self._closes_idle = False
+        self._draining = False
+        self._closing_idle = False
 
-    def start_request(self, server_conn: object, request_conn: HTTP1Connection) -> "_Message":
+    def start_request(
+        self, server_conn: object, request_conn: HTTP1Connection
+    ) -> "_RequestReceiver":
         """Return the delegate that receives the next request of a connection."""
-        if self._closes_idle:
+        if self._closing_idle:
             request_conn.close()
-            return _Message(self, server_conn, request_conn)
+            return _RequestReceiver(self, server_conn, request_conn)
         if server_conn not in self._connections:
             self._connections.add(server_conn)
             detect_dead_peer(request_conn.stream.socket)
         # Tornado disables TCP_NODELAY again after each answer.
         request_conn.stream.set_nodelay(True)
         self._idle[server_conn] = request_conn
-        return _Message(self, server_conn, request_conn)
+        return _RequestReceiver(self, server_conn, request_conn)
 
     def on_close(self, server_conn: object) -> None:
         """Remove a closed connection."""
@@ -141,11 +143,11 @@
 
     def leave(self) -> None:
         """From now on, ask callers in each answer to close their connections."""
-        self._leaving = True
+        self._draining = True
 
     def close_idle(self) -> None:
         """From now on, close each connection while no request is being read or answered on it."""
-        self._closes_idle = True
+        self._closing_idle = True
         for connection in list(self._idle.values()):
             # The head of a request may already have been read in this iteration of the event loop.
             # Tornado delivers it in the next one, and it has to be answered.
@@ -162,22 +164,22 @@
         read = [stream for stream in idle if not (stream.reading() or stream.closed())]
         return len(self._tasks) + len(read)
 
-    def began(self, server_conn: object) -> None:
+    def request_started(self, server_conn: object) -> None:
         """Record that a request has started to arrive on a connection."""
         self._idle.pop(server_conn, None)
 
-    def _closing(self) -> bool:
-        return self._leaving or len(self._connections) > self._most_connections
+    def _should_close(self) -> bool:
+        return self._draining or len(self._connections) > self._max_connections
 
-    def received(
+    def request_received(
         self, line: RequestStartLine, headers: HTTPHeaders, body: bytes, connection: HTTP1Connection
     ) -> asyncio.Task:
         """Handle a request that was read completely, and return the task that does so."""
-        answer = ClientAnswer(connection, self._closing)
+        answer = ClientAnswer(connection, self._should_close)
         return self._tasks.start(self._handler(line, headers, body, answer))
 
 
-class _Message(HTTPMessageDelegate):
+class _RequestReceiver(HTTPMessageDelegate):
     """Receives one request; its task is cancelled when the caller disconnects."""
 
     def __init__(
@@ -194,7 +196,7 @@
     def headers_received(
         self, start_line: RequestStartLine | ResponseStartLine, headers: HTTPHeaders
     ) -> None:
-        self._server.began(self._server_conn)
+        self._server.request_started(self._server_conn)
         self._line = start_line
         self._headers = headers
 
@@ -202,15 +204,15 @@
         self._body.append(chunk)
 
     def finish(self) -> None:
-        self._connection.set_close_callback(self._left)
-        self._task = self._server.received(
+        self._connection.set_close_callback(self._disconnected)
+        self._task = self._server.request_received(
             self._line, self._headers, b"".join(self._body), self._connection
         )
 
     def on_connection_close(self) -> None:
-        self._server.began(self._server_conn)
-        self._left()
+        self._server.request_started(self._server_conn)
+        self._disconnected()
 
-    def _left(self) -> None:
+    def _disconnected(self) -> None:
         if self._task is not None:
             self._task.cancel()
--- a/railsail/routing/error_answers.py
+++ b/railsail/routing/error_answers.py
@@ -45,7 +45,7 @@
         if status == _NOT_RUN_STATUS:
             retry_after = outcome.come_back or self._retry_after(deadline)
         headers = self._protocol.own_headers(request_id, retry_after)
-        await client.give(status, headers, f"{outcome.detail}\n".encode())
+        await client.send(status, headers, f"{outcome.detail}\n".encode())
         return status
 
     def _retry_after(self, deadline: float) -> float:
--- a/railsail/routing/forwarding.py
+++ b/railsail/routing/forwarding.py
@@ -141,8 +141,8 @@
     try:
         line = await stream.read_until(b"\r\n", max_bytes=MAX_STATUS_LINE_BYTES)
         status = parse_response_start_line(line.decode("latin-1").strip()).code
-        await client.pass_on(line + await stream.read_bytes(CHUNK_BYTES, partial=True))
+        await client.write_raw(line + await stream.read_bytes(CHUNK_BYTES, partial=True))
         while True:
-            await client.pass_on(await stream.read_bytes(CHUNK_BYTES, partial=True))
+            await client.write_raw(await stream.read_bytes(CHUNK_BYTES, partial=True))
     except (StreamClosedError, UnsatisfiableReadError, HTTPInputError):
         return status
--- a/railsail/routing/front.py
+++ b/railsail/routing/front.py
@@ -19,7 +19,7 @@
 from railsail.objects.kinds import Pool, Route
 from railsail.policy.programs import RequestInput, Verdict
 from railsail.routing.answer import StreamState
-from railsail.routing.client import ClientAnswer, ClientLeft
+from railsail.routing.client import ClientAnswer, ClientDisconnected
 from railsail.routing.defaults import DEFAULT_POLICY
 from railsail.routing.error_answers import ErrorAnswers
 from railsail.routing.forwarding import Forwarder
@@ -113,7 +113,7 @@
         try:
             outcome, routed = await self._serve_safely(request, client, arrival.at)
             status = await self._error_answers.send(request.id, request.deadline, outcome, client)
-        except (ClientLeft, asyncio.CancelledError) as problem:
+        except (ClientDisconnected, asyncio.CancelledError) as problem:
             self._recorder.record_disconnect(request.id, self._clock.monotonic() - arrival.at)
             if isinstance(problem, asyncio.CancelledError):
                 raise
@@ -126,7 +126,7 @@
     ) -> tuple[Outcome, Routed | None]:
         try:
             return await self._serve(request, client, received_at)
-        except ClientLeft:
+        except ClientDisconnected:
             raise
         except Exception:
             # Without an answer the caller would wait until its deadline, at one node after another.
--- a/railsail/routing/offload.py
+++ b/railsail/routing/offload.py
@@ -17,7 +17,7 @@
 from railsail.gateway.callers import Callers
 from railsail.gateway.concurrency import ConcurrencyLimit
 from railsail.objects.kinds import Route
-from railsail.routing.client import ClientAnswer, ClientLeft
+from railsail.routing.client import ClientAnswer, ClientDisconnected
 from railsail.routing.error_answers import MAX_RETRY_AFTER_SECONDS, ErrorAnswers
 from railsail.routing.forwarding import ForwardedRequest, Forwarder
 from railsail.routing.messages import Arrival, Origin
@@ -111,7 +111,7 @@
             await self._error_answers.send(
                 origin.request_id, origin.deadline, outcome, candidate.client
             )
-        except ClientLeft:
+        except ClientDisconnected:
             # The connection to the other node is closed by now, which cancels the request there.
             return True
         self._metrics.forwarded.inc({"workspace": candidate.workspace})
@@ -144,7 +144,7 @@
         # Its caller retries at this node, which needs time until then; the answer says how long.
         refusal = NotRun(Reason.QUEUE_FULL, "this node is full")
         # A caller that has disconnected does not wait for the refusal.
-        with contextlib.suppress(ClientLeft):
+        with contextlib.suppress(ClientDisconnected):
             await self._error_answers.send(
                 origin.request_id, origin.deadline, refusal, candidate.client
             )
--- a/railsail/routing/relay.py
+++ b/railsail/routing/relay.py
@@ -15,7 +15,7 @@
 from railsail.policy.programs import Verdict
 from railsail.routing.answer import AnswerRefused, ReplicaAnswer, StreamState
 from railsail.routing.budget import RetryBounds, RetryBudget
-from railsail.routing.client import ClientAnswer, ClientLeft
+from railsail.routing.client import ClientAnswer, ClientDisconnected
 from railsail.routing.connect_failures import ConnectFailures
 from railsail.routing.messages import Dispatch, RoutedRequest
 from railsail.routing.protocol import RouteProtocol
@@ -218,7 +218,7 @@
             outcome = await self._send(routed, booking, replica)
             result = CallResult.of(outcome)
             return outcome
-        except (asyncio.CancelledError, ClientLeft):
+        except (asyncio.CancelledError, ClientDisconnected):
             # The caller left, but only after a time in which the answer should have started: the
             # replica is likely to be at fault.
             if (
@@ -324,7 +324,7 @@
             task.cancel()
 
     async def _judge(self, routed: Routed, replica: str, answer: ReplicaAnswer) -> Outcome:
-        head = answer.answered
+        head = answer.received_head
         self._connect_failures.record_answer(replica)
         if head.misdirected:
             self._directory.sign_leaving(replica, Source.MISDIRECTED, self._clock.wall())
@@ -332,7 +332,7 @@
         if head.not_run:
             return NotRun(Reason.REFUSED, f"status {head.status}", asked_rest=head.asks_rest)
         routed.ran = True
-        if answer.streams:
+        if answer.is_stream:
             return self._end_stream(routed, answer)
         if routed.stream.head is not None:
             return Unknown(f"status {head.status} in the middle of a stream")
@@ -341,16 +341,16 @@
         if head.status in (503, 429, 408):
             # The status would tell the caller that nothing ran, which the replica did not say.
             return Unknown(f"status {head.status}", asked_rest=head.asks_rest)
-        await routed.client.give(head.status, head.headers, answer.body())
+        await routed.client.send(head.status, head.headers, answer.body())
         return Completed(head.status, 0.0)
 
     def _end_stream(self, routed: Routed, answer: ReplicaAnswer) -> Outcome:
-        if answer.rest().strip():
+        if answer.trailing_bytes().strip():
             return Unknown("the stream ended within an event", broke_off=True)
         if routed.stream.head is None:
             return Unknown("the stream ended without an event", broke_off=True)
         routed.client.end()
-        return Completed(answer.answered.status, 0.0)
+        return Completed(answer.received_head.status, 0.0)
 
 
 def estimate_cost(routed: Routed) -> float:
