--- a/railsail/routing/budget.py
+++ b/railsail/routing/budget.py
@@ -37,29 +37,29 @@
         self._window = bounds.window * WINDOW_MARGIN
         self._started_at = started_at
         self._requests: deque[float] = deque()
-        self._repeats: deque[float] = deque()
+        self._retries: deque[float] = deque()
         # Retries that were left when ``allow`` was called last, before it counted one.
-        self.left = 0
+        self.remaining = 0
 
-    def request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Record a request of a caller."""
         self._requests.append(now)
         _drop_before(self._requests, now - self._bounds.window)
 
-    def allow(self, now: float, members: int) -> bool:
+    def allow(self, now: float, fleet_size: int) -> bool:
         """Return True and count a retry if the budget allows one now.
 
-        ``members`` is the number of nodes in the fleet.
+        ``fleet_size`` is the number of nodes in the fleet.
         """
         _drop_before(self._requests, now - self._bounds.window)
-        _drop_before(self._repeats, now - self._window)
+        _drop_before(self._retries, now - self._window)
         allowed = self._bounds.ratio * len(self._requests) * SHARE_MARGIN
         if now - self._started_at >= self._window:
-            allowed += self._bounds.slack * SHARE_MARGIN / max(1, members)
-        self.left = max(0, int(allowed) - len(self._repeats))
-        if len(self._repeats) + 1 > allowed:
+            allowed += self._bounds.slack * SHARE_MARGIN / max(1, fleet_size)
+        self.remaining = max(0, int(allowed) - len(self._retries))
+        if len(self._retries) + 1 > allowed:
             return False
-        self._repeats.append(now)
+        self._retries.append(now)
         return True
 
 
--- a/railsail/routing/error_answers.py
+++ b/railsail/routing/error_answers.py
@@ -50,10 +50,10 @@
 
     def _retry_after(self, deadline: float) -> float:
         # Jitter keeps callers that were refused at the same time from retrying at the same time.
-        longest = MAX_RETRY_AFTER_SECONDS
+        max_seconds = MAX_RETRY_AFTER_SECONDS
         if deadline:
-            longest = min(longest, RETRY_AFTER_SHARE * deadline)
-        return self._rng.uniform(min(MIN_RETRY_AFTER_SECONDS, longest), longest)
+            max_seconds = min(max_seconds, RETRY_AFTER_SHARE * deadline)
+        return self._rng.uniform(min(MIN_RETRY_AFTER_SECONDS, max_seconds), max_seconds)
 
 
 def _status(outcome: NotRun | Unknown) -> int:
--- a/railsail/routing/front.py
+++ b/railsail/routing/front.py
@@ -23,11 +23,11 @@
 from railsail.routing.defaults import DEFAULT_POLICY
 from railsail.routing.error_answers import ErrorAnswers
 from railsail.routing.forwarding import Forwarder
-from railsail.routing.messages import Arrival, RoutedRequest
+from railsail.routing.messages import IncomingRequest, RoutedRequest
 from railsail.routing.offload import Offloader
 from railsail.routing.outcome_recorder import OutcomeRecorder
 from railsail.routing.protocol import RouteProtocol
-from railsail.routing.relay import Relay, Routed
+from railsail.routing.relay import Relay, RoutingContext
 from railsail.routing.table import RouteTable, choose_pool
 
 # The name of no region: a request that is restricted to it can run nowhere.
@@ -41,7 +41,7 @@
         self,
         protocol: RouteProtocol,
         relay: Relay,
-        judge: PolicyEvaluator,
+        evaluator: PolicyEvaluator,
         admission: Admission,
         callers: Callers,
         configuration: ConfigurationCarrier,
@@ -51,7 +51,7 @@
     ) -> None:
         self._protocol = protocol
         self._relay = relay
-        self._judge = judge
+        self._evaluator = evaluator
         self._admission = admission
         self._callers = callers
         self._configuration = configuration
@@ -88,42 +88,44 @@
         self, line: RequestStartLine, headers: HTTPHeaders, body: bytes, client: ClientAnswer
     ) -> None:
         """Serve one request of a caller."""
-        arrival = Arrival(line, headers, body, self._clock.monotonic())
-        if not await self._offloader.offload(arrival, client, can_forward=True):
-            await self._serve_here(arrival, client)
+        incoming = IncomingRequest(line, headers, body, self._clock.monotonic())
+        if not await self._offloader.offload(incoming, client, can_forward=True):
+            await self._serve_locally(incoming, client)
 
     async def handle_forwarded(
         self, line: RequestStartLine, headers: HTTPHeaders, body: bytes, client: ClientAnswer
     ) -> None:
         """Serve one request that another node has forwarded; it is not forwarded again."""
-        arrival = Arrival(line, headers, body, self._clock.monotonic())
-        if not await self._offloader.offload(arrival, client, can_forward=False):
-            await self._serve_here(arrival, client)
+        incoming = IncomingRequest(line, headers, body, self._clock.monotonic())
+        if not await self._offloader.offload(incoming, client, can_forward=False):
+            await self._serve_locally(incoming, client)
 
-    async def _serve_here(self, arrival: Arrival, client: ClientAnswer) -> None:
-        line = arrival.line
+    async def _serve_locally(self, incoming: IncomingRequest, client: ClientAnswer) -> None:
+        line = incoming.line
         try:
             request = self._protocol.read_request(
-                line.method, line.path, arrival.headers, arrival.body
+                line.method, line.path, incoming.headers, incoming.body
             )
         except ValueError as problem:
             bad = NotRun(Reason.BAD_REQUEST, str(problem))
             await self._error_answers.send("", 0.0, bad, client)
             return
         try:
-            outcome, routed = await self._serve_safely(request, client, arrival.at)
+            outcome, context = await self._serve_safely(request, client, incoming.received_at)
             status = await self._error_answers.send(request.id, request.deadline, outcome, client)
         except (ClientDisconnected, asyncio.CancelledError) as problem:
-            self._recorder.record_disconnect(request.id, self._clock.monotonic() - arrival.at)
+            self._recorder.record_disconnect(
+                request.id, self._clock.monotonic() - incoming.received_at
+            )
             if isinstance(problem, asyncio.CancelledError):
                 raise
             return
-        seconds = self._clock.monotonic() - arrival.at
-        self._recorder.record_outcome(request.id, routed, outcome, status, seconds)
+        seconds = self._clock.monotonic() - incoming.received_at
+        self._recorder.record_outcome(request.id, context, outcome, status, seconds)
 
     async def _serve_safely(
         self, request: RoutedRequest, client: ClientAnswer, received_at: float
-    ) -> tuple[Outcome, Routed | None]:
+    ) -> tuple[Outcome, RoutingContext | None]:
         try:
             return await self._serve(request, client, received_at)
         except ClientDisconnected:
@@ -135,19 +137,19 @@
 
     async def _serve(
         self, request: RoutedRequest, client: ClientAnswer, received_at: float
-    ) -> tuple[Outcome, Routed | None]:
+    ) -> tuple[Outcome, RoutingContext | None]:
         found = self._find(request)
         if isinstance(found, NotRun):
-            held = self._configuration.held()
-            self._events.emit(Kind.RECEIVED, request=request.id, **held.facts())
+            configuration = self._configuration.held()
+            self._events.emit(Kind.RECEIVED, request=request.id, **configuration.facts())
             return found, None
         route, pool, workspace = found
         refused = self._admission.admit(workspace)
         if refused is not None:
             return refused, None
         try:
-            routed = self._begin(request, route, pool, workspace, client, received_at)
-            return await self._relay.run(routed), routed
+            context = self._create_context(request, route, pool, workspace, client, received_at)
+            return await self._relay.run(context), context
         finally:
             self._admission.release(workspace)
 
@@ -169,7 +171,7 @@
             return NotRun(Reason.UNKNOWN_POOL, f"there is no pool {name!r}")
         return route, pool, workspace
 
-    def _begin(
+    def _create_context(
         self,
         request: RoutedRequest,
         route: Route,
@@ -177,12 +179,12 @@
         workspace: str,
         client: ClientAnswer,
         received_at: float,
-    ) -> Routed:
-        verdict = self._verdict(request, route, pool, workspace)
-        longest = min(request.deadline or route.timeout, route.timeout)
-        may_wait = verdict.may_wait
+    ) -> RoutingContext:
+        decision = self._evaluate_policy(request, route, pool, workspace)
+        timeout = min(request.deadline or route.timeout, route.timeout)
+        may_wait = decision.may_wait
         head = (workspace, request.method, request.host, request.target)
-        known_by = request_fingerprint(head, request.body)
+        shared_fingerprint = request_fingerprint(head, request.body)
         self._events.emit(
             Kind.RECEIVED,
             request=request.id,
@@ -190,25 +192,25 @@
             route=route.name,
             pool=pool.name,
             configuration=self._catalog.version,
-            deadline_ms=round(longest * 1000),
+            deadline_ms=round(timeout * 1000),
             may_wait_ms=round(may_wait * 1000),
             objective_ms=round(route.objective * 1000),
-            rank=verdict.rank,
-            fingerprint=fingerprint_name(known_by),
+            rank=decision.rank,
+            fingerprint=fingerprint_name(shared_fingerprint),
         )
-        return Routed(
+        return RoutingContext(
             request,
             route,
             pool,
             workspace,
-            verdict,
+            decision,
             client,
-            received_at + longest,
+            received_at + timeout,
             received_at + may_wait,
             StreamState(client, request.last_event),
             received_at=received_at,
             regions=self._regions(route, workspace),
-            fingerprint=known_by,
+            fingerprint=shared_fingerprint,
         )
 
     def _regions(self, route: Route, workspace: str) -> tuple[str, ...]:
@@ -216,22 +218,24 @@
 
         If both the route and the workspace name regions, both have to allow a region.
         """
-        of_owner = self._catalog.regions_of(workspace)
-        if not (route.regions and of_owner):
-            return route.regions or of_owner
+        workspace_regions = self._catalog.regions_of(workspace)
+        if not (route.regions and workspace_regions):
+            return route.regions or workspace_regions
         # If they have no region in common, the request can run nowhere.
-        return tuple(r for r in route.regions if r in of_owner) or (NO_REGION,)
+        return tuple(r for r in route.regions if r in workspace_regions) or (NO_REGION,)
 
-    def _verdict(self, request: RoutedRequest, route: Route, pool: Pool, workspace: str) -> Verdict:
+    def _evaluate_policy(
+        self, request: RoutedRequest, route: Route, pool: Pool, workspace: str
+    ) -> Verdict:
         owner = self._catalog.workspace(workspace)
         priority = route.priority if owner is None or owner.priority is None else owner.priority
-        described = RequestInput(
+        policy_input = RequestInput(
             pool=pool.name,
             kind=pool.upstream_kind,
             method=request.method,
             path=request.path,
             body_bytes=len(request.body),
-            max_tokens=request.prompt.most_output,
+            max_tokens=request.prompt.max_output,
             stream=route.streaming,
             has_key=bool(request.key),
             deadline=request.deadline,
@@ -240,4 +244,4 @@
             repeatable=route.may_repeat,
         )
         policy = self._catalog.policy(owner.policy) if owner else None
-        return self._judge.run(policy or DEFAULT_POLICY, workspace, described)
+        return self._evaluator.run(policy or DEFAULT_POLICY, workspace, policy_input)
--- a/railsail/routing/messages.py
+++ b/railsail/routing/messages.py
@@ -18,13 +18,13 @@
 class Prompt(msgspec.Struct, frozen=True):
     """What a request says about its tokens.
 
-    ``tokens`` is the length of the prompt, ``most_output`` the maximum number of tokens to generate
+    ``tokens`` is the length of the prompt, ``max_output`` the maximum number of tokens to generate
     and ``expected_output`` the caller's estimate of that number; all are 0 if the request does not
     say. ``parts`` are in order; the last one belongs to this request or its session alone.
     """
 
     tokens: int = 0
-    most_output: int = 0
+    max_output: int = 0
     expected_output: int = 0
     parts: Sequence[PromptPart] = ()
 
@@ -63,13 +63,13 @@
     prompt: Prompt = Prompt()
 
 
-class Arrival(msgspec.Struct, frozen=True):
-    """A request as it arrived; ``at`` is its time of arrival in seconds of the monotonic clock."""
+class IncomingRequest(msgspec.Struct, frozen=True):
+    """A request as it arrived, at ``received_at`` in seconds of the monotonic clock."""
 
     line: RequestStartLine
     headers: HTTPHeaders
     body: bytes
-    at: float
+    received_at: float
 
     @property
     def path(self) -> str:
--- a/railsail/routing/offload.py
+++ b/railsail/routing/offload.py
@@ -20,7 +20,7 @@
 from railsail.routing.client import ClientAnswer, ClientDisconnected
 from railsail.routing.error_answers import MAX_RETRY_AFTER_SECONDS, ErrorAnswers
 from railsail.routing.forwarding import ForwardedRequest, Forwarder
-from railsail.routing.messages import Arrival, Origin
+from railsail.routing.messages import IncomingRequest, Origin
 from railsail.routing.outcome_recorder import OutcomeRecorder
 from railsail.routing.overload_log import OverloadLog
 from railsail.routing.protocol import RouteProtocol
@@ -30,7 +30,7 @@
 class _Candidate(msgspec.Struct, frozen=True):
     """A request that arrived at a full node, parsed only as far as needed, and its caller."""
 
-    arrival: Arrival
+    incoming: IncomingRequest
     origin: Origin
     route: Route
     workspace: str
@@ -66,7 +66,9 @@
         self._overload_log = OverloadLog(kernel)
         self._refused_callers = RefusedCallers()
 
-    async def offload(self, arrival: Arrival, client: ClientAnswer, can_forward: bool) -> bool:
+    async def offload(
+        self, incoming: IncomingRequest, client: ClientAnswer, can_forward: bool
+    ) -> bool:
         """Forward or refuse the request if this node is full, and return True if it did either.
 
         The node is full if ``limit`` is reached, or if admission would refuse the request. Only
@@ -76,7 +78,7 @@
         full = self._limit.full(self._admission.total)
         if not (full or self._admission.can_refuse):
             return False
-        candidate = self._read(arrival, client)
+        candidate = self._read(incoming, client)
         if candidate is None:
             return False
         if not full and self._admission.refusal(candidate.workspace) is None:
@@ -88,22 +90,22 @@
         await self._refuse(candidate)
         return True
 
-    def _read(self, arrival: Arrival, client: ClientAnswer) -> _Candidate | None:
-        origin = self._protocol.read_origin(arrival.headers)
-        route = self._find_route(origin.host, arrival.path)
+    def _read(self, incoming: IncomingRequest, client: ClientAnswer) -> _Candidate | None:
+        origin = self._protocol.read_origin(incoming.headers)
+        route = self._find_route(origin.host, incoming.path)
         if route is None:
             return None
         workspace = self._callers.workspace_of(origin.key) or ""
-        return _Candidate(arrival, origin, route, workspace, client)
+        return _Candidate(incoming, origin, route, workspace, client)
 
     async def _forward(self, candidate: _Candidate) -> bool:
-        arrival, origin, route = candidate.arrival, candidate.origin, candidate.route
+        incoming, origin, route = candidate.incoming, candidate.origin, candidate.route
         timeout = min(origin.deadline or route.timeout, route.timeout)
-        elapsed = self._clock.monotonic() - arrival.at
-        headers = self._protocol.forward_headers(arrival.headers, elapsed)
-        deadline_at = arrival.at + timeout
+        elapsed = self._clock.monotonic() - incoming.received_at
+        headers = self._protocol.forward_headers(incoming.headers, elapsed)
+        deadline_at = incoming.received_at + timeout
         regions = self._regions_of(route, candidate.workspace)
-        request = ForwardedRequest(arrival.line, headers, arrival.body, deadline_at, regions)
+        request = ForwardedRequest(incoming.line, headers, incoming.body, deadline_at, regions)
         try:
             outcome = await self._forwarder.forward(request, candidate.client)
             if outcome is None:
@@ -117,15 +119,15 @@
         self._metrics.forwarded.inc({"workspace": candidate.workspace})
         self._overload_log.forwarded()
         if isinstance(outcome, Unknown):
-            seconds = self._clock.monotonic() - arrival.at
+            seconds = self._clock.monotonic() - incoming.received_at
             self._recorder.record_unknown(origin.request_id, outcome, seconds)
         return True
 
     def _is_retry(self, candidate: _Candidate) -> bool:
         """Return True if this node refused the request before, and record this refusal."""
-        arrival, origin = candidate.arrival, candidate.origin
-        head = (candidate.workspace, arrival.line.method, origin.host, arrival.line.path)
-        shared_fingerprint = request_fingerprint(head, arrival.body)
+        incoming, origin = candidate.incoming, candidate.origin
+        head = (candidate.workspace, incoming.line.method, origin.host, incoming.line.path)
+        shared_fingerprint = request_fingerprint(head, incoming.body)
         now = self._clock.monotonic()
         is_retry = self._refused_callers.comes_back(shared_fingerprint, now)
         self._refused_callers.refused(shared_fingerprint, MAX_RETRY_AFTER_SECONDS, now)
--- a/railsail/routing/outcome_recorder.py
+++ b/railsail/routing/outcome_recorder.py
@@ -3,7 +3,7 @@
 from railsail.core.events import Fact, Kind
 from railsail.core.kernel import Kernel
 from railsail.core.outcomes import Completed, NotRun, Outcome, Unknown
-from railsail.routing.relay import Routed
+from railsail.routing.relay import RoutingContext
 
 
 class OutcomeRecorder:
@@ -32,14 +32,14 @@
     def record_outcome(
         self,
         request_id: str,
-        routed: Routed | None,
+        context: RoutingContext | None,
         outcome: Outcome,
         status: int,
         seconds: float,
     ) -> None:
         """Record an ``outcome`` after ``seconds``.
 
-        ``routed`` is ``None`` if the request was refused before a replica was requested for it.
+        ``context`` is ``None`` if the request was refused before a replica was requested for it.
         ``status`` is the status that the caller received, 0 if its connection was closed instead.
         """
         outcome_name = type(outcome).__name__.lower()
@@ -49,34 +49,34 @@
         if isinstance(outcome, NotRun):
             facts["reason"] = outcome.reason
         pool = ""
-        if routed is not None:
-            pool = routed.pool.name
-            facts |= _request_facts(routed)
-            self._observe_stages(routed, outcome_name, seconds)
+        if context is not None:
+            pool = context.pool.name
+            facts |= _request_facts(context)
+            self._observe_stages(context, outcome_name, seconds)
         self._metrics.requests.inc({"pool": pool, "outcome": outcome_name})
         detail = outcome.detail if isinstance(outcome, NotRun | Unknown) else ""
-        notable = _late(routed) or not isinstance(outcome, Completed)
+        notable = _late(context) or not isinstance(outcome, Completed)
         self._events.emit(Kind.ENDED, detail, request_id, notable=notable, **facts)
 
-    def _observe_stages(self, routed: Routed, outcome: str, seconds: float) -> None:
-        stages = {"queue": routed.waited, "first-byte": routed.first_after, "whole": seconds}
+    def _observe_stages(self, context: RoutingContext, outcome: str, seconds: float) -> None:
+        stages = {"queue": context.waited, "first-byte": context.first_byte_after, "whole": seconds}
         for stage, duration in stages.items():
             if stage != "first-byte" or duration:
-                labels = {"route": routed.route.name, "outcome": outcome, "stage": stage}
+                labels = {"route": context.route.name, "outcome": outcome, "stage": stage}
                 self._metrics.stages.observe(labels, duration)
 
 
-def _late(routed: Routed | None) -> bool:
-    return routed is not None and 0 < routed.route.objective < routed.first_after
+def _late(context: RoutingContext | None) -> bool:
+    return context is not None and 0 < context.route.objective < context.first_byte_after
 
 
-def _request_facts(routed: Routed) -> dict[str, Fact]:
+def _request_facts(context: RoutingContext) -> dict[str, Fact]:
     facts: dict[str, Fact] = {
-        "attempts": routed.attempts,
-        "waited_ms": round(routed.waited * 1000),
-        "first_ms": round(routed.first_after * 1000),
-        "replica": routed.replica,
-        "given_up": routed.given_up,
-        "last_event": routed.stream.last_event,
+        "attempts": context.attempts,
+        "waited_ms": round(context.waited * 1000),
+        "first_ms": round(context.first_byte_after * 1000),
+        "replica": context.replica,
+        "given_up": context.give_up_reason,
+        "last_event": context.stream.last_event,
     }
     return {name: fact for name, fact in facts.items() if fact != ""}
--- a/railsail/routing/relay.py
+++ b/railsail/routing/relay.py
@@ -47,49 +47,49 @@
 
 
 @dataclass
-class Routed:
+class RoutingContext:
     """The state of one request while this daemon serves it.
 
     All times are in seconds, points in time of the monotonic clock. ``deadline_at`` is when the
-    final answer is due, ``offer_by`` until when the request may wait for a replica. ``attempts``
-    counts the replicas that it was sent to; ``ran`` is true if one of them may have run it.
-    ``replica`` is the one that it was sent to last, ``avoid`` the one that failed it last.
-    ``waited`` is how long it waited for replicas in total, ``first_after`` the time from its
-    arrival to the first byte of an answer, 0 without an answer. ``given_up`` is the reason why no
-    further attempt was made. The request may run only in ``regions``, or in any region if there are
-    none. Its retries have the same ``fingerprint``.
+    final answer is due, ``wait_until`` until when the request may wait for a replica. ``attempts``
+    counts the replicas that it was sent to; ``may_have_run`` is true if one of them may have run
+    it. ``replica`` is the one that it was sent to last, ``avoid`` the one that failed it last.
+    ``waited`` is how long it waited for replicas in total, ``first_byte_after`` the time from its
+    arrival to the first byte of an answer, 0 without an answer. ``give_up_reason`` is the reason
+    why no further attempt was made. The request may run only in ``regions``, or in any region if
+    there are none. Its retries have the same ``fingerprint``.
     """
 
     request: RoutedRequest
     route: Route
     pool: Pool
     workspace: str
-    verdict: Verdict
+    decision: Verdict
     client: ClientAnswer
     deadline_at: float
-    offer_by: float
+    wait_until: float
     stream: StreamState
     attempts: int = 0
-    ran: bool = False
+    may_have_run: bool = False
     avoid: str = ""
     replica: str = ""
     received_at: float = 0.0
     waited: float = 0.0
-    first_after: float = 0.0
-    given_up: str = ""
+    first_byte_after: float = 0.0
+    give_up_reason: str = ""
     regions: tuple[str, ...] = ()
     fingerprint: int = 0
 
     @property
-    def may_repeat(self) -> bool:
+    def can_retry(self) -> bool:
         """Return True if the request may be sent again after an attempt of unknown outcome."""
         if self.stream.head is not None and not self.route.resumable:
             return False
-        return self.route.may_repeat and not self.verdict.never_repeat
+        return self.route.may_repeat and not self.decision.never_repeat
 
 
 class Relay:
-    """Make the attempts of routed requests; ``members`` returns the known size of the fleet."""
+    """Make the attempts of routed requests; ``fleet_size`` returns the known size of the fleet."""
 
     def __init__(
         self,
@@ -98,8 +98,8 @@
         tickets: TicketClient,
         acquirer: ReplicaAcquirer,
         bounds: RetryBounds,
-        members: Callable[[], int],
-        heard: HeardSigns,
+        fleet_size: Callable[[], int],
+        replica_signals: HeardSigns,
         connections: Connections,
         kernel: Kernel,
     ) -> None:
@@ -108,8 +108,8 @@
         self._tickets = tickets
         self._acquirer = acquirer
         self._bounds = bounds
-        self._members = members
-        self._heard = heard
+        self._fleet_size = fleet_size
+        self._replica_signals = replica_signals
         self._connections = connections
         self._clock = kernel.clock
         self._events = kernel.events
@@ -121,23 +121,23 @@
         self._calls = RunningCalls()
         directory.on_rebirth(lambda before: self._calls.end(before.name))
 
-    async def run(self, routed: Routed) -> Outcome:
+    async def run(self, context: RoutingContext) -> Outcome:
         """Make attempts until an outcome is final, and return it."""
-        budget = self._budget(routed.pool.name)
-        budget.request(self._clock.monotonic())
+        budget = self._budget(context.pool.name)
+        budget.record_request(self._clock.monotonic())
         while True:
-            outcome = await self._attempt(routed)
-            if not self._go_on(routed, outcome, budget):
-                return truth_of(outcome, routed.ran)
+            outcome = await self._attempt(context)
+            if not self._should_retry(context, outcome, budget):
+                return truth_of(outcome, context.may_have_run)
             self._events.emit(
                 Kind.RETRIED,
                 outcome.detail,
-                routed.request.id,
-                routed.workspace,
+                context.request.id,
+                context.workspace,
                 outcome=type(outcome).__name__.lower(),
-                replica=routed.avoid,
-                attempts=routed.attempts,
-                budget_left=budget.left,
+                replica=context.avoid,
+                attempts=context.attempts,
+                budget_left=budget.remaining,
             )
 
     def _budget(self, pool: str) -> RetryBudget:
@@ -145,84 +145,86 @@
             self._budgets[pool] = RetryBudget(self._bounds, self._started_at)
         return self._budgets[pool]
 
-    def _go_on(self, routed: Routed, outcome: Outcome, budget: RetryBudget) -> bool:
+    def _should_retry(self, context: RoutingContext, outcome: Outcome, budget: RetryBudget) -> bool:
         now = self._clock.monotonic()
-        if isinstance(outcome, Completed) or now >= routed.deadline_at:
+        if isinstance(outcome, Completed) or now >= context.deadline_at:
             return False
         if isinstance(outcome, NotRun):
             if outcome.reason not in _RETRYABLE_REASONS:
                 return False
             cause = "not-run"
-        elif routed.may_repeat:
+        elif context.can_retry:
             cause = "unknown"
         else:
-            routed.given_up = "it may not be repeated"
+            context.give_up_reason = "it may not be repeated"
             return False
-        if routed.attempts >= routed.route.max_attempts:
-            routed.given_up = f"the route allows {routed.route.max_attempts} attempts"
+        if context.attempts >= context.route.max_attempts:
+            context.give_up_reason = f"the route allows {context.route.max_attempts} attempts"
             return False
         # The budget counts calls. As long as no attempt has reached a replica, the next one is the
         # first call and no retry.
-        if routed.attempts and not budget.allow(now, self._members()):
-            routed.given_up = "the retry budget is spent"
+        if context.attempts and not budget.allow(now, self._fleet_size()):
+            context.give_up_reason = "the retry budget is spent"
             return False
         self._metrics.retries.inc({"cause": cause})
         return True
 
-    async def _attempt(self, routed: Routed) -> Outcome:
-        asked_at = self._clock.monotonic()
-        wait = self._wait_seconds(routed)
-        booking = await self._acquirer.acquire(self._want(routed, wait), wait)
-        routed.waited += self._clock.monotonic() - asked_at
-        if isinstance(booking, NotRun):
-            return booking
-        return await self._send_booked(routed, booking, booking.replica)
+    async def _attempt(self, context: RoutingContext) -> Outcome:
+        requested_at = self._clock.monotonic()
+        wait = self._wait_seconds(context)
+        pending_call = await self._acquirer.acquire(self._pool_request(context, wait), wait)
+        context.waited += self._clock.monotonic() - requested_at
+        if isinstance(pending_call, NotRun):
+            return pending_call
+        return await self._send_granted(context, pending_call, pending_call.replica)
 
-    def _wait_seconds(self, routed: Routed) -> float:
+    def _wait_seconds(self, context: RoutingContext) -> float:
         now = self._clock.monotonic()
-        least = RESUME_WAIT_SECONDS if routed.stream.head is not None else MIN_WAIT_SECONDS
-        return max(0.0, min(max(routed.offer_by - now, least), routed.deadline_at - now))
+        min_wait = RESUME_WAIT_SECONDS if context.stream.head is not None else MIN_WAIT_SECONDS
+        return max(0.0, min(max(context.wait_until - now, min_wait), context.deadline_at - now))
 
-    def _want(self, routed: Routed, patience: float) -> PoolRequest:
-        prompt = routed.request.prompt
+    def _pool_request(self, context: RoutingContext, max_wait: float) -> PoolRequest:
+        prompt = context.request.prompt
         now = self._clock.monotonic()
         return PoolRequest(
-            request_id=routed.request.id,
-            pool=routed.pool.name,
-            workspace=routed.workspace,
-            rank=routed.verdict.rank,
-            estimate=estimate_cost(routed),
+            request_id=context.request.id,
+            pool=context.pool.name,
+            workspace=context.workspace,
+            rank=context.decision.rank,
+            estimate=estimate_cost(context),
             urgent=False,
-            prefix=prompt.affinity_key if routed.route.affinity else 0,
-            avoid=routed.avoid or self._connect_failures.replica_to_avoid(now),
-            prompt_tokens=prompt.tokens if routed.pool.cost_unit is CostUnit.TOKENS else 0,
+            prefix=prompt.affinity_key if context.route.affinity else 0,
+            avoid=context.avoid or self._connect_failures.replica_to_avoid(now),
+            prompt_tokens=prompt.tokens if context.pool.cost_unit is CostUnit.TOKENS else 0,
             shared_tokens=prompt.shared_tokens,
-            objective=routed.route.objective,
-            patience=patience,
-            returns_within=RETRY_AFTER_SHARE * max(0.0, routed.deadline_at - now),
-            regions=routed.regions,
-            fingerprint=routed.fingerprint,
-            route=self._route(routed),
+            objective=context.route.objective,
+            patience=max_wait,
+            returns_within=RETRY_AFTER_SHARE * max(0.0, context.deadline_at - now),
+            regions=context.regions,
+            fingerprint=context.fingerprint,
+            route=self._route(context),
         )
 
-    def _route(self, routed: Routed) -> int:
-        if self._directory.rollout(routed.pool.name) is None:
+    def _route(self, context: RoutingContext) -> int:
+        if self._directory.rollout(context.pool.name) is None:
             return 0
-        return route_fingerprint(routed.route.name)
+        return route_fingerprint(context.route.name)
 
-    async def _send_booked(self, routed: Routed, booking: Booking, replica: str) -> Outcome:
+    async def _send_granted(
+        self, context: RoutingContext, pending_call: Booking, replica: str
+    ) -> Outcome:
         sent_at = self._clock.monotonic()
         result = CallResult.NOTHING
         outcome: Outcome | None = None
         try:
-            outcome = await self._send(routed, booking, replica)
+            outcome = await self._send(context, pending_call, replica)
             result = CallResult.of(outcome)
             return outcome
         except (asyncio.CancelledError, ClientDisconnected):
             # The caller left, but only after a time in which the answer should have started: the
             # replica is likely to be at fault.
             if (
-                not booking.begun
+                not pending_call.begun
                 and self._clock.monotonic() - sent_at > MIN_SILENCE_TIMEOUT_SECONDS
             ):
                 result = CallResult.ERROR
@@ -231,20 +233,22 @@
             raise
         finally:
             if outcome is None or not isinstance(outcome, Completed):
-                routed.avoid = replica
-            used = outcome is None or not isinstance(outcome, NotRun)
-            self._tickets.release(booking, booking.want.estimate if used else 0.0, result)
+                context.avoid = replica
+            has_cost = outcome is None or not isinstance(outcome, NotRun)
+            self._tickets.release(
+                pending_call, pending_call.want.estimate if has_cost else 0.0, result
+            )
 
-    async def _send(self, routed: Routed, booking: Booking, replica: str) -> Outcome:
+    async def _send(self, context: RoutingContext, pending_call: Booking, replica: str) -> Outcome:
         upstream = self._directory.get(replica)
         if upstream is None:
             return NotRun(Reason.UNREACHABLE, "the replica is not known any more")
-        request = routed.request
-        left = routed.deadline_at - self._clock.monotonic()
-        if left <= 0:
+        request = context.request
+        remaining = context.deadline_at - self._clock.monotonic()
+        if remaining <= 0:
             return NotRun(Reason.EXPIRED, "there is no time left")
-        routed.replica = replica
-        dispatch = Dispatch(replica, routed.workspace, left, routed.stream.last_event)
+        context.replica = replica
+        dispatch = Dispatch(replica, context.workspace, remaining, context.stream.last_event)
         call = HttpRequest(
             upstream.endpoint,
             request.method,
@@ -252,8 +256,8 @@
             self._protocol.request_headers(request, dispatch),
             request.body,
             open_ended=True,
-            connect_seconds=min(CONNECT_SECONDS, left),
-            on_head=self._heard.listener(replica, self._protocol.read_signs),
+            connect_seconds=min(CONNECT_SECONDS, remaining),
+            on_head=self._replica_signals.listener(replica, self._protocol.read_signs),
             replica=replica,
             request_id=request.id,
             read_id=self._protocol.answered_id,
@@ -261,51 +265,51 @@
         answer = ReplicaAnswer(
             self._protocol,
             request,
-            routed.route.streaming,
-            routed.stream,
-            lambda: self._begun(routed, booking),
+            context.route.streaming,
+            context.stream,
+            lambda: self._answer_started(context, pending_call),
         )
         self._events.emit(
             Kind.SENT,
             request=request.id,
-            workspace=routed.workspace,
+            workspace=context.workspace,
             replica=replica,
             endpoint=upstream.endpoint,
             listed_version=upstream.version,
-            attempt=routed.attempts + 1,
-            left_ms=round(left * 1000),
+            attempt=context.attempts + 1,
+            left_ms=round(remaining * 1000),
         )
-        return await self._exchange(routed, replica, call, answer)
+        return await self._exchange(context, replica, call, answer)
 
-    def _begun(self, routed: Routed, booking: Booking) -> None:
-        if not routed.first_after:
-            routed.first_after = self._clock.monotonic() - routed.received_at
-        self._tickets.begun(booking)
+    def _answer_started(self, context: RoutingContext, pending_call: Booking) -> None:
+        if not context.first_byte_after:
+            context.first_byte_after = self._clock.monotonic() - context.received_at
+        self._tickets.begun(pending_call)
 
     async def _exchange(
-        self, routed: Routed, replica: str, call: HttpRequest, answer: ReplicaAnswer
+        self, context: RoutingContext, replica: str, call: HttpRequest, answer: ReplicaAnswer
     ) -> Outcome:
-        routed.attempts += 1
-        left = routed.deadline_at - self._clock.monotonic()
+        context.attempts += 1
+        remaining = context.deadline_at - self._clock.monotonic()
         try:
-            async with asyncio.timeout(left):
-                await self._calls.run(replica, self._exchange_watched(routed, call, answer))
+            async with asyncio.timeout(remaining):
+                await self._calls.run(replica, self._exchange_until_silent(context, call, answer))
         except NotSent as problem:
-            routed.attempts -= 1
+            context.attempts -= 1
             self._connect_failures.record_failure(replica, self._clock.monotonic())
             return NotRun(Reason.UNREACHABLE, str(problem))
         except (CutOff, BadStream, AnswerRefused) as problem:
-            routed.ran = True
+            context.may_have_run = True
             return Unknown(str(problem), broke_off=isinstance(problem, CutOff))
         except TimeoutError:
-            routed.ran = True
+            context.may_have_run = True
             return Unknown("no whole answer in time", timed_out=True, broke_off=True)
-        return await self._judge(routed, replica, answer)
+        return await self._handle_answer(context, replica, answer)
 
-    async def _exchange_watched(
-        self, routed: Routed, call: HttpRequest, answer: ReplicaAnswer
+    async def _exchange_until_silent(
+        self, context: RoutingContext, call: HttpRequest, answer: ReplicaAnswer
     ) -> None:
-        if not routed.may_repeat:
+        if not context.can_retry:
             # Silence is no reason to cut off a request that cannot be retried.
             await exchange(call, answer, self._connections)
             return
@@ -314,16 +318,18 @@
         try:
             while not task.done():
                 # While this process was paused, it could not receive anything from the replica.
-                heard_at = max(answer.progressed_at, self._pauses.ended_at)
-                quiet_until = heard_at + _patience(routed)
-                if loop.time() >= quiet_until:
+                progressed_at = max(answer.progressed_at, self._pauses.ended_at)
+                timeout_at = progressed_at + _silence_timeout(context)
+                if loop.time() >= timeout_at:
                     raise CutOff("the replica fell silent")
-                await asyncio.wait([task], timeout=quiet_until - loop.time())
+                await asyncio.wait([task], timeout=timeout_at - loop.time())
             await task
         finally:
             task.cancel()
 
-    async def _judge(self, routed: Routed, replica: str, answer: ReplicaAnswer) -> Outcome:
+    async def _handle_answer(
+        self, context: RoutingContext, replica: str, answer: ReplicaAnswer
+    ) -> Outcome:
         head = answer.received_head
         self._connect_failures.record_answer(replica)
         if head.misdirected:
@@ -331,40 +337,44 @@
             return NotRun(Reason.REFUSED, "another replica has the address")
         if head.not_run:
             return NotRun(Reason.REFUSED, f"status {head.status}", asked_rest=head.asks_rest)
-        routed.ran = True
+        context.may_have_run = True
         if answer.is_stream:
-            return self._end_stream(routed, answer)
-        if routed.stream.head is not None:
+            return self._end_stream(context, answer)
+        if context.stream.head is not None:
             return Unknown(f"status {head.status} in the middle of a stream")
-        if head.status >= 500 and routed.may_repeat and routed.attempts < routed.route.max_attempts:
+        if (
+            head.status >= 500
+            and context.can_retry
+            and context.attempts < context.route.max_attempts
+        ):
             return Unknown(f"status {head.status}", asked_rest=head.asks_rest)
         if head.status in (503, 429, 408):
             # The status would tell the caller that nothing ran, which the replica did not say.
             return Unknown(f"status {head.status}", asked_rest=head.asks_rest)
-        await routed.client.send(head.status, head.headers, answer.body())
+        await context.client.send(head.status, head.headers, answer.body())
         return Completed(head.status, 0.0)
 
-    def _end_stream(self, routed: Routed, answer: ReplicaAnswer) -> Outcome:
+    def _end_stream(self, context: RoutingContext, answer: ReplicaAnswer) -> Outcome:
         if answer.trailing_bytes().strip():
             return Unknown("the stream ended within an event", broke_off=True)
-        if routed.stream.head is None:
+        if context.stream.head is None:
             return Unknown("the stream ended without an event", broke_off=True)
-        routed.client.end()
+        context.client.end()
         return Completed(answer.received_head.status, 0.0)
 
 
-def estimate_cost(routed: Routed) -> float:
+def estimate_cost(context: RoutingContext) -> float:
     """Return the expected cost of a request in the cost unit of its pool."""
-    if routed.pool.cost_unit is not CostUnit.TOKENS:
+    if context.pool.cost_unit is not CostUnit.TOKENS:
         return 1.0
-    prompt = routed.request.prompt
-    output = prompt.expected_output or prompt.most_output
-    if prompt.most_output:
-        output = min(output, prompt.most_output)
+    prompt = context.request.prompt
+    output = prompt.expected_output or prompt.max_output
+    if prompt.max_output:
+        output = min(output, prompt.max_output)
     return max(1.0, prompt.tokens + OUTPUT_TOKEN_COST * output)
 
 
-def _patience(routed: Routed) -> float:
-    if routed.stream.head is not None and routed.route.pause:
-        return max(MIN_SILENCE_TIMEOUT_SECONDS, SILENCE_TIMEOUT_PAUSES * routed.route.pause)
-    return max(MIN_SILENCE_TIMEOUT_SECONDS, SILENCE_TIMEOUT_OBJECTIVES * routed.route.objective)
+def _silence_timeout(context: RoutingContext) -> float:
+    if context.stream.head is not None and context.route.pause:
+        return max(MIN_SILENCE_TIMEOUT_SECONDS, SILENCE_TIMEOUT_PAUSES * context.route.pause)
+    return max(MIN_SILENCE_TIMEOUT_SECONDS, SILENCE_TIMEOUT_OBJECTIVES * context.route.objective)
--- a/tests/platform/test_http.py
+++ b/tests/platform/test_http.py
@@ -32,9 +32,7 @@
             (request.deadline, request.key, request.last_event), (1.5, "the-key", "12")
         )
         prompt = request.prompt
-        self.assertEqual(
-            (prompt.tokens, prompt.most_output, prompt.expected_output), (1460, 80, 40)
-        )
+        self.assertEqual((prompt.tokens, prompt.max_output, prompt.expected_output), (1460, 80, 40))
         self.assertEqual([part.tokens for part in prompt.parts], [800, 410, 250])
         self.assertEqual(prompt.affinity_key, prompt.parts[1].digest)
         self.assertEqual(prompt.shared_tokens, 1210)
--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -176,7 +176,7 @@
     async def test_caller_is_told_at_once_that_nobody_knows(self):
         node = await self.serve(answering())
         failure = mock.Mock(side_effect=LookupError("a request that no test thought of"))
-        with mock.patch.object(node.front, "_begin", failure):
+        with mock.patch.object(node.front, "_create_context", failure):
             answer = await asyncio.wait_for(self.call(node, "/again/"), 2.0)
         self.assertEqual(answer.status, 502)
         self.assertEqual(node.requests, 0)
@@ -325,10 +325,10 @@
         offload = node.front._offloader.offload
         read = asyncio.Event()
 
-        async def late(arrival, client, can_forward):
+        async def late(incoming, client, can_forward):
             read.set()
             await asyncio.sleep(1.0)
-            return await offload(arrival, client, can_forward)
+            return await offload(incoming, client, can_forward)
 
         node.front._offloader.offload = late
         call = asyncio.ensure_future(self.call(node, "/once/"))
--- a/tests/routing/test_budget.py
+++ b/tests/routing/test_budget.py
@@ -25,7 +25,7 @@
     def test_requests_earn_repeats_and_both_are_forgotten(self):
         budget = RetryBudget(BOUNDS, started_at=0.0)
         for _ in range(100):
-            budget.request(1.0)
+            budget.record_request(1.0)
         self.assertEqual(sum(budget.allow(1.0, 7) for _ in range(100)), 16)
         self.assertFalse(budget.allow(10.9, 1000))
         self.assertFalse(budget.allow(11.5, 1000))
@@ -36,24 +36,24 @@
         rng = random.Random(seed)
         budgets = [RetryBudget(BOUNDS, started_at=-100.0) for _ in range(members)]
         requests: list[float] = []
-        repeats: list[float] = []
+        retries: list[float] = []
         now = 0.0
         for _ in range(1500):
             now += rng.expovariate(60.0)
             budget = rng.choice(budgets)
             if rng.random() < 0.6:
-                budget.request(now)
+                budget.record_request(now)
                 requests.append(now)
             elif budget.allow(now, members):
-                repeats.append(now)
-        for start in repeats:
+                retries.append(now)
+        for start in retries:
             end = start + BOUNDS.window
-            made = sum(start <= at < end for at in repeats)
+            made = sum(start <= at < end for at in retries)
             seen = sum(start <= at < end for at in requests)
             before = sum(start - BOUNDS.window <= at < start for at in requests)
             half = sum(start - BOUNDS.window / 2 <= at < end - BOUNDS.window / 2 for at in requests)
-            most = BOUNDS.ratio * max(seen, before, half) + BOUNDS.slack
-            self.assertLessEqual(made, most)
+            bound = BOUNDS.ratio * max(seen, before, half) + BOUNDS.slack
+            self.assertLessEqual(made, bound)
 
 
 if __name__ == "__main__":
