--- a/railsail/gateway/answers.py
+++ b/railsail/gateway/answers.py
@@ -45,29 +45,29 @@
         self._kept: OrderedDict[bytes, KeptAnswer] = OrderedDict()
         self._bytes = 0
         self._running: dict[bytes, list[asyncio.Future]] = {}
-        self._asked: dict[int, asyncio.Future] = {}
+        self._pending: dict[int, asyncio.Future] = {}
         self._tasks = TaskSet()
-        hub.handle(AnswerRequest, self._request)
-        hub.handle(AnswerReply, self._reply)
+        hub.handle(AnswerRequest, self._handle_request)
+        hub.handle(AnswerReply, self._handle_reply)
 
-    def begin(self, key: bytes) -> asyncio.Future:
-        """Record that an attempt with ``key`` runs here, and return the future to pass to ``end``.
+    def start_attempt(self, key: bytes) -> asyncio.Future:
+        """Record that an attempt with ``key`` runs here, and return a future for its answer.
 
-        Each attempt that was started must be ended.
+        Each attempt that was started must be ended by ``end_attempt`` with that future.
         """
         running: asyncio.Future = asyncio.get_running_loop().create_future()
         self._running.setdefault(key, []).append(running)
         return running
 
-    def end(self, key: bytes, running: asyncio.Future, answer: KeptAnswer | None) -> None:
+    def end_attempt(self, key: bytes, running: asyncio.Future, answer: KeptAnswer | None) -> None:
         """Record the answer of an attempt, ``None`` if it got no complete answer itself."""
         if answer is not None and len(answer.body) <= MAX_ANSWER_BYTES:
             self._keep(key, answer)
         else:
             answer = None
-        tries = self._running[key]
-        tries.remove(running)
-        if not tries:
+        attempts = self._running[key]
+        attempts.remove(running)
+        if not attempts:
             del self._running[key]
         if not running.done():
             running.set_result(answer)
@@ -88,20 +88,22 @@
         if self._gone(node, start_id):
             return None
         if node == self._hub.own.node:
-            return await self._own(key, seconds)
-        return await self._ask(key, node, start_id, seconds)
+            return await self._find_local(key, seconds)
+        return await self._fetch(key, node, start_id, seconds)
 
-    async def _own(self, key: bytes, seconds: float) -> KeptAnswer | None:
+    async def _find_local(self, key: bytes, seconds: float) -> KeptAnswer | None:
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds):
                 while key in self._running and key not in self._kept:
                     await asyncio.shield(self._running[key][0])
         return self._kept.get(key)
 
-    async def _ask(self, key: bytes, node: str, start_id: int, seconds: float) -> KeptAnswer | None:
+    async def _fetch(
+        self, key: bytes, node: str, start_id: int, seconds: float
+    ) -> KeptAnswer | None:
         number = self._rng.getrandbits(32)
         future: asyncio.Future = asyncio.get_running_loop().create_future()
-        self._asked[number] = future
+        self._pending[number] = future
         request = AnswerRequest(number, key, int(seconds * 1000))
         try:
             async with asyncio.timeout(seconds):
@@ -113,13 +115,13 @@
         except TimeoutError:
             return None
         finally:
-            del self._asked[number]
+            del self._pending[number]
 
-    def _request(self, node: str, message: AnswerRequest) -> None:
-        self._tasks.start(self._answer(node, message))
+    def _handle_request(self, node: str, message: AnswerRequest) -> None:
+        self._tasks.start(self._serve_request(node, message))
 
-    async def _answer(self, node: str, message: AnswerRequest) -> None:
-        answer = await self._own(message.key, message.wait / 1000)
+    async def _serve_request(self, node: str, message: AnswerRequest) -> None:
+        answer = await self._find_local(message.key, message.wait / 1000)
         if answer is None:
             self._hub.send(node, AnswerReply(message.number, 0, "", "", b""))
             return
@@ -128,8 +130,8 @@
         )
         self._hub.send(node, reply)
 
-    def _reply(self, node: str, message: AnswerReply) -> None:
-        future = self._asked.get(message.number)
+    def _handle_reply(self, node: str, message: AnswerReply) -> None:
+        future = self._pending.get(message.number)
         if future is None or future.done():
             return
         if not message.status:
--- a/railsail/gateway/app.py
+++ b/railsail/gateway/app.py
@@ -13,7 +13,7 @@
 from railsail.gateway.callers import Callers
 from railsail.gateway.requests import BadRequest, CallerRequest, read_request
 from railsail.gateway.serve import Conflict, Replay, Result, Server
-from railsail.gateway.sink import CallerLeft, CallerSink
+from railsail.gateway.sink import CallerDisconnected, CallerSink
 
 REQUEST_HEADER = "X-Request-Id"
 OUTCOME_HEADER = "X-Railsail-Outcome"
@@ -50,17 +50,19 @@
             result = await self._serve()
         except asyncio.CancelledError:
             # The caller disconnected, so that there is nobody to answer.
-            self._gateway.ended(self._id, "", "", "caller-left")
+            self._gateway.record_end(self._id, "", "", "caller-left")
             return
-        except CallerLeft:
-            self._gateway.ended(self._id, "", "", "caller-left")
+        except CallerDisconnected:
+            self._gateway.record_end(self._id, "", "", "caller-left")
             return
         await self._finish_with(result)
 
     get = post = put = patch = delete = head = options = _handle
 
     async def _serve(self) -> Result:
-        workspace = self._gateway.callers.workspace(self.request.headers.get("Authorization", ""))
+        workspace = self._gateway.callers.authenticate(
+            self.request.headers.get("Authorization", "")
+        )
         if workspace is None:
             return self._unauthorized()
         try:
@@ -78,7 +80,9 @@
     def _unauthorized(self) -> NotRun:
         if not self._gateway.callers.configured_version:
             return NotRun(Reason.NO_CONFIGURATION, "this node has no configuration yet")
-        return self._gateway.held().refusal(Reason.UNAUTHORIZED, "the bearer key is not known")
+        return self._gateway.active_configuration().refusal(
+            Reason.UNAUTHORIZED, "the bearer key is not known"
+        )
 
     async def _serve_read(self, workspace: str, request: CallerRequest) -> Result:
         gateway = self._gateway
@@ -86,10 +90,10 @@
         self._received_at = gateway.clock.monotonic()
         self._pool = request.pool
         result = await gateway.server.serve(self._id, workspace, request, self._sink)
-        gateway.ended(self._id, workspace, request.pool, _word(result), str(result))
+        gateway.record_end(self._id, workspace, request.pool, _outcome_name(result), str(result))
         return result
 
-    async def begin(self, status: int, content_type: str, whole: bool) -> None:
+    async def start(self, status: int, content_type: str, whole: bool) -> None:
         """Send the status and headers of an answer."""
         self.request.connection.stream.set_nodelay(True)
         self._gateway.metrics.first_byte.observe(
@@ -117,7 +121,7 @@
             self._finish_started(result)
             return
         self.set_header(REQUEST_HEADER, self._id)
-        self.set_header(OUTCOME_HEADER, _word(result))
+        self.set_header(OUTCOME_HEADER, _outcome_name(result))
         if isinstance(result, Replay):
             self.set_status(result.answer.status)
             self.set_header("Content-Type", result.answer.content_type)
@@ -143,7 +147,7 @@
             self.set_header("Retry-After", str(max(1, round(result.retry_after))))
         body = {
             "error": {
-                "outcome": _word(result),
+                "outcome": _outcome_name(result),
                 "reason": reason,
                 "message": detail,
                 "request_id": self._id,
@@ -153,7 +157,7 @@
         self.write(json.dumps(body))
 
 
-def _word(result: Result) -> str:
+def _outcome_name(result: Result) -> str:
     words = {
         Completed: "completed",
         Replay: "completed",
@@ -180,19 +184,19 @@
     def __init__(
         self,
         server: Server,
-        held: Callable[[], Held],
+        active_configuration: Callable[[], Held],
         kernel: Kernel,
         new_id: Callable[[], str],
     ) -> None:
         self.server = server
-        self.held = held
+        self.active_configuration = active_configuration
         self.callers = Callers()
         self.clock = kernel.clock
         self.events = kernel.events
         self.metrics = kernel.metrics
         self.new_id = new_id
 
-    def ended(
+    def record_end(
         self, request_id: str, workspace: str, pool: str, outcome: str, detail: str = ""
     ) -> None:
         """Count a request that has ended, and record its end on the time line."""
--- a/railsail/gateway/callers.py
+++ b/railsail/gateway/callers.py
@@ -13,15 +13,15 @@
     def __init__(self) -> None:
         self._index: dict[str, str] = {}
         self.configured_version = 0
-        self.any_workspace = False
+        self.has_workspaces = False
 
     def configured(self, catalog: Catalog) -> None:
         """Replace the keys by those of a new version of the configuration."""
         self._index = key_index(catalog)
         self.configured_version = catalog.version
-        self.any_workspace = bool(catalog.of_kind(Workspace))
+        self.has_workspaces = bool(catalog.of_kind(Workspace))
 
-    def workspace(self, authorization: str) -> str | None:
+    def authenticate(self, authorization: str) -> str | None:
         """Return the workspace of an ``Authorization`` header, or ``None``."""
         scheme, _, key = authorization.partition(" ")
         if scheme.lower() != "bearer":
--- a/railsail/gateway/claims.py
+++ b/railsail/gateway/claims.py
@@ -31,13 +31,13 @@
 
 
 @dataclass
-class _Asked:
-    """A claim that waits for the reply of the batcher ``node``, to which it was sent at ``at``."""
+class _PendingClaim:
+    """A claim that waits for a reply; it was sent to the batcher ``node`` at ``sent_at``."""
 
     claim: Claim
     node: str
     answer: asyncio.Future
-    at: float
+    sent_at: float
 
 
 class ClaimService:
@@ -59,11 +59,11 @@
         self._metrics = kernel.metrics
         self._rng = kernel.rng
         self._shards: dict[int, ClaimShard] = {}
-        self._asked: dict[int, _Asked] = {}
+        self._pending: dict[int, _PendingClaim] = {}
         self._next_number = 1
         self._tasks = TaskSet()
-        hub.handle(ClaimRequest, self._request)
-        hub.handle(ClaimReply, self._reply)
+        hub.handle(ClaimRequest, self._handle_request)
+        hub.handle(ClaimReply, self._handle_reply)
         hub.on_up(self._link_up)
         hub.on_down(self._link_down)
 
@@ -95,9 +95,9 @@
         await self._tasks.wait(seconds)
 
     async def _release(self, claim: Claim) -> None:
-        ends = self._clock.monotonic() + RELEASE_TIMEOUT_SECONDS
+        deadline_at = self._clock.monotonic() + RELEASE_TIMEOUT_SECONDS
         backoff = Backoff(self._rng, 0.5, 30.0)
-        while self._clock.monotonic() < ends:
+        while self._clock.monotonic() < deadline_at:
             try:
                 async with asyncio.timeout(RELEASE_ATTEMPT_SECONDS):
                     await self._make(claim)
@@ -111,29 +111,29 @@
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(BATCHER_TIMEOUT_SECONDS):
                     return await self._shard(claim.key).make(claim)
-            node = self._another(claim, node)
+            node = self._another_batcher(claim, node)
         self._next_number += 1
         number = self._next_number
         answer: asyncio.Future = asyncio.get_running_loop().create_future()
-        self._asked[number] = _Asked(claim, node, answer, self._clock.monotonic())
+        self._pending[number] = _PendingClaim(claim, node, answer, self._clock.monotonic())
         try:
             self._send(number, claim, node)
             while not (await asyncio.wait([answer], timeout=CHECK_INTERVAL_SECONDS))[0]:
-                self._leave_silent(number)
+                self._replace_silent_batcher(number)
             return answer.result()
         finally:
-            del self._asked[number]
+            del self._pending[number]
 
-    def _leave_silent(self, number: int) -> None:
+    def _replace_silent_batcher(self, number: int) -> None:
         # A batcher that is alive may still get no answers from the store.
-        asked = self._asked[number]
-        waited = self._clock.monotonic() - asked.at
-        if asked.node not in self._usable() or waited > BATCHER_TIMEOUT_SECONDS:
-            self._ask_another(number, asked.node)
+        pending = self._pending[number]
+        waited = self._clock.monotonic() - pending.sent_at
+        if pending.node not in self._usable() or waited > BATCHER_TIMEOUT_SECONDS:
+            self._send_to_another(number, pending.node)
 
     def batchers(self) -> set[str]:
         """Return the nodes that claims were sent to and that have not replied."""
-        return {asked.node for asked in self._asked.values()}
+        return {pending.node for pending in self._pending.values()}
 
     def _batcher(self, claim: Claim) -> str:
         job = f"claims {shard_of(claim.key)}"
@@ -143,7 +143,7 @@
         request = ClaimRequest(number, claim.key, claim.fingerprint, claim.attempt, claim.release)
         if not self._hub.send(node, request) and not self._hub.dial(node):
             # The link is down and may not be dialled yet, so that no event of the link will follow.
-            self._ask_another(number, node)
+            self._send_to_another(number, node)
 
     def _shard(self, key: bytes) -> ClaimShard:
         number = shard_of(key)
@@ -154,22 +154,22 @@
         return self._shards[number]
 
     def _link_up(self, peer: Identity) -> None:
-        for number, asked in list(self._asked.items()):
-            if asked.node == peer.node:
-                self._send(number, asked.claim, asked.node)
+        for number, pending in list(self._pending.items()):
+            if pending.node == peer.node:
+                self._send(number, pending.claim, pending.node)
 
     def _link_down(self, node: str) -> None:
-        for number, asked in list(self._asked.items()):
-            if asked.node == node:
-                self._ask_another(number, node)
+        for number, pending in list(self._pending.items()):
+            if pending.node == node:
+                self._send_to_another(number, node)
 
-    def _ask_another(self, number: int, node: str) -> None:
-        asked = self._asked[number]
-        asked.node = self._another(asked.claim, node)
-        asked.at = self._clock.monotonic()
-        self._send(number, asked.claim, asked.node)
+    def _send_to_another(self, number: int, node: str) -> None:
+        pending = self._pending[number]
+        pending.node = self._another_batcher(pending.claim, node)
+        pending.sent_at = self._clock.monotonic()
+        self._send(number, pending.claim, pending.node)
 
-    def _another(self, claim: Claim, node: str) -> str:
+    def _another_batcher(self, claim: Claim, node: str) -> str:
         """Return a node other than ``node`` that makes ``claim``.
 
         The store keeps a shard consistent, so any node may batch it. Only this node and those with
@@ -178,10 +178,10 @@
         linked = [n for n in self._usable() if n != node and self._hub.connected(n)]
         return choose(f"claims {shard_of(claim.key)}", linked) or self._hub.own.node
 
-    def _request(self, node: str, message: ClaimRequest) -> None:
-        self._tasks.start(self._answer(node, message))
+    def _handle_request(self, node: str, message: ClaimRequest) -> None:
+        self._tasks.start(self._serve_request(node, message))
 
-    async def _answer(self, node: str, message: ClaimRequest) -> None:
+    async def _serve_request(self, node: str, message: ClaimRequest) -> None:
         start_id = self._hub.start_id(node)
         claim = Claim(
             message.key, message.fingerprint, node, start_id, message.attempt, message.release
@@ -196,16 +196,16 @@
         )
         self._hub.send(node, reply)
 
-    def _reply(self, node: str, message: ClaimReply) -> None:
-        asked = self._asked.get(message.number)
-        if asked is None or asked.answer.done():
+    def _handle_reply(self, node: str, message: ClaimReply) -> None:
+        pending = self._pending.get(message.number)
+        if pending is None or pending.answer.done():
             return
         holder = None
         if message.holder:
             holder = replace(
-                asked.claim,
+                pending.claim,
                 node=message.holder,
                 start_id=message.holder_start,
                 fingerprint=message.fingerprint,
             )
-        asked.answer.set_result(ClaimAnswer(ClaimResult(message.result), holder))
+        pending.answer.set_result(ClaimAnswer(ClaimResult(message.result), holder))
--- a/railsail/gateway/concurrency.py
+++ b/railsail/gateway/concurrency.py
@@ -35,17 +35,17 @@
 class ConcurrencyLimit:
     """A limit that adapts to the lag of the event loop.
 
-    It starts at ``first``, and never falls below ``floor``.
+    It starts at ``initial``, and never falls below ``minimum``.
     """
 
-    def __init__(self, first: float = INITIAL_LIMIT, floor: float = MIN_LIMIT) -> None:
-        self.limit = first
-        self._floor = floor
+    def __init__(self, initial: float = INITIAL_LIMIT, minimum: float = MIN_LIMIT) -> None:
+        self.limit = initial
+        self._minimum = minimum
 
     @property
-    def least(self) -> bool:
+    def at_minimum(self) -> bool:
         """Return True if the limit cannot fall further."""
-        return self.limit <= self._floor
+        return self.limit <= self._minimum
 
     def full(self, in_flight: int) -> bool:
         """Return True if a node with ``in_flight`` requests should accept no more."""
@@ -54,7 +54,7 @@
     def adjust(self, late: bool, in_flight: int) -> None:
         """Adjust the limit to whether the loop was late with ``in_flight`` requests."""
         if late:
-            self.limit = max(self._floor, min(self.limit, in_flight) * DECREASE_FACTOR)
+            self.limit = max(self._minimum, min(self.limit, in_flight) * DECREASE_FACTOR)
         elif in_flight > NEAR_LIMIT_SHARE * self.limit:
             self.limit *= INCREASE_FACTOR
 
@@ -71,5 +71,5 @@
         self.served.adjust(late, served)
         # Forwarding costs the least, so its limit falls only after the other one has reached its
         # lower bound. While the node is late, neither limit rises.
-        if not late or self.served.least:
+        if not late or self.served.at_minimum:
             self.forwarded.adjust(late, forwarded)
--- a/railsail/gateway/pace.py
+++ b/railsail/gateway/pace.py
@@ -44,7 +44,7 @@
 
     def _sample(self, meter: SpeedMeter) -> None:
         meter.sample()
-        self._note_lateness()
+        self._update_lateness()
         # A node that is late for its own callers must not delay those of other nodes as a
         # dispatcher.
         late = self._clock.monotonic() < self._late_until
@@ -52,7 +52,7 @@
         if level != self._membership.table.own.speed:
             self._membership.change_own(speed=level)
 
-    def _note_lateness(self) -> None:
+    def _update_lateness(self) -> None:
         now = self._clock.monotonic()
         was_late = now < self._late_until
         if self.late:
--- a/railsail/gateway/requests.py
+++ b/railsail/gateway/requests.py
@@ -55,15 +55,15 @@
     """Return the checked request; raise ``BadRequest`` with what is wrong."""
     deadline = _deadline(headers.get(DEADLINE_HEADER, ""))
     key = _key(headers.get(KEY_HEADER, ""))
-    passed_on = {name: headers[name] for name in _FORWARDED_HEADERS if name in headers}
+    forwarded_headers = {name: headers[name] for name in _FORWARDED_HEADERS if name in headers}
     if path in MODEL_PATHS:
-        return _model_request(path, passed_on, body, deadline, key)
+        return _model_request(path, forwarded_headers, body, deadline, key)
     match = _SERVICE_PATH.fullmatch(path)
     if match is None:
         raise BadRequest("there is nothing at this path")
     target = (match.group(2) or "/") + (f"?{query}" if query else "")
     return CallerRequest(
-        match.group(1), method, target, passed_on, body, False, 0, 0, deadline, key
+        match.group(1), method, target, forwarded_headers, body, False, 0, 0, deadline, key
     )
 
 
--- a/railsail/gateway/serve.py
+++ b/railsail/gateway/serve.py
@@ -13,8 +13,8 @@
 from railsail.gateway.claims import ClaimService
 from railsail.gateway.requests import CallerRequest
 from railsail.gateway.sink import CallerSink
-from railsail.gateway.tries import Served, Tries
-from railsail.gateway.verdicts import PolicyEvaluator, describe
+from railsail.gateway.tries import ServedRequest, Tries
+from railsail.gateway.verdicts import PolicyEvaluator, to_policy_input
 from railsail.objects.catalog import Catalog
 from railsail.objects.kinds import Pool
 from railsail.store.claims import Claim, ClaimResult, claim_key, fingerprint
@@ -45,8 +45,8 @@
     def __init__(
         self,
         catalog: Callable[[], Catalog],
-        judge: PolicyEvaluator,
-        tries: Tries,
+        evaluator: PolicyEvaluator,
+        attempts: Tries,
         claims: ClaimService,
         answers: AnswerCache,
         admission: Admission,
@@ -55,8 +55,8 @@
     ) -> None:
         self._catalog = catalog
         self._region = region
-        self._judge = judge
-        self._tries = tries
+        self._evaluator = evaluator
+        self._attempts = attempts
         self._claims = claims
         self._answers = answers
         self._admission = admission
@@ -74,82 +74,94 @@
         if refused is not None:
             return refused
         try:
-            served = self._begin(request_id, workspace, request, pool, sink)
+            served = self._create_served_request(request_id, workspace, request, pool, sink)
             return await self._run(served)
         finally:
             self._admission.release(workspace)
 
-    def _begin(
+    def _create_served_request(
         self,
         request_id: str,
         workspace: str,
         request: CallerRequest,
         pool: Pool,
         sink: CallerSink,
-    ) -> Served:
-        verdict = self._judge.judge(workspace, describe(request, pool))
+    ) -> ServedRequest:
+        decision = self._evaluator.evaluate(workspace, to_policy_input(request, pool))
         now = self._clock.monotonic()
         deadline_at = now + (request.deadline or DEFAULT_DEADLINE_SECONDS)
-        word = "once" if verdict.never_repeat else "repeatable"
-        detail = f"{pool.name} rank {verdict.rank:g} may wait {verdict.may_wait:g} s, {word}"
-        known_by = request_fingerprint((workspace, request.method, request.path), request.body)
+        retry_mode = "once" if decision.never_repeat else "repeatable"
+        detail = (
+            f"{pool.name} rank {decision.rank:g} may wait {decision.may_wait:g} s, {retry_mode}"
+        )
+        shared_fingerprint = request_fingerprint(
+            (workspace, request.method, request.path), request.body
+        )
         self._events.emit(
             Kind.RECEIVED,
             detail,
             request_id,
             workspace,
-            fingerprint=fingerprint_name(known_by),
+            fingerprint=fingerprint_name(shared_fingerprint),
         )
-        return Served(
-            request_id, workspace, request, pool, verdict, sink, deadline_at, fingerprint=known_by
+        return ServedRequest(
+            request_id,
+            workspace,
+            request,
+            pool,
+            decision,
+            sink,
+            deadline_at,
+            fingerprint=shared_fingerprint,
         )
 
-    async def _run(self, served: Served) -> Result:
-        if not (served.verdict.never_repeat and served.request.key):
-            return await self._tries.run(served)
+    async def _run(self, served: ServedRequest) -> Result:
+        if not (served.decision.never_repeat and served.request.key):
+            return await self._attempts.run(served)
         return await self._run_claimed(served)
 
-    async def _run_claimed(self, served: Served) -> Result:
+    async def _run_claimed(self, served: ServedRequest) -> Result:
+        """Run the request if this node gets the claim of its key, else answer it like a retry."""
         request = served.request
         key = claim_key(served.workspace, request.key)
         claim = self._claims.new_claim(key, fingerprint(request.method, request.path, request.body))
         # A retry at another node may request the answer before the reply to the claim arrives here.
-        running = self._answers.begin(key)
+        running = self._answers.start_attempt(key)
         kept: KeptAnswer | None = None
         try:
-            left = served.deadline_at - self._clock.monotonic()
-            answer = await self._claims.claim(claim, min(left, CLAIM_TIMEOUT_SECONDS))
+            remaining = served.deadline_at - self._clock.monotonic()
+            answer = await self._claims.claim(claim, min(remaining, CLAIM_TIMEOUT_SECONDS))
             if answer.result is ClaimResult.CLAIMED:
                 self._events.emit(Kind.CLAIMED, "", served.id, served.workspace)
-                outcome = await self._run_holding(served, claim)
-                kept = self._kept(served, outcome)
+                outcome = await self._run_with_claim(served, claim)
+                kept = self._answer_to_keep(served, outcome)
                 return outcome
         finally:
-            self._answers.end(key, running, kept)
+            self._answers.end_attempt(key, running, kept)
         if answer.result is ClaimResult.HELD:
-            return await self._second_try(served, claim, answer.holder)
+            return await self._answer_retry(served, claim, answer.holder)
         return NotRun(Reason.CLAIM_UNAVAILABLE, "the key could not be claimed in time", 2.0)
 
-    async def _run_holding(self, served: Served, claim: Claim) -> Outcome:
+    async def _run_with_claim(self, served: ServedRequest, claim: Claim) -> Outcome:
         try:
-            return await self._tries.run(served)
+            return await self._attempts.run(served)
         finally:
             if not served.sent:
                 # The request did not run, or its caller disconnected before it did: the key can be
                 # used again.
                 self._claims.release(claim)
 
-    async def _second_try(self, served: Served, claim: Claim, holder: Claim) -> Result:
+    async def _answer_retry(self, served: ServedRequest, claim: Claim, holder: Claim) -> Result:
         self._events.emit(Kind.CLAIM_HELD, f"by {holder.node}", served.id, served.workspace)
         if holder.fingerprint != claim.fingerprint:
             return Conflict("the key was used for another request")
-        left = served.deadline_at - self._clock.monotonic()
-        answer = await self._answers.find(claim.key, holder.node, holder.start_id, left)
+        remaining = served.deadline_at - self._clock.monotonic()
+        answer = await self._answers.find(claim.key, holder.node, holder.start_id, remaining)
         if answer is None:
             return Conflict("an earlier try has the key, and its answer is not to be had")
         return Replay(answer)
 
-    def _kept(self, served: Served, outcome: Outcome) -> KeptAnswer | None:
+    def _answer_to_keep(self, served: ServedRequest, outcome: Outcome) -> KeptAnswer | None:
         if not isinstance(outcome, Completed):
             return None
         regions = self._catalog().regions_of(served.workspace)
--- a/railsail/gateway/sink.py
+++ b/railsail/gateway/sink.py
@@ -11,14 +11,14 @@
 from railsail.scheduling.estimates import ChargeMeter
 
 
-class CallerLeft(RailsailError):
+class CallerDisconnected(RailsailError):
     """The caller closed its connection."""
 
 
 class CallerConnection(Protocol):
     """What a sink needs of the HTTP handler."""
 
-    async def begin(self, status: int, content_type: str, whole: bool) -> None:
+    async def start(self, status: int, content_type: str, whole: bool) -> None:
         """Send the status and headers."""
 
     async def send(self, chunk: bytes) -> None:
@@ -37,45 +37,47 @@
         self.cost = 0.0
         self._connection = connection
         self._keep = keep
-        self._kept: list[bytes] = []
-        self._kept_bytes = 0
+        self._chunks: list[bytes] = []
+        self._copied_bytes = 0
         self._meter: ChargeMeter | None = None
         self._tickets: TicketClient | None = None
-        self._booking: Booking | None = None
+        self._pending_call: Booking | None = None
 
-    def meter(self, meter: ChargeMeter, tickets: TicketClient, booking: Booking) -> None:
-        """Charge ``booking`` from now on, starting from a cost of 0."""
+    def start_charging(
+        self, meter: ChargeMeter, tickets: TicketClient, pending_call: Booking
+    ) -> None:
+        """Charge ``pending_call`` from now on, starting from a cost of 0."""
         self.cost = 0.0
         self._meter = meter
         self._tickets = tickets
-        self._booking = booking
+        self._pending_call = pending_call
 
     async def start(self, status: int, content_type: str, whole: bool = False) -> None:
         """Start the answer; ``whole`` is true if all of it is available already."""
         self.started = True
         self.content_type = content_type
         try:
-            await self._connection.begin(status, content_type, whole)
+            await self._connection.start(status, content_type, whole)
         except StreamClosedError:
-            raise CallerLeft from None
+            raise CallerDisconnected from None
 
     async def write(self, chunk: bytes) -> None:
         """Send a piece of the body, and wait until the caller's connection has accepted it."""
-        if self._keep and self._kept_bytes <= MAX_ANSWER_BYTES:
-            self._kept.append(chunk)
-            self._kept_bytes += len(chunk)
+        if self._keep and self._copied_bytes <= MAX_ANSWER_BYTES:
+            self._chunks.append(chunk)
+            self._copied_bytes += len(chunk)
         try:
             await self._connection.send(chunk)
         except StreamClosedError:
-            raise CallerLeft from None
+            raise CallerDisconnected from None
 
     def progress(self, cost: float) -> None:
         """Record the cost so far, in cost units, and report it if it exceeds what was charged."""
         self.cost = max(self.cost, cost)
         charged = self._meter.overrun(cost) if self._meter else None
         if charged is not None:
-            self._tickets.progress(self._booking, charged)
+            self._tickets.progress(self._pending_call, charged)
 
     def copy(self) -> bytes:
         """Return the copy of the body."""
-        return b"".join(self._kept)
+        return b"".join(self._chunks)
--- a/railsail/gateway/tries.py
+++ b/railsail/gateway/tries.py
@@ -13,7 +13,7 @@
 from railsail.dispatch.bookings import Booking, PoolRequest
 from railsail.dispatch.entry import TicketClient
 from railsail.gateway.requests import CallerRequest
-from railsail.gateway.sink import CallerLeft, CallerSink
+from railsail.gateway.sink import CallerDisconnected, CallerSink
 from railsail.objects.catalog import Catalog
 from railsail.objects.kinds import Pool
 from railsail.policy.programs import Verdict
@@ -32,24 +32,25 @@
 
 
 @dataclass
-class Served:
+class ServedRequest:
     """The state of one request while this node serves it.
 
     ``deadline_at`` is its deadline in seconds of the monotonic clock. ``avoid`` is the replica that
-    did not run it in the last attempt. ``sent`` is true if it may have run, ``ran`` if an earlier
-    attempt may have run it. Its retries have the same ``fingerprint``.
+    did not run it in the last attempt. ``sent`` is true if it may have run, also in the current
+    attempt; ``may_have_run`` if it may have run in one that has ended. Its retries have the same
+    ``fingerprint``.
     """
 
     id: str
     workspace: str
     request: CallerRequest
     pool: Pool
-    verdict: Verdict
+    decision: Verdict
     sink: CallerSink
     deadline_at: float
     avoid: str = ""
     sent: bool = False
-    ran: bool = False
+    may_have_run: bool = False
     fingerprint: int = 0
 
 
@@ -63,7 +64,7 @@
         tickets: TicketClient,
         acquirer: ReplicaAcquirer,
         kind_of: Callable[[str], UpstreamKind | None],
-        heard: HeardSigns,
+        replica_signals: HeardSigns,
         kernel: Kernel,
     ) -> None:
         self._catalog = catalog
@@ -71,7 +72,7 @@
         self._tickets = tickets
         self._acquirer = acquirer
         self._kind_of = kind_of
-        self._heard = heard
+        self._replica_signals = replica_signals
         self._clock = kernel.clock
         self._events = kernel.events
         self._metrics = kernel.metrics
@@ -79,49 +80,49 @@
         self._budget = RetryBudget()
         self._cancels = TaskSet()
 
-    async def run(self, served: Served) -> Outcome:
+    async def run(self, served: ServedRequest) -> Outcome:
         """Make attempts until an outcome is final, and return it."""
         self._budget.request()
         outcome: Outcome = NotRun(Reason.EXPIRED)
         for _ in range(MAX_ATTEMPTS):
-            outcome = await self._try_once(served)
-            if not self._try_again(served, outcome):
+            outcome = await self._attempt(served)
+            if not self._should_retry(served, outcome):
                 break
             self._events.emit(Kind.RETRIED, str(outcome), served.id, served.workspace)
-        return truth_of(outcome, served.ran)
+        return truth_of(outcome, served.may_have_run)
 
-    def _try_again(self, served: Served, outcome: Outcome) -> bool:
+    def _should_retry(self, served: ServedRequest, outcome: Outcome) -> bool:
         if served.sink.started or self._clock.monotonic() >= served.deadline_at:
             return False
         if isinstance(outcome, NotRun):
-            again = outcome.reason in (Reason.UNREACHABLE, Reason.REFUSED)
+            retry = outcome.reason in (Reason.UNREACHABLE, Reason.REFUSED)
             cause = "not-run"
         else:
-            again = isinstance(outcome, Unknown) and not served.verdict.never_repeat
-            again = again and self._budget.allow()
+            retry = isinstance(outcome, Unknown) and not served.decision.never_repeat
+            retry = retry and self._budget.allow()
             cause = "unknown"
-        if again:
+        if retry:
             self._metrics.retries.inc({"cause": cause})
-        return again
+        return retry
 
-    async def _try_once(self, served: Served) -> Outcome:
-        want = self._want(served)
-        self._events.emit(Kind.QUEUED, want.pool, served.id, served.workspace)
-        booking = await self._acquirer.acquire(want, self._wait_seconds(served))
-        if isinstance(booking, NotRun):
-            return booking
-        return await self._call(served, booking, booking.replica)
+    async def _attempt(self, served: ServedRequest) -> Outcome:
+        pool_request = self._pool_request(served)
+        self._events.emit(Kind.QUEUED, pool_request.pool, served.id, served.workspace)
+        pending_call = await self._acquirer.acquire(pool_request, self._wait_seconds(served))
+        if isinstance(pending_call, NotRun):
+            return pending_call
+        return await self._call(served, pending_call, pending_call.replica)
 
-    def _want(self, served: Served) -> PoolRequest:
+    def _pool_request(self, served: ServedRequest) -> PoolRequest:
         pool = served.pool
         estimate = self._estimator.estimate(served.workspace, pool.name, pool.first_estimate)
         return PoolRequest(
             served.id,
             pool.name,
             served.workspace,
-            served.verdict.rank,
+            served.decision.rank,
             estimate,
-            served.verdict.may_wait == 0,
+            served.decision.may_wait == 0,
             served.request.prefix,
             served.avoid,
             regions=self._catalog().regions_of(served.workspace),
@@ -129,23 +130,23 @@
             route=self._route(served),
         )
 
-    def _route(self, served: Served) -> int:
+    def _route(self, served: ServedRequest) -> int:
         if self._directory.rollout(served.pool.name) is None:
             return 0
         return route_fingerprint(f"{served.request.method} {served.request.path.partition('?')[0]}")
 
-    def _wait_seconds(self, served: Served) -> float:
-        left = served.deadline_at - self._clock.monotonic()
-        return min(max(served.verdict.may_wait, MIN_WAIT_SECONDS), left)
+    def _wait_seconds(self, served: ServedRequest) -> float:
+        remaining = served.deadline_at - self._clock.monotonic()
+        return min(max(served.decision.may_wait, MIN_WAIT_SECONDS), remaining)
 
-    async def _call(self, served: Served, booking: Booking, replica: str) -> Outcome:
+    async def _call(self, served: ServedRequest, pending_call: Booking, replica: str) -> Outcome:
         upstream = self._directory.get(replica)
         kind = self._kind_of(served.pool.name)
         if upstream is None or kind is None:
-            self._tickets.release(booking, 0.0, CallResult.NOTHING)
+            self._tickets.release(pending_call, 0.0, CallResult.NOTHING)
             return NotRun(Reason.UNREACHABLE, f"{replica} is not known here")
         call = self._upstream_call(served, replica, upstream.endpoint)
-        served.sink.meter(ChargeMeter(booking.charged), self._tickets, booking)
+        served.sink.start_charging(ChargeMeter(pending_call.charged), self._tickets, pending_call)
         self._events.emit(Kind.SENT, replica, served.id, served.workspace)
         outcome: Outcome = Unknown(CANCELLED)
         served.sent = True
@@ -155,14 +156,14 @@
         except TimeoutError:
             self._cancel(kind, call)
             outcome = Unknown("the deadline passed while the request ran", broke_off=True)
-        except (CallerLeft, asyncio.CancelledError):
+        except (CallerDisconnected, asyncio.CancelledError):
             self._cancel(kind, call)
             raise
         finally:
-            self._settle(served, booking, replica, outcome)
+            self._settle(served, pending_call, replica, outcome)
         return outcome
 
-    def _upstream_call(self, served: Served, replica: str, endpoint: str) -> UpstreamCall:
+    def _upstream_call(self, served: ServedRequest, replica: str, endpoint: str) -> UpstreamCall:
         request = served.request
         return UpstreamCall(
             endpoint,
@@ -175,25 +176,27 @@
             self._catalog().class_of(served.workspace).engine_priority,
             request.stream,
             served.pool.cost_unit,
-            self._heard.listener(replica, read_signs),
+            self._replica_signals.listener(replica, read_signs),
         )
 
-    def _settle(self, served: Served, booking: Booking, replica: str, outcome: Outcome) -> None:
+    def _settle(
+        self, served: ServedRequest, pending_call: Booking, replica: str, outcome: Outcome
+    ) -> None:
         cost = 0.0 if isinstance(outcome, NotRun) else max(outcome.cost, served.sink.cost)
         if isinstance(outcome, Completed) and outcome.status < 400:
             self._estimator.observe(served.workspace, served.pool.name, cost)
-        self._tickets.release(booking, cost, _learnt(outcome))
+        self._tickets.release(pending_call, cost, _call_result(outcome))
         if isinstance(outcome, Unknown):
-            served.ran = True
+            served.may_have_run = True
         if isinstance(outcome, NotRun):
-            served.sent = served.ran
+            served.sent = served.may_have_run
             served.avoid = replica
 
     def _cancel(self, kind: UpstreamKind, call: UpstreamCall) -> None:
         self._cancels.start(kind.cancel(call))
 
 
-def _learnt(outcome: Outcome) -> CallResult:
+def _call_result(outcome: Outcome) -> CallResult:
     if isinstance(outcome, Unknown) and outcome.detail == CANCELLED:
         return CallResult.CALLER_LEFT
     return CallResult.of(outcome)
--- a/railsail/gateway/verdicts.py
+++ b/railsail/gateway/verdicts.py
@@ -38,37 +38,37 @@
         """Drop the programs compiled for an earlier version of the configuration."""
         self._policies.clear()
 
-    def judge(self, workspace: str, request: RequestInput) -> Verdict:
+    def evaluate(self, workspace: str, request: RequestInput) -> Verdict:
         """Return the decision of the policy of ``workspace`` on ``request``."""
         catalog = self._catalog()
         owner = catalog.workspace(workspace)
         policy = catalog.policy(owner.policy) if owner else None
         if policy is None:
             return NO_POLICY
-        return self.run(policy, workspace, request)
+        return self.evaluate_policy(policy, workspace, request)
 
-    def run(self, policy: Policy, workspace: str, request: RequestInput) -> Verdict:
+    def evaluate_policy(self, policy: Policy, workspace: str, request: RequestInput) -> Verdict:
         """Return the decision of ``policy`` on ``request`` of ``workspace``.
 
         Count the programs of the policy that failed.
         """
         if policy.name not in self._policies:
             self._policies[policy.name] = CompiledPolicy(policy)
-        verdict = self._policies[policy.name].judge(self._inputs(workspace, request))
-        for field in verdict.failed:
+        decision = self._policies[policy.name].judge(self._inputs(workspace, request))
+        for field in decision.failed:
             self._metrics.policy_errors.inc({"policy": policy.name, "field": field})
-        return verdict
+        return decision
 
     def _inputs(self, workspace: str, request: RequestInput) -> Inputs:
-        bought = self._catalog().class_of(workspace)
+        priority_class = self._catalog().class_of(workspace)
         return Inputs(
-            WorkspaceInput(workspace, bought.name, bought.weight),
+            WorkspaceInput(workspace, priority_class.name, priority_class.weight),
             request,
             LoadInput(self._admission.in_flight(workspace), self._admission.total),
         )
 
 
-def describe(request: CallerRequest, pool: Pool) -> RequestInput:
+def to_policy_input(request: CallerRequest, pool: Pool) -> RequestInput:
     """Return what policies see of a request to ``pool``."""
     return RequestInput(
         pool=pool.name,
--- a/railsail/routing/front.py
+++ b/railsail/routing/front.py
@@ -163,7 +163,7 @@
                 Reason.UNKNOWN_ROUTE, "there is no such route"
             )
         workspace = self._callers.workspace_of(request.key) or ""
-        if not workspace and self._callers.any_workspace and not route.public:
+        if not workspace and self._callers.has_workspaces and not route.public:
             return self._configuration.held().refusal(Reason.UNAUTHORIZED, "the key is not known")
         name = choose_pool(route, self._rng)
         pool = catalog.pool(name)
@@ -244,4 +244,4 @@
             repeatable=route.may_repeat,
         )
         policy = self._catalog.policy(owner.policy) if owner else None
-        return self._evaluator.run(policy or DEFAULT_POLICY, workspace, policy_input)
+        return self._evaluator.evaluate_policy(policy or DEFAULT_POLICY, workspace, policy_input)
--- a/tests/fleet/test_once.py
+++ b/tests/fleet/test_once.py
@@ -191,11 +191,11 @@
         return len(self.fleet.services["desk-0"].log)
 
     async def test_between_claim_and_dispatch(self):
-        self.node.gateway.server._tries.run = self.stop_here
+        self.node.gateway.server._attempts.run = self.stop_here
         self.assertEqual(await self.kill_and_ask_again(), 0)
 
     async def test_between_grant_and_first_byte(self):
-        self.node.gateway.server._tries._call = self.stop_here
+        self.node.gateway.server._attempts._call = self.stop_here
         self.assertEqual(await self.kill_and_ask_again(), 0)
 
     async def test_between_dispatch_and_answer(self):
--- a/tests/gateway/test_concurrency.py
+++ b/tests/gateway/test_concurrency.py
@@ -98,7 +98,7 @@
     def test_what_is_handed_on_is_given_up_last(self):
         limits = NodeLimits()
         limits.adjust(True, 64, 300)
-        while not limits.served.least:
+        while not limits.served.at_minimum:
             self.assertEqual(limits.forwarded.limit, INITIAL_FORWARDED_LIMIT)
             limits.adjust(True, 64, 300)
         self.assertLess(limits.forwarded.limit, 300)
