--- a/tests/gateway/test_pace.py
+++ b/tests/gateway/test_pace.py
@@ -18,16 +18,16 @@
 LEVEL = 6
 
 
-class Membership:
-    """Records the speeds that the node reported."""
+class MembershipStub:
+    """Records the speeds that the node reports."""
 
     def __init__(self) -> None:
         self.table = MemberTable(member("own"))
         self.table.change_own(speed=LEVEL)
-        self.told: list[int] = []
+        self.reported: list[int] = []
 
     def change_own(self, speed: int) -> None:
-        self.told.append(speed)
+        self.reported.append(speed)
         self.table.change_own(speed=speed)
 
 
@@ -36,47 +36,47 @@
         self.clock = ManualClock(100.0)
         self.lag = LoopLag(self.clock.monotonic)
         self.admission = Admission(1000, 10_000)
-        self.membership = Membership()
+        self.membership = MembershipStub()
         kernel = Kernel(self.clock, random.Random(1), EventLog("own", self.clock), Metrics())
         self.pace = OwnPace(self.lag, self.admission, self.membership, kernel)
 
-    def hold(self, requests: int) -> None:
+    def admit(self, requests: int) -> None:
         for _ in range(requests):
             self.admission.admit("one")
 
-    def be_late(self, seconds: float) -> None:
+    def make_late(self, seconds: float) -> None:
         for _ in range(SAMPLES):
             self.lag.take(LATE_SECONDS * 2)
         self.clock.advance(seconds)
 
-    async def told_after_a_step(self) -> list[int]:
+    async def reported_after_a_sample(self) -> list[int]:
         self.lag.every = self.call_once
         await self.pace.run()
-        return self.membership.told
+        return self.membership.reported
 
     async def call_once(self, seconds: float, do: Callable[[], None]) -> None:
         self.assertEqual(seconds, SAMPLE_SECONDS)
         do()
 
-    def test_short_lateness_counts_for_nothing(self):
-        self.hold(MIN_OVERLOAD_REQUESTS)
-        self.be_late(LATE_AFTER_SECONDS / 2)
+    def test_node_that_was_late_only_briefly_is_not_late(self):
+        self.admit(MIN_OVERLOAD_REQUESTS)
+        self.make_late(LATE_AFTER_SECONDS / 2)
         self.assertFalse(self.pace.late)
 
-    def test_node_that_holds_little_is_not_late_for_its_callers(self):
-        self.hold(MIN_OVERLOAD_REQUESTS - 1)
-        self.be_late(LATE_AFTER_SECONDS * 2)
+    def test_node_with_few_requests_is_not_late(self):
+        self.admit(MIN_OVERLOAD_REQUESTS - 1)
+        self.make_late(LATE_AFTER_SECONDS * 2)
         self.assertFalse(self.pace.late)
 
-    async def test_late_node_tells_the_lowest_level_until_it_was_in_time_for_a_while(self):
-        self.hold(MIN_OVERLOAD_REQUESTS)
-        self.be_late(LATE_AFTER_SECONDS * 2)
+    async def test_late_node_reports_no_speed_until_it_was_in_time_for_a_while(self):
+        self.admit(MIN_OVERLOAD_REQUESTS)
+        self.make_late(LATE_AFTER_SECONDS * 2)
         self.assertTrue(self.pace.late)
-        self.assertEqual((await self.told_after_a_step())[-1], UNKNOWN_LEVEL)
+        self.assertEqual((await self.reported_after_a_sample())[-1], UNKNOWN_LEVEL)
         for _ in range(SAMPLES):
             self.lag.take(0.0)
         self.clock.advance(RISE_SECONDS / 2)
-        self.assertEqual((await self.told_after_a_step())[-1], UNKNOWN_LEVEL)
+        self.assertEqual((await self.reported_after_a_sample())[-1], UNKNOWN_LEVEL)
 
 
 if __name__ == "__main__":
--- a/tests/routing/test_budget.py
+++ b/tests/routing/test_budget.py
@@ -12,7 +12,7 @@
 
 
 class RetryBudgetTests(unittest.TestCase):
-    def test_young_process_has_no_share_of_the_slack(self):
+    def test_new_process_has_no_share_of_the_slack(self):
         budget = RetryBudget(BOUNDS, started_at=0.0)
         self.assertFalse(budget.allow(1.0, 7))
         self.assertTrue(budget.allow(12.0, 7))
@@ -22,7 +22,7 @@
         allowed = sum(budget.allow(1.0, 7) for _ in range(100))
         self.assertEqual(allowed, int(54 * 0.8 / 7))
 
-    def test_requests_earn_repeats_and_both_are_forgotten(self):
+    def test_requests_allow_retries_until_they_leave_the_window(self):
         budget = RetryBudget(BOUNDS, started_at=0.0)
         for _ in range(100):
             budget.record_request(1.0)
@@ -32,7 +32,7 @@
 
     @given(st.integers(0, 2**32), st.integers(1, 9))
     @settings(max_examples=30, deadline=None)
-    def test_fleet_keeps_to_the_bound_in_every_window(self, seed, members):
+    def test_fleet_stays_within_the_bound_in_every_window(self, seed, members):
         rng = random.Random(seed)
         budgets = [RetryBudget(BOUNDS, started_at=-100.0) for _ in range(members)]
         requests: list[float] = []
--- a/tests/routing/test_connect_failures.py
+++ b/tests/routing/test_connect_failures.py
@@ -9,10 +9,10 @@
     def setUp(self):
         self.failures = ConnectFailures()
 
-    def test_nothing_is_avoided_at_first(self):
+    def test_no_replica_is_avoided_initially(self):
         self.assertEqual(self.failures.replica_to_avoid(0.0), "")
 
-    def test_replica_that_failed_last_is_avoided_for_a_while(self):
+    def test_replica_that_failed_last_is_avoided_until_the_failure_expires(self):
         self.failures.record_failure("a", 1.0)
         self.failures.record_failure("b", 1.1)
         self.assertEqual(self.failures.replica_to_avoid(1.2), "b")
@@ -25,7 +25,7 @@
         self.failures.record_answer("a")
         self.assertEqual(self.failures.replica_to_avoid(1.1), "")
 
-    def test_memory_is_bounded(self):
+    def test_number_of_recorded_replicas_is_bounded(self):
         for number in range(MAX_REPLICAS + 5):
             self.failures.record_failure(f"r{number}", float(number))
         self.assertEqual(len(self.failures._failed_at), MAX_REPLICAS)
--- a/tests/routing/test_running.py
+++ b/tests/routing/test_running.py
@@ -17,7 +17,7 @@
         await asyncio.sleep(0)
         return task
 
-    async def test_calls_of_a_replica_that_started_again_are_cut_off(self):
+    async def test_calls_of_a_restarted_replica_are_cut_off(self):
         old, other = await self.start("r"), await self.start("other")
         self.calls.end("r")
         with self.assertRaises(CutOff):
@@ -27,13 +27,13 @@
         for task in (new, other):
             task.cancel()
 
-    async def test_caller_that_leaves_cancels_its_call(self):
+    async def test_caller_that_disconnects_cancels_its_call(self):
         task = await self.start("r")
         task.cancel()
         with self.assertRaises(asyncio.CancelledError):
             await task
 
-    async def test_call_that_ends_well_ends_well(self):
+    async def test_completed_call_is_not_affected_by_a_restart(self):
         await self.calls.run("r", asyncio.sleep(0))
         self.calls.end("r")
 
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -40,14 +40,14 @@
             with self.subTest(path=path):
                 self.assertEqual(self.name("a.example", path), name)
 
-    def test_host_counts_without_case_and_port(self):
+    def test_host_matches_without_case_and_port(self):
         self.assertEqual(self.name("B.Example:8080", "/a/x"), "other")
         self.assertEqual(self.name("c.example", "/a/x"), "")
         self.assertEqual(self.name("", "/a/x"), "")
 
 
 class ChoosePoolTests(unittest.TestCase):
-    def test_pools_get_requests_by_weight(self):
+    def test_pools_are_chosen_in_proportion_to_their_weights(self):
         shares = (PoolShare("big", 90), PoolShare("small", 10), PoolShare("none", 0))
         split = route("split", "/", pools=shares)
         rng = random.Random(5)
@@ -55,7 +55,7 @@
         self.assertEqual(chosen.count("none"), 0)
         self.assertTrue(120 < chosen.count("small") < 280)
 
-    def test_weights_of_nothing_still_name_a_pool(self):
+    def test_first_pool_is_chosen_if_all_weights_are_zero(self):
         shares = (PoolShare("one", 0), PoolShare("two", 0))
         self.assertEqual(choose_pool(route("r", "/", pools=shares), random.Random(1)), "one")
 
