--- a/railsail/gateway/admission.py
+++ b/railsail/gateway/admission.py
@@ -13,7 +13,7 @@
 
 
 class Admission:
-    """Count the requests in flight at this node, and refuse those beyond the limits."""
+    """Count of the requests in flight at this node, which refuses those beyond the limits."""
 
     def __init__(self, max_per_workspace: int, max_total: int) -> None:
         self._max_per_workspace = max_per_workspace
@@ -62,11 +62,11 @@
 
     def admit(self, workspace: str) -> NotRun | None:
         """Admit one more request of ``workspace``, or return its refusal."""
-        refused = self.refusal(workspace)
-        if refused is None:
+        refusal = self.refusal(workspace)
+        if refusal is None:
             self._in_flight[workspace] = self.in_flight(workspace) + 1
             self._in_flight_total += 1
-        return refused
+        return refusal
 
     def release(self, workspace: str) -> None:
         """Stop counting a request of ``workspace``."""
--- a/railsail/gateway/answers.py
+++ b/railsail/gateway/answers.py
@@ -32,7 +32,7 @@
 
 
 class AnswerCache:
-    """Keep the answers of this node's claimed requests, and request those of other nodes.
+    """Cache of the answers to this node's claimed requests, which also fetches those of others.
 
     ``gone`` returns whether the process of a node with a given start id is known to have ended. Its
     answers are lost then, and a retry learns so at once.
@@ -55,22 +55,22 @@
 
         Each attempt that was started must be ended by ``end_attempt`` with that future.
         """
-        running: asyncio.Future = asyncio.get_running_loop().create_future()
-        self._running.setdefault(key, []).append(running)
-        return running
+        attempt: asyncio.Future = asyncio.get_running_loop().create_future()
+        self._running.setdefault(key, []).append(attempt)
+        return attempt
 
-    def end_attempt(self, key: bytes, running: asyncio.Future, answer: KeptAnswer | None) -> None:
+    def end_attempt(self, key: bytes, attempt: asyncio.Future, answer: KeptAnswer | None) -> None:
         """Record the answer of an attempt, ``None`` if it got no complete answer itself."""
         if answer is not None and len(answer.body) <= MAX_ANSWER_BYTES:
             self._keep(key, answer)
         else:
             answer = None
         attempts = self._running[key]
-        attempts.remove(running)
+        attempts.remove(attempt)
         if not attempts:
             del self._running[key]
-        if not running.done():
-            running.set_result(answer)
+        if not attempt.done():
+            attempt.set_result(answer)
 
     def _keep(self, key: bytes, answer: KeptAnswer) -> None:
         self._kept[key] = answer
--- a/railsail/gateway/app.py
+++ b/railsail/gateway/app.py
@@ -30,7 +30,7 @@
 
 
 class CallHandler(RequestHandler):
-    """Handle one request of a caller."""
+    """Handler of one request of a caller."""
 
     def initialize(self, gateway: "Gateway") -> None:
         """Store the gateway that this handler belongs to."""
@@ -158,14 +158,14 @@
 
 
 def _outcome_name(result: Result) -> str:
-    words = {
+    names = {
         Completed: "completed",
         Replay: "completed",
         NotRun: "not-run",
         Unknown: "unknown",
         Conflict: "unknown",
     }
-    return words[type(result)]
+    return names[type(result)]
 
 
 def _describe(result: Result) -> tuple[int, str, str]:
--- a/railsail/gateway/callers.py
+++ b/railsail/gateway/callers.py
@@ -5,7 +5,7 @@
 
 
 class Callers:
-    """Map the bearer keys of callers to workspaces.
+    """Map of the callers' bearer keys to workspaces.
 
     A key is looked up by its hash, so that the time of a lookup reveals nothing about stored keys.
     """
--- a/railsail/gateway/claims.py
+++ b/railsail/gateway/claims.py
@@ -41,7 +41,7 @@
 
 
 class ClaimService:
-    """Make claims for this node's requests, and batch those of the shards assigned to it."""
+    """Makes the claims of this node's requests, and batches those of the shards assigned to it."""
 
     def __init__(
         self,
--- a/railsail/gateway/concurrency.py
+++ b/railsail/gateway/concurrency.py
@@ -1,9 +1,9 @@
-"""Adaptive limits on the number of requests that this node holds at once.
+"""Adaptive limits on the number of requests in flight at this node.
 
 An answer of many events costs a node most of its time after the request was admitted. A node that
 admits requests until its event loop is late has therefore admitted seconds of work too much. The
 limit is adapted by multiplicative increase and decrease: it falls while the loop is late, and rises
-while the loop is in time and the limit is what holds callers back.
+while the loop is in time and the limit is what keeps requests out.
 
 Source: adaptive concurrency limits, as in TCP's congestion control (Jacobson, 1988).
 """
@@ -28,7 +28,7 @@
 # seconds.
 DECREASE_FACTOR = 0.9
 INCREASE_FACTOR = 1.05
-# The limit holds callers back while more than this share of it is in use.
+# The limit rises only while more than this share of it is in use.
 NEAR_LIMIT_SHARE = 0.9
 
 
--- a/railsail/gateway/pace.py
+++ b/railsail/gateway/pace.py
@@ -15,7 +15,7 @@
 
 
 class OwnPace:
-    """Monitor the speed and lateness of this node.
+    """Monitor of the speed and lateness of this node.
 
     While the node is late for its callers it reports no speed, so that it is not chosen to
     dispatch.
--- a/railsail/gateway/serve.py
+++ b/railsail/gateway/serve.py
@@ -40,7 +40,7 @@
 
 
 class Server:
-    """Serve the requests of callers; ``region`` is the region of this node."""
+    """Server of callers' requests; ``region`` is the region of this node."""
 
     def __init__(
         self,
@@ -70,9 +70,9 @@
         pool = self._catalog().pool(request.pool)
         if pool is None:
             return NotRun(Reason.UNKNOWN_POOL, f"there is no pool {request.pool!r}")
-        refused = self._admission.admit(workspace)
-        if refused is not None:
-            return refused
+        refusal = self._admission.admit(workspace)
+        if refusal is not None:
+            return refusal
         try:
             served = self._create_served_request(request_id, workspace, request, pool, sink)
             return await self._run(served)
@@ -121,12 +121,12 @@
         return await self._run_claimed(served)
 
     async def _run_claimed(self, served: ServedRequest) -> Result:
-        """Run the request if this node gets the claim of its key, else answer it like a retry."""
+        """Run the request if this node can claim its key, else treat it as a retry."""
         request = served.request
         key = claim_key(served.workspace, request.key)
         claim = self._claims.new_claim(key, fingerprint(request.method, request.path, request.body))
         # A retry at another node may request the answer before the reply to the claim arrives here.
-        running = self._answers.start_attempt(key)
+        attempt = self._answers.start_attempt(key)
         kept: KeptAnswer | None = None
         try:
             remaining = served.deadline_at - self._clock.monotonic()
@@ -137,7 +137,7 @@
                 kept = self._answer_to_keep(served, outcome)
                 return outcome
         finally:
-            self._answers.end_attempt(key, running, kept)
+            self._answers.end_attempt(key, attempt, kept)
         if answer.result is ClaimResult.HELD:
             return await self._answer_retry(served, claim, answer.holder)
         return NotRun(Reason.CLAIM_UNAVAILABLE, "the key could not be claimed in time", 2.0)
@@ -152,6 +152,7 @@
                 self._claims.release(claim)
 
     async def _answer_retry(self, served: ServedRequest, claim: Claim, holder: Claim) -> Result:
+        """Return the answer of the attempt that holds the key, or why there is none."""
         self._events.emit(Kind.CLAIM_HELD, f"by {holder.node}", served.id, served.workspace)
         if holder.fingerprint != claim.fingerprint:
             return Conflict("the key was used for another request")
--- a/railsail/gateway/sink.py
+++ b/railsail/gateway/sink.py
@@ -26,7 +26,7 @@
 
 
 class CallerSink:
-    """Write an answer to a caller, and charge the workspace as the cost grows.
+    """Writer of an answer to a caller, which charges the workspace as the cost grows.
 
     With ``keep`` the sink keeps a copy of the answer, for retries of a claimed request.
     """
--- a/railsail/gateway/tries.py
+++ b/railsail/gateway/tries.py
@@ -55,7 +55,7 @@
 
 
 class Tries:
-    """Make the attempts of requests; ``kind_of`` returns the upstream plug-in of a pool."""
+    """Runner of the attempts of requests; ``kind_of`` returns the upstream plug-in of a pool."""
 
     def __init__(
         self,
--- a/railsail/gateway/verdicts.py
+++ b/railsail/gateway/verdicts.py
@@ -21,7 +21,7 @@
 
 
 class PolicyEvaluator:
-    """Evaluate a workspace's policy for each request.
+    """Evaluator of workspaces' policies for their requests.
 
     Policies are compiled once per version of the configuration.
     """
--- a/railsail/routing/answer.py
+++ b/railsail/routing/answer.py
@@ -57,7 +57,7 @@
 
 
 class ReplicaAnswer:
-    """Receive one answer of one replica.
+    """Receiver of one answer of one replica.
 
     An event stream is forwarded in whole events, so that another replica can resume a stream that
     breaks within an event. Any other answer is buffered until it is complete. ``on_body`` is called
--- a/railsail/routing/budget.py
+++ b/railsail/routing/budget.py
@@ -38,7 +38,7 @@
         self._started_at = started_at
         self._requests: deque[float] = deque()
         self._retries: deque[float] = deque()
-        # Retries that were left when ``allow`` was called last, before it counted one.
+        # Retries left at the last call of ``allow``, including the one that it decided on.
         self.remaining = 0
 
     def record_request(self, now: float) -> None:
--- a/railsail/routing/client.py
+++ b/railsail/routing/client.py
@@ -106,7 +106,7 @@
 
 
 class ClientServer(HTTPServerConnectionDelegate):
-    """Accept connections of callers, and pass their requests to ``handler``.
+    """Server that accepts connections of callers and passes their requests to ``handler``.
 
     While more than ``max_connections`` are open, each answer asks its caller to close its
     connection.
@@ -180,7 +180,7 @@
 
 
 class _RequestReceiver(HTTPMessageDelegate):
-    """Receives one request; its task is cancelled when the caller disconnects."""
+    """Receiver of one request; the task that serves it is cancelled if the caller disconnects."""
 
     def __init__(
         self, server: ClientServer, server_conn: object, connection: HTTP1Connection
--- a/railsail/routing/connect_failures.py
+++ b/railsail/routing/connect_failures.py
@@ -9,7 +9,7 @@
 
 
 class ConnectFailures:
-    """Record failures to connect to replicas; times are in seconds of the monotonic clock."""
+    """Recent failures to connect to replicas; times are in seconds of the monotonic clock."""
 
     def __init__(self) -> None:
         self._failed_at: dict[str, float] = {}
--- a/railsail/routing/error_answers.py
+++ b/railsail/routing/error_answers.py
@@ -20,7 +20,7 @@
 
 
 class ErrorAnswers:
-    """Send error answers for requests that were not served."""
+    """Sender of error answers for requests that were not served."""
 
     def __init__(self, protocol: RouteProtocol, rng: random.Random) -> None:
         self._protocol = protocol
--- a/railsail/routing/forwarding.py
+++ b/railsail/routing/forwarding.py
@@ -58,7 +58,7 @@
 
 
 class Forwarder:
-    """Forward requests to other nodes, as many at a time as ``limit`` allows."""
+    """Forwards requests to other nodes, as many at a time as ``limit`` allows."""
 
     def __init__(self, targets: ForwardTargets, limit: ConcurrencyLimit, kernel: Kernel) -> None:
         self._targets = targets
--- a/railsail/routing/front.py
+++ b/railsail/routing/front.py
@@ -35,7 +35,7 @@
 
 
 class RouteFront:
-    """Serve requests by the routes of the active configuration."""
+    """Handler of callers' requests by the routes of the active configuration."""
 
     def __init__(
         self,
@@ -138,22 +138,22 @@
     async def _serve(
         self, request: RoutedRequest, client: ClientAnswer, received_at: float
     ) -> tuple[Outcome, RoutingContext | None]:
-        found = self._find(request)
+        found = self._resolve(request)
         if isinstance(found, NotRun):
             configuration = self._configuration.held()
             self._events.emit(Kind.RECEIVED, request=request.id, **configuration.facts())
             return found, None
         route, pool, workspace = found
-        refused = self._admission.admit(workspace)
-        if refused is not None:
-            return refused, None
+        refusal = self._admission.admit(workspace)
+        if refusal is not None:
+            return refusal, None
         try:
             context = self._create_context(request, route, pool, workspace, client, received_at)
             return await self._relay.run(context), context
         finally:
             self._admission.release(workspace)
 
-    def _find(self, request: RoutedRequest) -> NotRun | tuple[Route, Pool, str]:
+    def _resolve(self, request: RoutedRequest) -> NotRun | tuple[Route, Pool, str]:
         catalog = self._catalog
         if not catalog.version:
             return NotRun(Reason.NO_CONFIGURATION, "this node has no configuration yet")
--- a/railsail/routing/messages.py
+++ b/railsail/routing/messages.py
@@ -108,8 +108,7 @@
     ``headers`` are those to forward. ``not_run`` is true if the replica did not run the request,
     ``misdirected`` if another replica has the address now. ``request_id`` is the id of the request
     that is answered, empty if the replica sent none. ``signed`` is true if the answer has the
-    replica's signature, ``asks_rest`` if the replica turned the request away and named a time of
-    backoff.
+    replica's signature, ``asks_rest`` if the replica refused the request and asked for a backoff.
     """
 
     status: int
--- a/railsail/routing/offload.py
+++ b/railsail/routing/offload.py
@@ -38,7 +38,7 @@
 
 
 class Offloader:
-    """Forward or refuse requests while this node holds as many as ``limit`` allows."""
+    """Forwards or refuses requests while this node is full."""
 
     def __init__(
         self,
@@ -71,9 +71,9 @@
     ) -> bool:
         """Forward or refuse the request if this node is full, and return True if it did either.
 
-        The node is full if ``limit`` is reached, or if admission would refuse the request. Only
-        workspaces that cause the overload are refused here. If the result is False, this node has
-        to serve the request itself.
+        The node is full if as many requests are in flight as ``limit`` allows, or if admission
+        would refuse the request. Only workspaces that cause the overload are refused here. If the
+        result is False, this node has to serve the request itself.
         """
         full = self._limit.full(self._admission.total)
         if not (full or self._admission.can_refuse):
@@ -143,7 +143,8 @@
             self._admission.total,
             self._limit.limit,
         )
-        # Its caller retries at this node, which needs time until then; the answer says how long.
+        # The caller retries at this node, which needs time to recover: the answer has a
+        # ``Retry-After``.
         refusal = NotRun(Reason.QUEUE_FULL, "this node is full")
         # A caller that has disconnected does not wait for the refusal.
         with contextlib.suppress(ClientDisconnected):
--- a/railsail/routing/outcome_recorder.py
+++ b/railsail/routing/outcome_recorder.py
@@ -7,7 +7,7 @@
 
 
 class OutcomeRecorder:
-    """Record how requests ended; late and failed ones are marked as notable."""
+    """Recorder of how requests ended; late and failed ones are marked as notable."""
 
     def __init__(self, kernel: Kernel) -> None:
         self._events = kernel.events
@@ -55,7 +55,7 @@
             self._observe_stages(context, outcome_name, seconds)
         self._metrics.requests.inc({"pool": pool, "outcome": outcome_name})
         detail = outcome.detail if isinstance(outcome, NotRun | Unknown) else ""
-        notable = _late(context) or not isinstance(outcome, Completed)
+        notable = _is_late(context) or not isinstance(outcome, Completed)
         self._events.emit(Kind.ENDED, detail, request_id, notable=notable, **facts)
 
     def _observe_stages(self, context: RoutingContext, outcome: str, seconds: float) -> None:
@@ -66,7 +66,7 @@
                 self._metrics.stages.observe(labels, duration)
 
 
-def _late(context: RoutingContext | None) -> bool:
+def _is_late(context: RoutingContext | None) -> bool:
     return context is not None and 0 < context.route.objective < context.first_byte_after
 
 
--- a/railsail/routing/overload_log.py
+++ b/railsail/routing/overload_log.py
@@ -15,7 +15,7 @@
 
 
 class OverloadLog:
-    """Count the requests that an overloaded node did not serve itself, and log the counts."""
+    """Log of how many requests an overloaded node did not serve itself."""
 
     def __init__(self, kernel: Kernel) -> None:
         self._clock = kernel.clock
--- a/railsail/routing/protocol.py
+++ b/railsail/routing/protocol.py
@@ -14,7 +14,7 @@
 
 
 class RouteProtocol(Protocol):
-    """Read and write the headers of routed requests and answers."""
+    """Reader and writer of the headers of routed requests and answers."""
 
     def read_request(
         self, method: str, target: str, headers: HTTPHeaders, body: bytes
--- a/railsail/routing/relay.py
+++ b/railsail/routing/relay.py
@@ -30,10 +30,11 @@
 CONNECT_SECONDS = 0.4
 # Callers are asked to retry within this share of the time that they have left.
 RETRY_AFTER_SHARE = 1 / 3
-# A request may wait this long for a replica even if the time in which it may wait has passed, so
-# that a retry after a refusal is not refused at once.
+# Minimum wait for a replica, also after the time in which the request may wait, so that a retry
+# after a refusal is not refused at once.
 MIN_WAIT_SECONDS = 0.02
-# A stream that broke off may wait this long for another replica; by then its caller gives up.
+# Minimum wait for another replica after a stream broke off; a caller gives up after about this
+# long.
 RESUME_WAIT_SECONDS = 1.0
 # If a request can be retried, an attempt is cut off after its replica was silent for this many
 # objectives of the route or, within a stream, for this many of its longest pauses between two
@@ -50,14 +51,14 @@
 class RoutingContext:
     """The state of one request while this daemon serves it.
 
-    All times are in seconds, points in time of the monotonic clock. ``deadline_at`` is when the
-    final answer is due, ``wait_until`` until when the request may wait for a replica. ``attempts``
-    counts the replicas that it was sent to; ``may_have_run`` is true if one of them may have run
-    it. ``replica`` is the one that it was sent to last, ``avoid`` the one that failed it last.
-    ``waited`` is how long it waited for replicas in total, ``first_byte_after`` the time from its
-    arrival to the first byte of an answer, 0 without an answer. ``give_up_reason`` is the reason
-    why no further attempt was made. The request may run only in ``regions``, or in any region if
-    there are none. Its retries have the same ``fingerprint``.
+    All times are in seconds; points in time are those of the monotonic clock. ``deadline_at`` is
+    when the final answer is due, ``wait_until`` until when the request may wait for a replica.
+    ``attempts`` counts the replicas that it was sent to; ``may_have_run`` is true if one of them
+    may have run it. ``replica`` is the one that it was sent to last, ``avoid`` the one that failed
+    it last. ``waited`` is how long it waited for replicas in total, ``first_byte_after`` the time
+    from its arrival to the first byte of an answer, 0 without an answer. ``give_up_reason`` is why
+    no further attempt was made. The request may run only in ``regions``, or in any region if there
+    are none. Its retries have the same ``fingerprint``.
     """
 
     request: RoutedRequest
@@ -89,7 +90,7 @@
 
 
 class Relay:
-    """Make the attempts of routed requests; ``fleet_size`` returns the known size of the fleet."""
+    """Relay of routed requests to replicas; ``fleet_size`` returns the known size of the fleet."""
 
     def __init__(
         self,
@@ -119,7 +120,7 @@
         self._budgets: dict[str, RetryBudget] = {}
         self._connect_failures = ConnectFailures()
         self._calls = RunningCalls()
-        directory.on_rebirth(lambda before: self._calls.end(before.name))
+        directory.on_rebirth(lambda before: self._calls.cancel(before.name))
 
     async def run(self, context: RoutingContext) -> Outcome:
         """Make attempts until an outcome is final, and return it."""
@@ -146,6 +147,7 @@
         return self._budgets[pool]
 
     def _should_retry(self, context: RoutingContext, outcome: Outcome, budget: RetryBudget) -> bool:
+        """Return True if another attempt may be made, else record why not."""
         now = self._clock.monotonic()
         if isinstance(outcome, Completed) or now >= context.deadline_at:
             return False
@@ -330,6 +332,7 @@
     async def _handle_answer(
         self, context: RoutingContext, replica: str, answer: ReplicaAnswer
     ) -> Outcome:
+        """Return the outcome of a complete answer, which is sent to the caller if it is final."""
         head = answer.received_head
         self._connect_failures.record_answer(replica)
         if head.misdirected:
--- a/railsail/routing/running.py
+++ b/railsail/routing/running.py
@@ -12,11 +12,11 @@
 
 
 class RunningCalls:
-    """Run calls to replicas, and cancel those of a replica that has restarted."""
+    """The running calls of each replica, which are cancelled if the replica restarts."""
 
     def __init__(self) -> None:
         self._running: defaultdict[str, set[asyncio.Task]] = defaultdict(set)
-        self._ended: set[asyncio.Task] = set()
+        self._cancelled: set[asyncio.Task] = set()
 
     async def run(self, replica: str, call: Coroutine[None, None, None]) -> None:
         """Run ``call``; raise ``CutOff`` if ``replica`` restarts in the meantime."""
@@ -25,20 +25,20 @@
         try:
             await task
         except asyncio.CancelledError:
-            if task in self._ended:
+            if task in self._cancelled:
                 raise CutOff("the replica has started again") from None
             raise
         finally:
             self._forget(replica, task)
 
     def _forget(self, replica: str, task: asyncio.Task) -> None:
-        self._ended.discard(task)
+        self._cancelled.discard(task)
         self._running[replica].discard(task)
         if not self._running[replica]:
             del self._running[replica]
 
-    def end(self, replica: str) -> None:
+    def cancel(self, replica: str) -> None:
         """Cancel the calls to ``replica``, whose process is gone."""
         for task in self._running.get(replica, ()):
-            self._ended.add(task)
+            self._cancelled.add(task)
             task.cancel()
--- a/railsail/routing/table.py
+++ b/railsail/routing/table.py
@@ -7,7 +7,7 @@
 
 
 class RouteTable:
-    """Find routes by host and longest path prefix."""
+    """Table of routes by host and path prefix; the longest prefix wins."""
 
     def __init__(self, routes: Iterable[Route] = ()) -> None:
         self._hosts: dict[str, dict[str, Route]] = {}
--- a/tests/routing/test_running.py
+++ b/tests/routing/test_running.py
@@ -19,7 +19,7 @@
 
     async def test_calls_of_a_restarted_replica_are_cut_off(self):
         old, other = await self.start("r"), await self.start("other")
-        self.calls.end("r")
+        self.calls.cancel("r")
         with self.assertRaises(CutOff):
             await old
         new = await self.start("r")
@@ -35,7 +35,7 @@
 
     async def test_completed_call_is_not_affected_by_a_restart(self):
         await self.calls.run("r", asyncio.sleep(0))
-        self.calls.end("r")
+        self.calls.cancel("r")
 
 
 if __name__ == "__main__":
