--- a/railsail/gateway/claims.py
+++ b/railsail/gateway/claims.py
@@ -142,7 +142,7 @@
     def _send(self, number: int, claim: Claim, node: str) -> None:
         request = ClaimRequest(number, claim.key, claim.fingerprint, claim.attempt, claim.release)
         if not self._hub.send(node, request) and not self._hub.dial(node):
-            # The link is down and may not be dialled yet, so that no event of the link will follow.
+            # The link is down and may not be dialled yet: no link event would send the claim again.
             self._send_to_another(number, node)
 
     def _shard(self, key: bytes) -> ClaimShard:
