--- a/railsail/gateway/app.py
+++ b/railsail/gateway/app.py
@@ -13,7 +13,7 @@
 from railsail.gateway.callers import Callers
 from railsail.gateway.requests import BadRequest, CallerRequest, read_request
 from railsail.gateway.serve import Conflict, Replay, Result, Server
-from railsail.gateway.sink import CallerLeft, CallerSink
+from railsail.gateway.sink import CallerDisconnected, CallerSink
 
 REQUEST_HEADER = "X-Request-Id"
 OUTCOME_HEADER = "X-Railsail-Outcome"
@@ -30,10 +30,10 @@
 
 
 class CallHandler(RequestHandler):
-    """Take one request of a caller."""
+    """Handler of one request of a caller."""
 
     def initialize(self, gateway: "Gateway") -> None:
-        """Take the gateway that this handler belongs to."""
+        """Store the gateway that this handler belongs to."""
         self._gateway = gateway
         self._task: asyncio.Task | None = None
         self._sink: CallerSink | None = None
@@ -42,25 +42,27 @@
         self._pool = ""
 
     def check_xsrf_cookie(self) -> None:
-        """Do nothing: callers are known by bearer keys, not by cookies."""
+        """Do nothing: callers authenticate by bearer keys, not by cookies."""
 
     async def _handle(self) -> None:
         self._task = asyncio.current_task()
         try:
             result = await self._serve()
         except asyncio.CancelledError:
-            # The caller left; there is nobody to answer.
-            self._gateway.ended(self._id, "", "", "caller-left")
+            # The caller disconnected, so that there is nobody to answer.
+            self._gateway.record_end(self._id, "", "", "caller-left")
             return
-        except CallerLeft:
-            self._gateway.ended(self._id, "", "", "caller-left")
+        except CallerDisconnected:
+            self._gateway.record_end(self._id, "", "", "caller-left")
             return
         await self._finish_with(result)
 
     get = post = put = patch = delete = head = options = _handle
 
     async def _serve(self) -> Result:
-        workspace = self._gateway.callers.workspace(self.request.headers.get("Authorization", ""))
+        workspace = self._gateway.callers.authenticate(
+            self.request.headers.get("Authorization", "")
+        )
         if workspace is None:
             return self._unauthorized()
         try:
@@ -78,7 +80,9 @@
     def _unauthorized(self) -> NotRun:
         if not self._gateway.callers.configured_version:
             return NotRun(Reason.NO_CONFIGURATION, "this node has no configuration yet")
-        return self._gateway.held().refusal(Reason.UNAUTHORIZED, "the bearer key is not known")
+        return self._gateway.active_configuration().refusal(
+            Reason.UNAUTHORIZED, "the bearer key is not known"
+        )
 
     async def _serve_read(self, workspace: str, request: CallerRequest) -> Result:
         gateway = self._gateway
@@ -86,11 +90,11 @@
         self._received_at = gateway.clock.monotonic()
         self._pool = request.pool
         result = await gateway.server.serve(self._id, workspace, request, self._sink)
-        gateway.ended(self._id, workspace, request.pool, _word(result), str(result))
+        gateway.record_end(self._id, workspace, request.pool, _outcome_name(result), str(result))
         return result
 
-    async def begin(self, status: int, content_type: str, whole: bool) -> None:
-        """Send status and headers of an answer."""
+    async def start(self, status: int, content_type: str, whole: bool) -> None:
+        """Send the status and headers of an answer."""
         self.request.connection.stream.set_nodelay(True)
         self._gateway.metrics.first_byte.observe(
             {"pool": self._pool}, self._gateway.clock.monotonic() - self._received_at
@@ -103,12 +107,12 @@
         await self.flush()
 
     async def send(self, chunk: bytes) -> None:
-        """Send a piece of an answer."""
+        """Send a piece of the body."""
         self.write(chunk)
         await self.flush()
 
     def on_connection_close(self) -> None:
-        """Cancel the request of a caller that left."""
+        """Cancel the request of a caller that disconnected."""
         if self._task is not None:
             self._task.cancel()
 
@@ -117,7 +121,7 @@
             self._finish_started(result)
             return
         self.set_header(REQUEST_HEADER, self._id)
-        self.set_header(OUTCOME_HEADER, _word(result))
+        self.set_header(OUTCOME_HEADER, _outcome_name(result))
         if isinstance(result, Replay):
             self.set_status(result.answer.status)
             self.set_header("Content-Type", result.answer.content_type)
@@ -131,8 +135,8 @@
         if isinstance(result, Completed):
             self.finish()
             return
-        # The answer is not whole: the connection is closed without the end of the body, so that
-        # no client can take what it has for a whole answer.
+        # The answer is not complete: the connection is closed without the end of the body, so that
+        # no client takes a partial answer for a complete one.
         self.request.connection.stream.close()
 
     def _write_error(self, result: Result) -> None:
@@ -143,7 +147,7 @@
             self.set_header("Retry-After", str(max(1, round(result.retry_after))))
         body = {
             "error": {
-                "outcome": _word(result),
+                "outcome": _outcome_name(result),
                 "reason": reason,
                 "message": detail,
                 "request_id": self._id,
@@ -153,15 +157,15 @@
         self.write(json.dumps(body))
 
 
-def _word(result: Result) -> str:
-    words = {
+def _outcome_name(result: Result) -> str:
+    names = {
         Completed: "completed",
         Replay: "completed",
         NotRun: "not-run",
         Unknown: "unknown",
         Conflict: "unknown",
     }
-    return words[type(result)]
+    return names[type(result)]
 
 
 def _describe(result: Result) -> tuple[int, str, str]:
@@ -175,31 +179,31 @@
 
 
 class Gateway:
-    """All that the handlers of callers share."""
+    """What all handlers of callers' requests share."""
 
     def __init__(
         self,
         server: Server,
-        held: Callable[[], Held],
+        active_configuration: Callable[[], Held],
         kernel: Kernel,
         new_id: Callable[[], str],
     ) -> None:
         self.server = server
-        self.held = held
+        self.active_configuration = active_configuration
         self.callers = Callers()
         self.clock = kernel.clock
         self.events = kernel.events
         self.metrics = kernel.metrics
         self.new_id = new_id
 
-    def ended(
+    def record_end(
         self, request_id: str, workspace: str, pool: str, outcome: str, detail: str = ""
     ) -> None:
-        """Count the end of a request, and put it on the time line."""
+        """Count a request that has ended, and record its end on the time line."""
         self.metrics.requests.inc({"pool": pool, "outcome": outcome})
         self.events.emit(Kind.ENDED, detail or outcome, request_id, workspace)
 
     def application(self) -> Application:
-        """Return the tornado application."""
+        """Return the Tornado application."""
         rules = [(r"/.*", CallHandler, {"gateway": self})]
         return Application(rules, log_function=lambda handler: None)
--- a/railsail/gateway/claims.py
+++ b/railsail/gateway/claims.py
@@ -1,4 +1,4 @@
-"""Claim idempotency keys through the daemon that batches the key's shard."""
+"""Claim idempotency keys through the daemon that batches the claims of a key's shard."""
 
 import asyncio
 import contextlib
@@ -21,26 +21,27 @@
 )
 from railsail.store.journal import Backoff
 
-RELEASE_SECONDS = 600.0
-RELEASE_TRY_SECONDS = 10.0
-LOOK_SECONDS = 0.5
-# A batcher that has not replied for so long is left for another one: the store may turn just that
-# one away. A slow store answers within it; two batchers of one shard only conflict.
-BATCHER_SECONDS = 3.0
+RELEASE_TIMEOUT_SECONDS = 600.0
+RELEASE_ATTEMPT_SECONDS = 10.0
+CHECK_INTERVAL_SECONDS = 0.5
+# A batcher that has not replied within this time is replaced by another one, since the store may
+# refuse just that node. A slow store answers within this time, and two batchers of one shard only
+# cause write conflicts.
+BATCHER_TIMEOUT_SECONDS = 3.0
 
 
 @dataclass
-class _Asked:
-    """A claim that waits for the reply of the batcher ``node``, which was asked at ``at``."""
+class _PendingClaim:
+    """A claim that waits for a reply; it was sent to the batcher ``node`` at ``sent_at``."""
 
     claim: Claim
     node: str
     answer: asyncio.Future
-    at: float
+    sent_at: float
 
 
 class ClaimService:
-    """Make claims for this node's requests, and batch those of the shards that it is named for."""
+    """Makes the claims of this node's requests, and batches those of the shards assigned to it."""
 
     def __init__(
         self,
@@ -58,22 +59,22 @@
         self._metrics = kernel.metrics
         self._rng = kernel.rng
         self._shards: dict[int, ClaimShard] = {}
-        self._asked: dict[int, _Asked] = {}
+        self._pending: dict[int, _PendingClaim] = {}
         self._next_number = 1
         self._tasks = TaskSet()
-        hub.handle(ClaimRequest, self._request)
-        hub.handle(ClaimReply, self._reply)
+        hub.handle(ClaimRequest, self._handle_request)
+        hub.handle(ClaimReply, self._handle_reply)
         hub.on_up(self._link_up)
         hub.on_down(self._link_down)
 
     def new_claim(self, key: bytes, fingerprint: bytes) -> Claim:
-        """Return a claim of this node with an attempt of its own."""
+        """Return a claim of this node with its own attempt number."""
         self._next_number += 1
         own = self._hub.own
         return Claim(key, fingerprint, own.node, own.start_id, self._next_number)
 
     async def claim(self, claim: Claim, seconds: float) -> ClaimAnswer:
-        """Make ``claim`` within ``seconds``; if that fails it is released in the background."""
+        """Make ``claim`` within ``seconds``; if that fails, release it in the background."""
         try:
             async with asyncio.timeout(seconds):
                 answer = await self._make(claim)
@@ -86,19 +87,19 @@
         return answer
 
     def release(self, claim: Claim) -> None:
-        """Give ``claim`` back in the background, because its request was not run."""
+        """Release ``claim`` in the background, because its request was not run."""
         self._tasks.start(self._release(replace(claim, release=True)))
 
     async def settle(self, seconds: float) -> None:
-        """Wait at most ``seconds`` for releases that are under way."""
+        """Wait at most ``seconds`` for releases in progress."""
         await self._tasks.wait(seconds)
 
     async def _release(self, claim: Claim) -> None:
-        ends = self._clock.monotonic() + RELEASE_SECONDS
+        deadline_at = self._clock.monotonic() + RELEASE_TIMEOUT_SECONDS
         backoff = Backoff(self._rng, 0.5, 30.0)
-        while self._clock.monotonic() < ends:
+        while self._clock.monotonic() < deadline_at:
             try:
-                async with asyncio.timeout(RELEASE_TRY_SECONDS):
+                async with asyncio.timeout(RELEASE_ATTEMPT_SECONDS):
                     await self._make(claim)
                 return
             except TimeoutError:
@@ -108,31 +109,31 @@
         node = self._batcher(claim)
         if node == self._hub.own.node:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(BATCHER_SECONDS):
+                async with asyncio.timeout(BATCHER_TIMEOUT_SECONDS):
                     return await self._shard(claim.key).make(claim)
-            node = self._another(claim, node)
+            node = self._another_batcher(claim, node)
         self._next_number += 1
         number = self._next_number
         answer: asyncio.Future = asyncio.get_running_loop().create_future()
-        self._asked[number] = _Asked(claim, node, answer, self._clock.monotonic())
+        self._pending[number] = _PendingClaim(claim, node, answer, self._clock.monotonic())
         try:
             self._send(number, claim, node)
-            while not (await asyncio.wait([answer], timeout=LOOK_SECONDS))[0]:
-                self._leave_silent(number)
+            while not (await asyncio.wait([answer], timeout=CHECK_INTERVAL_SECONDS))[0]:
+                self._replace_silent_batcher(number)
             return answer.result()
         finally:
-            del self._asked[number]
+            del self._pending[number]
 
-    def _leave_silent(self, number: int) -> None:
-        # That a batcher lives does not tell that the store answers it.
-        asked = self._asked[number]
-        waited = self._clock.monotonic() - asked.at
-        if asked.node not in self._usable() or waited > BATCHER_SECONDS:
-            self._ask_another(number, asked.node)
+    def _replace_silent_batcher(self, number: int) -> None:
+        # A batcher that is alive may still get no answers from the store.
+        pending = self._pending[number]
+        waited = self._clock.monotonic() - pending.sent_at
+        if pending.node not in self._usable() or waited > BATCHER_TIMEOUT_SECONDS:
+            self._send_to_another(number, pending.node)
 
     def batchers(self) -> set[str]:
-        """Return the nodes that were asked and have not replied."""
-        return {asked.node for asked in self._asked.values()}
+        """Return the nodes that claims were sent to and that have not replied."""
+        return {pending.node for pending in self._pending.values()}
 
     def _batcher(self, claim: Claim) -> str:
         job = f"claims {shard_of(claim.key)}"
@@ -141,8 +142,8 @@
     def _send(self, number: int, claim: Claim, node: str) -> None:
         request = ClaimRequest(number, claim.key, claim.fingerprint, claim.attempt, claim.release)
         if not self._hub.send(node, request) and not self._hub.dial(node):
-            # The link is down and may not be dialled yet, so that nothing more will be heard of it.
-            self._ask_another(number, node)
+            # The link is down and may not be dialled yet: no link event would send the claim again.
+            self._send_to_another(number, node)
 
     def _shard(self, key: bytes) -> ClaimShard:
         number = shard_of(key)
@@ -153,34 +154,34 @@
         return self._shards[number]
 
     def _link_up(self, peer: Identity) -> None:
-        for number, asked in list(self._asked.items()):
-            if asked.node == peer.node:
-                self._send(number, asked.claim, asked.node)
+        for number, pending in list(self._pending.items()):
+            if pending.node == peer.node:
+                self._send(number, pending.claim, pending.node)
 
     def _link_down(self, node: str) -> None:
-        for number, asked in list(self._asked.items()):
-            if asked.node == node:
-                self._ask_another(number, node)
+        for number, pending in list(self._pending.items()):
+            if pending.node == node:
+                self._send_to_another(number, node)
 
-    def _ask_another(self, number: int, node: str) -> None:
-        asked = self._asked[number]
-        asked.node = self._another(asked.claim, node)
-        asked.at = self._clock.monotonic()
-        self._send(number, asked.claim, asked.node)
+    def _send_to_another(self, number: int, node: str) -> None:
+        pending = self._pending[number]
+        pending.node = self._another_batcher(pending.claim, node)
+        pending.sent_at = self._clock.monotonic()
+        self._send(number, pending.claim, pending.node)
 
-    def _another(self, claim: Claim, node: str) -> str:
+    def _another_batcher(self, claim: Claim, node: str) -> str:
         """Return a node other than ``node`` that makes ``claim``.
 
-        The shard's safety rests on the store, so any one may; of those only linked ones are asked,
-        this node itself among them.
+        The store keeps a shard consistent, so any node may batch it. Only this node and those with
+        an open link are considered.
         """
         linked = [n for n in self._usable() if n != node and self._hub.connected(n)]
         return choose(f"claims {shard_of(claim.key)}", linked) or self._hub.own.node
 
-    def _request(self, node: str, message: ClaimRequest) -> None:
-        self._tasks.start(self._answer(node, message))
+    def _handle_request(self, node: str, message: ClaimRequest) -> None:
+        self._tasks.start(self._serve_request(node, message))
 
-    async def _answer(self, node: str, message: ClaimRequest) -> None:
+    async def _serve_request(self, node: str, message: ClaimRequest) -> None:
         start_id = self._hub.start_id(node)
         claim = Claim(
             message.key, message.fingerprint, node, start_id, message.attempt, message.release
@@ -195,16 +196,16 @@
         )
         self._hub.send(node, reply)
 
-    def _reply(self, node: str, message: ClaimReply) -> None:
-        asked = self._asked.get(message.number)
-        if asked is None or asked.answer.done():
+    def _handle_reply(self, node: str, message: ClaimReply) -> None:
+        pending = self._pending.get(message.number)
+        if pending is None or pending.answer.done():
             return
         holder = None
         if message.holder:
             holder = replace(
-                asked.claim,
+                pending.claim,
                 node=message.holder,
                 start_id=message.holder_start,
                 fingerprint=message.fingerprint,
             )
-        asked.answer.set_result(ClaimAnswer(ClaimResult(message.result), holder))
+        pending.answer.set_result(ClaimAnswer(ClaimResult(message.result), holder))
--- a/railsail/gateway/sink.py
+++ b/railsail/gateway/sink.py
@@ -1,4 +1,4 @@
-"""Where the answer of an upstream goes: to the caller, held back while the caller is slow."""
+"""Write the answer of an upstream to the caller, no faster than the caller receives it."""
 
 from typing import Protocol
 
@@ -7,28 +7,28 @@
 from railsail.core.exceptions import RailsailError
 from railsail.dispatch.bookings import Booking
 from railsail.dispatch.entry import TicketClient
-from railsail.gateway.answers import MOST_ANSWER_BYTES
+from railsail.gateway.answers import MAX_ANSWER_BYTES
 from railsail.scheduling.estimates import ChargeMeter
 
 
-class CallerLeft(RailsailError):
+class CallerDisconnected(RailsailError):
     """The caller closed its connection."""
 
 
 class CallerConnection(Protocol):
     """What a sink needs of the HTTP handler."""
 
-    async def begin(self, status: int, content_type: str, whole: bool) -> None:
-        """Send status and headers."""
+    async def start(self, status: int, content_type: str, whole: bool) -> None:
+        """Send the status and headers."""
 
     async def send(self, chunk: bytes) -> None:
-        """Send a piece of the body, and wait until the connection took it."""
+        """Send a piece of the body, and wait until the connection has accepted it."""
 
 
 class CallerSink:
-    """Pass an answer on to a caller, and charge the workspace as it grows.
+    """Writer of an answer to a caller, which charges the workspace as the cost grows.
 
-    ``keep`` makes the sink keep a copy, for a second try of a claimed request.
+    With ``keep`` the sink keeps a copy of the answer, for retries of a claimed request.
     """
 
     def __init__(self, connection: CallerConnection, keep: bool) -> None:
@@ -37,45 +37,47 @@
         self.cost = 0.0
         self._connection = connection
         self._keep = keep
-        self._kept: list[bytes] = []
-        self._kept_bytes = 0
+        self._chunks: list[bytes] = []
+        self._copied_bytes = 0
         self._meter: ChargeMeter | None = None
         self._tickets: TicketClient | None = None
-        self._booking: Booking | None = None
+        self._pending_call: Booking | None = None
 
-    def meter(self, meter: ChargeMeter, tickets: TicketClient, booking: Booking) -> None:
-        """Charge ``booking`` from now on."""
+    def start_charging(
+        self, meter: ChargeMeter, tickets: TicketClient, pending_call: Booking
+    ) -> None:
+        """Charge ``pending_call`` from now on, starting from a cost of 0."""
         self.cost = 0.0
         self._meter = meter
         self._tickets = tickets
-        self._booking = booking
+        self._pending_call = pending_call
 
     async def start(self, status: int, content_type: str, whole: bool = False) -> None:
-        """Begin the answer; ``whole`` says that all of it is there already."""
+        """Start the answer; ``whole`` is true if all of it is available already."""
         self.started = True
         self.content_type = content_type
         try:
-            await self._connection.begin(status, content_type, whole)
+            await self._connection.start(status, content_type, whole)
         except StreamClosedError:
-            raise CallerLeft from None
+            raise CallerDisconnected from None
 
     async def write(self, chunk: bytes) -> None:
-        """Add to the body; return when the caller's connection took it."""
-        if self._keep and self._kept_bytes <= MOST_ANSWER_BYTES:
-            self._kept.append(chunk)
-            self._kept_bytes += len(chunk)
+        """Send a piece of the body, and wait until the caller's connection has accepted it."""
+        if self._keep and self._copied_bytes <= MAX_ANSWER_BYTES:
+            self._chunks.append(chunk)
+            self._copied_bytes += len(chunk)
         try:
             await self._connection.send(chunk)
         except StreamClosedError:
-            raise CallerLeft from None
+            raise CallerDisconnected from None
 
     def progress(self, cost: float) -> None:
-        """Take note of the cost so far, in cost units."""
+        """Record the cost so far, in cost units, and report it if it exceeds what was charged."""
         self.cost = max(self.cost, cost)
         charged = self._meter.overrun(cost) if self._meter else None
         if charged is not None:
-            self._tickets.progress(self._booking, charged)
+            self._tickets.progress(self._pending_call, charged)
 
     def copy(self) -> bytes:
-        """Return the body that was kept."""
-        return b"".join(self._kept)
+        """Return the copy of the body."""
+        return b"".join(self._chunks)
--- a/railsail/routing/answer.py
+++ b/railsail/routing/answer.py
@@ -1,4 +1,4 @@
-"""What comes back from a replica: held until it is whole, or passed on event by event."""
+"""Receive a replica's answer: buffer it until it is complete, or forward it event by event."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,54 +11,57 @@
 from railsail.routing.protocol import RouteProtocol
 from railsail.upstreams.sse import EventSplitter, StreamEvent
 
-MOST_HELD_BYTES = 64 << 20
+MAX_BUFFERED_BYTES = 64 << 20
 
 
 class AnswerRefused(RailsailError):
-    """The answer cannot be passed on, or goes on where it must not."""
+    """The replica's answer is not valid and must not be forwarded to the caller."""
 
 
 class StreamState:
-    """What of a stream has reached the caller, over all replicas that made a part of it."""
+    """What the caller has received of an event stream, from all replicas that sent a part of it."""
 
     def __init__(self, client: ClientAnswer, last_event: str) -> None:
         self.client = client
         self.head: AnswerHead | None = None
         self.last_event = last_event
 
-    async def pass_on(self, head: AnswerHead, events: list[StreamEvent]) -> None:
-        """Pass whole events on to the caller; the first ones go with the head."""
-        fresh = self._fresh(events)
-        if not fresh:
+    async def forward(self, head: AnswerHead, events: list[StreamEvent]) -> None:
+        """Send whole events to the caller, the first ones together with the head of the answer.
+
+        Raise ``AnswerRefused`` if the number of an event is not above that of the event before it.
+        """
+        checked = self._check_order(events)
+        if not checked:
             return
-        data = b"".join(event.raw for event in fresh)
-        numbered = [event.number for event in fresh if event.number >= 0]
+        data = b"".join(event.raw for event in checked)
+        numbered = [event.number for event in checked if event.number >= 0]
         if numbered:
             self.last_event = str(numbered[-1])
         if self.head is None:
             self.head = head
-            await self.client.begin(head.status, head.headers, data)
+            await self.client.start(head.status, head.headers, data)
         else:
             await self.client.write(data)
 
-    def _fresh(self, events: list[StreamEvent]) -> list[StreamEvent]:
+    def _check_order(self, events: list[StreamEvent]) -> list[StreamEvent]:
         last = int(self.last_event) if self.last_event else -1
-        fresh = []
+        checked = []
         for event in events:
             if 0 <= event.number <= last:
                 raise AnswerRefused(f"event {event.number} came after event {last}")
             if event.number >= 0:
                 last = event.number
-            fresh.append(event)
-        return fresh
+            checked.append(event)
+        return checked
 
 
 class ReplicaAnswer:
-    """Receive one answer of one replica.
+    """Receiver of one answer of one replica.
 
-    An event stream is passed on as whole events, so that a stream that breaks within one can go on
-    at another replica. Any other answer is held until it is whole. ``begun`` is called when the
-    body of a success begins.
+    An event stream is forwarded in whole events, so that another replica can resume a stream that
+    breaks within an event. Any other answer is buffered until it is complete. ``on_body`` is called
+    for each piece of the body of a successful answer.
     """
 
     def __init__(
@@ -67,52 +70,59 @@
         request: RoutedRequest,
         streaming: bool,
         stream: StreamState,
-        begun: Callable[[], None],
+        on_body: Callable[[], None],
     ) -> None:
-        self.answered: AnswerHead | None = None
+        self.received_head: AnswerHead | None = None
         self.stream = stream
-        self.streams = False
+        self.is_stream = False
         self._protocol = protocol
         self._request = request
         self._streaming = streaming
-        self._begun = begun
+        self._on_body = on_body
         self._splitter = EventSplitter()
-        self._held: list[bytes] = []
-        self._held_bytes = 0
+        self._buffer: list[bytes] = []
+        self._buffered_bytes = 0
         self.progressed_at = asyncio.get_running_loop().time()
 
     async def head(self, status: int, headers: HTTPHeaders) -> None:
-        """Take status and headers; raise ``AnswerRefused`` if they answer another request."""
+        """Check the status and headers.
+
+        Raise ``AnswerRefused`` if the answer has the id of another request, or if it is a success
+        without a signature.
+        """
         head = self._protocol.read_answer(status, headers)
         if head.request_id and head.request_id != self._request.id:
             raise AnswerRefused("the answer bears another request's id")
         if head.success and not head.signed:
             raise AnswerRefused("a success without a signature")
-        self.answered = head
-        self.streams = self._streaming and head.success and head.event_stream
-        self._progressed()
+        self.received_head = head
+        self.is_stream = self._streaming and head.success and head.event_stream
+        self._record_progress()
 
     async def data(self, chunk: bytes) -> None:
-        """Take a piece of the body."""
-        if self.answered is not None and self.answered.success:
-            self._begun()
-        self._progressed()
-        if self.streams:
-            await self.stream.pass_on(self.answered, self._splitter.feed(chunk))
-            self._progressed()
+        """Forward or buffer a piece of the body.
+
+        Raise ``AnswerRefused`` if an event is out of order, or if a buffered answer is too long.
+        """
+        if self.received_head is not None and self.received_head.success:
+            self._on_body()
+        self._record_progress()
+        if self.is_stream:
+            await self.stream.forward(self.received_head, self._splitter.feed(chunk))
+            self._record_progress()
             return
-        self._held_bytes += len(chunk)
-        if self._held_bytes > MOST_HELD_BYTES:
+        self._buffered_bytes += len(chunk)
+        if self._buffered_bytes > MAX_BUFFERED_BYTES:
             raise AnswerRefused("the answer is too long")
-        self._held.append(chunk)
+        self._buffer.append(chunk)
 
     def body(self) -> bytes:
-        """Return a body that was held."""
-        return b"".join(self._held)
+        """Return the buffered body."""
+        return b"".join(self._buffer)
 
-    def rest(self) -> bytes:
-        """Return what came after the last whole event."""
+    def trailing_bytes(self) -> bytes:
+        """Return the bytes that follow the last whole event."""
         return self._splitter.rest
 
-    def _progressed(self) -> None:
+    def _record_progress(self) -> None:
         self.progressed_at = asyncio.get_running_loop().time()
--- a/railsail/routing/refusals.py
+++ b/railsail/routing/error_answers.py
@@ -1,14 +1,14 @@
-"""Answers of the fleet's own: what a caller is told of a request that was not served."""
+"""Error answers to callers whose requests were not served."""
 
 import random
 
 from railsail.core.outcomes import Completed, NotRun, Outcome, Reason, Unknown
 from railsail.routing.client import ClientAnswer
 from railsail.routing.protocol import RouteProtocol
-from railsail.routing.relay import RETRY_SHARE
+from railsail.routing.relay import RETRY_AFTER_SHARE
 
-LEAST_RETRY_SECONDS = 0.3
-MOST_RETRY_SECONDS = 2.5
+MIN_RETRY_AFTER_SECONDS = 0.3
+MAX_RETRY_AFTER_SECONDS = 2.5
 _STATUS = {
     Reason.BAD_REQUEST: 400,
     Reason.UNAUTHORIZED: 401,
@@ -19,19 +19,21 @@
 _TIMEOUT_STATUS = 504
 
 
-class Refusals:
-    """Give the answers of requests that were not served."""
+class ErrorAnswers:
+    """Sender of error answers for requests that were not served."""
 
     def __init__(self, protocol: RouteProtocol, rng: random.Random) -> None:
         self._protocol = protocol
         self._rng = rng
 
-    async def answer(
+    async def send(
         self, request_id: str, deadline: float, outcome: Outcome, client: ClientAnswer
     ) -> int:
-        """Answer what was not served, and return the status; 0 where the connection was closed.
+        """Answer a request that was not served, and return the status sent.
 
-        ``deadline`` is how many seconds the caller would have waited, 0 where it did not tell.
+        Return 0 if an answer had already started and the connection was closed instead. Of a
+        completed request, only return the status. ``deadline`` is how many seconds the caller would
+        have waited, 0 if it did not say.
         """
         if isinstance(outcome, Completed):
             return outcome.status
@@ -43,15 +45,15 @@
         if status == _NOT_RUN_STATUS:
             retry_after = outcome.come_back or self._retry_after(deadline)
         headers = self._protocol.own_headers(request_id, retry_after)
-        await client.give(status, headers, f"{outcome.detail}\n".encode())
+        await client.send(status, headers, f"{outcome.detail}\n".encode())
         return status
 
     def _retry_after(self, deadline: float) -> float:
-        # Spread, so that those who were refused together do not come back together.
-        longest = MOST_RETRY_SECONDS
+        # Jitter keeps callers that were refused at the same time from retrying at the same time.
+        max_seconds = MAX_RETRY_AFTER_SECONDS
         if deadline:
-            longest = min(longest, RETRY_SHARE * deadline)
-        return self._rng.uniform(min(LEAST_RETRY_SECONDS, longest), longest)
+            max_seconds = min(max_seconds, RETRY_AFTER_SHARE * deadline)
+        return self._rng.uniform(min(MIN_RETRY_AFTER_SECONDS, max_seconds), max_seconds)
 
 
 def _status(outcome: NotRun | Unknown) -> int:
--- a/railsail/routing/front.py
+++ b/railsail/routing/front.py
@@ -1,4 +1,4 @@
-"""Serve the requests of callers of routes: find the route, check the key, relay, answer."""
+"""Serve callers' requests on routes: find the route, check the key, call a replica, answer."""
 
 import asyncio
 import random
@@ -19,29 +19,29 @@
 from railsail.objects.kinds import Pool, Route
 from railsail.policy.programs import RequestInput, Verdict
 from railsail.routing.answer import StreamState
-from railsail.routing.client import ClientAnswer, ClientLeft
+from railsail.routing.client import ClientAnswer, ClientDisconnected
 from railsail.routing.defaults import DEFAULT_POLICY
-from railsail.routing.endings import Endings
+from railsail.routing.error_answers import ErrorAnswers
 from railsail.routing.forwarding import Forwarder
-from railsail.routing.messages import Arrival, RoutedRequest
+from railsail.routing.messages import IncomingRequest, RoutedRequest
+from railsail.routing.offload import Offloader
+from railsail.routing.outcome_recorder import OutcomeRecorder
 from railsail.routing.protocol import RouteProtocol
-from railsail.routing.refusals import Refusals
-from railsail.routing.relay import Relay, Routed
-from railsail.routing.relief import Relief
+from railsail.routing.relay import Relay, RoutingContext
 from railsail.routing.table import RouteTable, choose_pool
 
-# The name of no region: requests that may run in it alone may run nowhere.
+# The name of no region: a request that is restricted to it can run nowhere.
 NO_REGION = "-"
 
 
 class RouteFront:
-    """Hold the routes in force, and serve requests by them."""
+    """Handler of callers' requests by the routes of the active configuration."""
 
     def __init__(
         self,
         protocol: RouteProtocol,
         relay: Relay,
-        judge: PolicyEvaluator,
+        evaluator: PolicyEvaluator,
         admission: Admission,
         callers: Callers,
         configuration: ConfigurationCarrier,
@@ -51,17 +51,17 @@
     ) -> None:
         self._protocol = protocol
         self._relay = relay
-        self._judge = judge
+        self._evaluator = evaluator
         self._admission = admission
         self._callers = callers
         self._configuration = configuration
         self._clock = kernel.clock
         self._events = kernel.events
-        self._endings = Endings(kernel)
+        self._recorder = OutcomeRecorder(kernel)
         self._rng: random.Random = kernel.rng
         self._routes = RouteTable()
-        self._refusals = Refusals(protocol, kernel.rng)
-        self._relief = Relief(
+        self._error_answers = ErrorAnswers(protocol, kernel.rng)
+        self._offloader = Offloader(
             protocol,
             self._find_route,
             self._regions,
@@ -69,7 +69,7 @@
             admission,
             limit,
             forwarder,
-            self._refusals,
+            self._error_answers,
             kernel,
         )
 
@@ -78,7 +78,7 @@
         return self._configuration.catalog
 
     def configured(self, catalog: Catalog) -> None:
-        """Take in the routes of a new version."""
+        """Replace the routes by those of a new version of the configuration."""
         self._routes = RouteTable(catalog.of_kind(Route))
 
     def _find_route(self, host: str, path: str) -> Route | None:
@@ -88,70 +88,72 @@
         self, line: RequestStartLine, headers: HTTPHeaders, body: bytes, client: ClientAnswer
     ) -> None:
         """Serve one request of a caller."""
-        arrival = Arrival(line, headers, body, self._clock.monotonic())
-        if not await self._relief.relieved(arrival, client, may_forward=True):
-            await self._serve_here(arrival, client)
+        incoming = IncomingRequest(line, headers, body, self._clock.monotonic())
+        if not await self._offloader.offload(incoming, client, can_forward=True):
+            await self._serve_locally(incoming, client)
 
     async def handle_forwarded(
         self, line: RequestStartLine, headers: HTTPHeaders, body: bytes, client: ClientAnswer
     ) -> None:
-        """Serve one request that another node handed on; it is not handed on again."""
-        arrival = Arrival(line, headers, body, self._clock.monotonic())
-        if not await self._relief.relieved(arrival, client, may_forward=False):
-            await self._serve_here(arrival, client)
+        """Serve one request that another node has forwarded; it is not forwarded again."""
+        incoming = IncomingRequest(line, headers, body, self._clock.monotonic())
+        if not await self._offloader.offload(incoming, client, can_forward=False):
+            await self._serve_locally(incoming, client)
 
-    async def _serve_here(self, arrival: Arrival, client: ClientAnswer) -> None:
-        line = arrival.line
+    async def _serve_locally(self, incoming: IncomingRequest, client: ClientAnswer) -> None:
+        line = incoming.line
         try:
             request = self._protocol.read_request(
-                line.method, line.path, arrival.headers, arrival.body
+                line.method, line.path, incoming.headers, incoming.body
             )
         except ValueError as problem:
             bad = NotRun(Reason.BAD_REQUEST, str(problem))
-            await self._refusals.answer("", 0.0, bad, client)
+            await self._error_answers.send("", 0.0, bad, client)
             return
         try:
-            outcome, routed = await self._serve_safely(request, client, arrival.at)
-            status = await self._refusals.answer(request.id, request.deadline, outcome, client)
-        except (ClientLeft, asyncio.CancelledError) as problem:
-            self._endings.left(request.id, self._clock.monotonic() - arrival.at)
+            outcome, context = await self._serve_safely(request, client, incoming.received_at)
+            status = await self._error_answers.send(request.id, request.deadline, outcome, client)
+        except (ClientDisconnected, asyncio.CancelledError) as problem:
+            self._recorder.record_disconnect(
+                request.id, self._clock.monotonic() - incoming.received_at
+            )
             if isinstance(problem, asyncio.CancelledError):
                 raise
             return
-        seconds = self._clock.monotonic() - arrival.at
-        self._endings.ended(request.id, routed, outcome, status, seconds)
+        seconds = self._clock.monotonic() - incoming.received_at
+        self._recorder.record_outcome(request.id, context, outcome, status, seconds)
 
     async def _serve_safely(
         self, request: RoutedRequest, client: ClientAnswer, received_at: float
-    ) -> tuple[Outcome, Routed | None]:
+    ) -> tuple[Outcome, RoutingContext | None]:
         try:
             return await self._serve(request, client, received_at)
-        except ClientLeft:
+        except ClientDisconnected:
             raise
         except Exception:
-            # Without an answer its caller would wait until its deadline, at one node after another.
-            get_logger().exception("request failed here", request=request.id)
+            # Without an answer the caller would wait until its deadline, at one node after another.
+            get_logger().exception("failed to serve a request", request=request.id)
             return Unknown("this node failed while it served the request"), None
 
     async def _serve(
         self, request: RoutedRequest, client: ClientAnswer, received_at: float
-    ) -> tuple[Outcome, Routed | None]:
-        found = self._find(request)
+    ) -> tuple[Outcome, RoutingContext | None]:
+        found = self._resolve(request)
         if isinstance(found, NotRun):
-            held = self._configuration.held()
-            self._events.emit(Kind.RECEIVED, request=request.id, **held.facts())
+            configuration = self._configuration.held()
+            self._events.emit(Kind.RECEIVED, request=request.id, **configuration.facts())
             return found, None
         route, pool, workspace = found
-        refused = self._admission.enter(workspace)
-        if refused is not None:
-            return refused, None
+        refusal = self._admission.admit(workspace)
+        if refusal is not None:
+            return refusal, None
         try:
-            routed = self._begin(request, route, pool, workspace, client, received_at)
-            return await self._relay.run(routed), routed
+            context = self._create_context(request, route, pool, workspace, client, received_at)
+            return await self._relay.run(context), context
         finally:
-            self._admission.leave(workspace)
+            self._admission.release(workspace)
 
-    def _find(self, request: RoutedRequest) -> NotRun | tuple[Route, Pool, str]:
+    def _resolve(self, request: RoutedRequest) -> NotRun | tuple[Route, Pool, str]:
         catalog = self._catalog
         if not catalog.version:
             return NotRun(Reason.NO_CONFIGURATION, "this node has no configuration yet")
@@ -161,7 +163,7 @@
                 Reason.UNKNOWN_ROUTE, "there is no such route"
             )
         workspace = self._callers.workspace_of(request.key) or ""
-        if not workspace and self._callers.any_workspace and not route.public:
+        if not workspace and self._callers.has_workspaces and not route.public:
             return self._configuration.held().refusal(Reason.UNAUTHORIZED, "the key is not known")
         name = choose_pool(route, self._rng)
         pool = catalog.pool(name)
@@ -169,7 +171,7 @@
             return NotRun(Reason.UNKNOWN_POOL, f"there is no pool {name!r}")
         return route, pool, workspace
 
-    def _begin(
+    def _create_context(
         self,
         request: RoutedRequest,
         route: Route,
@@ -177,12 +179,12 @@
         workspace: str,
         client: ClientAnswer,
         received_at: float,
-    ) -> Routed:
-        verdict = self._verdict(request, route, pool, workspace)
-        longest = min(request.deadline or route.timeout, route.timeout)
-        may_wait = verdict.may_wait
+    ) -> RoutingContext:
+        decision = self._evaluate_policy(request, route, pool, workspace)
+        timeout = min(request.deadline or route.timeout, route.timeout)
+        may_wait = decision.may_wait
         head = (workspace, request.method, request.host, request.target)
-        known_by = request_fingerprint(head, request.body)
+        shared_fingerprint = request_fingerprint(head, request.body)
         self._events.emit(
             Kind.RECEIVED,
             request=request.id,
@@ -190,45 +192,50 @@
             route=route.name,
             pool=pool.name,
             configuration=self._catalog.version,
-            deadline_ms=round(longest * 1000),
+            deadline_ms=round(timeout * 1000),
             may_wait_ms=round(may_wait * 1000),
             objective_ms=round(route.objective * 1000),
-            rank=verdict.rank,
-            fingerprint=fingerprint_name(known_by),
+            rank=decision.rank,
+            fingerprint=fingerprint_name(shared_fingerprint),
         )
-        return Routed(
+        return RoutingContext(
             request,
             route,
             pool,
             workspace,
-            verdict,
+            decision,
             client,
-            received_at + longest,
+            received_at + timeout,
             received_at + may_wait,
             StreamState(client, request.last_event),
             received_at=received_at,
             regions=self._regions(route, workspace),
-            fingerprint=known_by,
+            fingerprint=shared_fingerprint,
         )
 
     def _regions(self, route: Route, workspace: str) -> tuple[str, ...]:
-        """Return where a request may run, nothing for anywhere; both have to allow it."""
-        of_owner = self._catalog.regions_of(workspace)
-        if not (route.regions and of_owner):
-            return route.regions or of_owner
-        # A region that nobody has lets the request run nowhere.
-        return tuple(r for r in route.regions if r in of_owner) or (NO_REGION,)
-
-    def _verdict(self, request: RoutedRequest, route: Route, pool: Pool, workspace: str) -> Verdict:
+        """Return the regions in which a request may run, empty for any region.
+
+        If both the route and the workspace name regions, both have to allow a region.
+        """
+        workspace_regions = self._catalog.regions_of(workspace)
+        if not (route.regions and workspace_regions):
+            return route.regions or workspace_regions
+        # If they have no region in common, the request can run nowhere.
+        return tuple(r for r in route.regions if r in workspace_regions) or (NO_REGION,)
+
+    def _evaluate_policy(
+        self, request: RoutedRequest, route: Route, pool: Pool, workspace: str
+    ) -> Verdict:
         owner = self._catalog.workspace(workspace)
         priority = route.priority if owner is None or owner.priority is None else owner.priority
-        described = RequestInput(
+        policy_input = RequestInput(
             pool=pool.name,
             kind=pool.upstream_kind,
             method=request.method,
             path=request.path,
             body_bytes=len(request.body),
-            max_tokens=request.prompt.most_output,
+            max_tokens=request.prompt.max_output,
             stream=route.streaming,
             has_key=bool(request.key),
             deadline=request.deadline,
@@ -237,4 +244,4 @@
             repeatable=route.may_repeat,
         )
         policy = self._catalog.policy(owner.policy) if owner else None
-        return self._judge.run(policy or DEFAULT_POLICY, workspace, described)
+        return self._evaluator.evaluate_policy(policy or DEFAULT_POLICY, workspace, policy_input)
