--- a/railsail/dispatch/__init__.py
+++ b/railsail/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""Tickets and grants between the entries and the dispatchers of cells."""
+"""Dispatch of requests to replicas: tickets and grants between entries and cell dispatchers."""
--- a/railsail/dispatch/acquire.py
+++ b/railsail/dispatch/acquire.py
@@ -1,7 +1,7 @@
-"""Acquire a replica for a request: wait for a grant, and look whether it may be used.
+"""Acquire a replica for a request: wait for a grant, and check whether it can be used.
 
-What is known to be in vain is refused before anything is placed: a request that is held back
-because replicas ended under it, or one whose replicas all asked this node for rest.
+Requests that cannot succeed are refused before a ticket is placed: those that are quarantined
+because replicas crashed while running them, and those whose replicas are all in backoff here.
 """
 
 import asyncio
@@ -15,9 +15,9 @@
 from railsail.dispatch.gate import SendGate
 from railsail.quarantine.service import Quarantine
 
-# A request is refused after so many grants of replicas that it cannot be sent to. Dispatchers are
-# told with the next ticket, so that the second grant is good unless something changed meanwhile or
-# the dispatcher is of an older build.
+# A request is refused after this many grants of replicas that it cannot be sent to. The next ticket
+# names these replicas as excluded, so the second grant is usable unless the state changed in the
+# meantime or the dispatcher runs an older build.
 MOST_GRANTS = 8
 _REFUSALS = {
     Reason.EXPIRED: "no replica had room in time",
@@ -27,7 +27,7 @@
 
 
 class ReplicaAcquirer:
-    """Acquire replicas through ``tickets``."""
+    """Acquires replicas for requests, through tickets that it places with dispatchers."""
 
     def __init__(
         self, tickets: TicketClient, gate: SendGate, quarantine: Quarantine, kernel: Kernel
@@ -39,9 +39,9 @@
         self._events = kernel.events
 
     async def acquire(self, want: PoolRequest, seconds: float) -> Booking | NotRun:
-        """Wait at most ``seconds`` for a replica, and return the booking that has one.
+        """Wait up to ``seconds`` for a replica, and return the pending call that holds its grant.
 
-        The replica may be sent the request at once.
+        The request can be sent to that replica immediately. Return ``NotRun`` if there is none.
         """
         asked_at = self._clock.monotonic()
         closed = ""
@@ -63,14 +63,15 @@
     async def _wait_for_any(
         self, want: PoolRequest, asked_at: float, seconds: float
     ) -> Booking | NotRun:
-        """Wait for a replica until ``seconds`` after ``asked_at``."""
+        """Wait for a grant of any replica until ``seconds`` after ``asked_at``."""
         refusal = self._quarantined(want) or self._gate.refusal(want)
         if refusal is not None:
             return refusal
         booking = self._tickets.place(want, asked_at)
         left = asked_at + seconds - self._clock.monotonic()
         try:
-            # The dispatcher decides, and says when to come back, unless it is not heard in time.
+            # The dispatcher normally decides, and says when to retry. This timeout only covers a
+            # dispatcher whose decision does not arrive in time.
             async with asyncio.timeout(left + DECISION_SECONDS) as booking.limit:
                 await booking.granted
         except TicketRefused as refusal:
@@ -88,7 +89,7 @@
             raise
         refusal = self._quarantined(want)
         if refusal is not None:
-            # Another replica has ended under the same request while this one waited.
+            # Another replica has crashed while running the same request during this wait.
             self._tickets.withdraw(booking)
             return refusal
         return booking
--- a/railsail/dispatch/bookings.py
+++ b/railsail/dispatch/bookings.py
@@ -1,4 +1,4 @@
-"""What an entry asks of a pool, and the ticket that it holds for it."""
+"""Requests to pools, the entry's records of pending calls, and their conversion to messages."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -16,17 +16,23 @@
 
 @dataclass(frozen=True)
 class PoolRequest:
-    """What a request asks of a pool.
-
-    ``rank`` and ``urgent`` come from the policy, ``estimate`` is in cost units, ``prefix`` is a
-    hash of the prompt's beginning or 0, ``avoid`` names a replica that just failed the request.
-    ``prompt_tokens`` are to be read, of which other prompts have the first ``shared_tokens`` as
-    well, and ``objective`` is the time in seconds within which the answer should begin; 0 where
-    they are not known. ``returned`` says that its caller was refused before. It may wait
-    ``patience`` seconds for its place, and would come back within ``returns_within`` seconds. It
-    runs in one of ``regions``, in any where none are named. A repeat of the request has the same
-    ``fingerprint``, 0 where there is none. The replicas ``excluded`` asked the entry for rest.
-    ``route`` is the fingerprint of its route, 0 where no rollout of the pool runs.
+    """What a request requires of a replica of its pool, and how it is scheduled.
+
+    ``rank`` and ``urgent`` come from the policy, and ``estimate`` is in cost units. ``prefix`` is a
+    hash of the prompt prefix, 0 for none. ``avoid`` names a replica that has just failed the
+    request.
+
+    The prompt has ``prompt_tokens`` to prefill, the first ``shared_tokens`` of which it shares with
+    other prompts. ``objective`` is the time in seconds within which the answer should start. These
+    are 0 where they are unknown.
+
+    ``returned`` is true if the caller was refused before. The request can wait up to ``patience``
+    seconds for a replica, and its caller would retry within ``returns_within`` seconds.
+
+    The request runs in one of ``regions``, or in any region if none is named. It cannot be sent to
+    the replicas ``excluded``, which are in backoff at this entry. Repeats of the request have the
+    same ``fingerprint``, 0 if there is none. ``route`` is the fingerprint of its route, 0 while no
+    rollout of the pool runs.
     """
 
     request_id: str
@@ -50,9 +56,9 @@
 
 
 class TicketRefused(RailsailError):
-    """A dispatcher refused the ticket, for ``reason``; its caller should ``come_back`` so late.
+    """A dispatcher refused the ticket, for ``reason``.
 
-    The time is in seconds, 0 where the dispatcher does not know.
+    The caller should retry after ``come_back`` seconds, 0 where the dispatcher planned no time.
     """
 
     def __init__(self, reason: Reason, come_back: float = 0.0) -> None:
@@ -63,7 +69,13 @@
 
 @dataclass
 class Booking:
-    """One ticket of this entry, from its placing to its release."""
+    """A pending call: this entry's record of one ticket and its grant.
+
+    It exists from placing the ticket until the ticket is withdrawn or refused, or the granted call
+    is released. ``cell`` and ``node`` are the cell where the ticket is placed and its dispatcher,
+    ``attempt`` counts the placements, and ``charged`` is in cost units. ``refused`` is set once a
+    cell had no capacity and the ticket went to another cell.
+    """
 
     number: int
     want: PoolRequest
@@ -77,24 +89,27 @@
     refused: bool = False
     begun: bool = False
     granted: asyncio.Future = field(default_factory=asyncio.Future)
-    # The limit of its wait, while it waits.
+    # The timeout of the wait for a grant, once the wait has started.
     limit: asyncio.Timeout | None = None
 
     @property
     def waiting(self) -> bool:
-        """Say whether no grant has come yet."""
+        """Return True if no grant has arrived yet."""
         return not self.replica
 
 
 def ticket_name(entry: str, number: int) -> str:
-    """Return how logs name ticket ``number`` of the node ``entry``, on whichever daemon."""
+    """Return the name of ticket ``number`` of the node ``entry`` in the logs of all daemons."""
     return f"{entry}#{number}"
 
 
 def to_place(
     asked: PoolRequest | Ticket, number: int, attempt: int, cell: Cell, waited: float
 ) -> Place:
-    """Return the message that places with ``cell`` what has ``waited`` for so many seconds."""
+    """Return the message that places a ticket with ``cell`` after it ``waited`` that many seconds.
+
+    Cost units are rounded, and times are converted to milliseconds.
+    """
     return Place(
         number,
         attempt,
@@ -120,7 +135,11 @@
 
 
 def to_ticket(entry: str, message: Place, now: float) -> Ticket:
-    """Return the ticket that ``message`` of ``entry`` places, at ``now`` of this node's clock."""
+    """Return the ticket that ``message`` from ``entry`` places.
+
+    ``now`` is the current time of this node's clock. Waiting times are sent as durations, because
+    the clocks of nodes differ.
+    """
     return Ticket(
         entry=entry,
         number=message.number,
--- a/railsail/dispatch/cellmap.py
+++ b/railsail/dispatch/cellmap.py
@@ -1,7 +1,8 @@
-"""Which cells there are, and which member dispatches each; computed alike by all.
+"""The cells of each pool, and the member that dispatches each cell.
 
-Where the fleet has several regions, a cell lies in one of them and is dispatched by a node there,
-and an entry asks the cells of its own region first. ``docs/design/regions.md`` has the reasons.
+All nodes that know the same replicas and members compute the same result. In a fleet of several
+regions, each cell belongs to one region and is dispatched by a node there, and an entry prefers the
+cells of its own region. ``docs/design/regions.md`` has the reasons.
 """
 
 from collections.abc import Callable
@@ -11,19 +12,20 @@
 from railsail.scheduling.cells import Cell, cut_by_region, spread
 from railsail.upstreams.directory import UpstreamDirectory
 
-# An entry sends the tickets of a pool that share no beginning with others to this many cells at
-# most, so that its links stay bounded.
+# An entry sends tickets without a shared prompt prefix to at most this many cells of a pool, which
+# bounds the number of its links.
 HOME_CELLS = 4
-# Prompt beginnings whose replica is remembered, so that it is not computed for each request: 72
-# microseconds for 78 replicas (best of five runs of 200, one core).
+# Bounds the cache of prefix owners. Computing an owner takes 72 microseconds for 78 replicas, too
+# long to do it for each request.
 MOST_REMEMBERED = 4096
 
 
 class CellMap:
-    """Cut pools into cells, and name the dispatcher of each.
+    """Divides pools into cells, and assigns a dispatcher to each cell.
 
-    ``usable`` gives the nodes that this node may choose, all of them or those of a region.
-    ``local`` makes every node dispatch for itself, which is the baseline of the measurements.
+    ``usable`` returns the nodes that this node can use as dispatchers: those of a region if it is
+    given one, else all. ``limit`` is the maximum number of replicas in a cell. With ``local`` every
+    node dispatches for itself, which is the baseline that benchmarks compare with.
     """
 
     def __init__(
@@ -46,7 +48,7 @@
         self._nodes_of: dict[str, list[str]] = {}
         self._open: dict[tuple[str, tuple[str, ...]], list[Cell]] = {}
         self._reached: dict[tuple[str, tuple[str, ...]], list[Cell]] = {}
-        # By pool, beginning, and the numbers of the cells that were chosen among.
+        # Keyed by pool, prompt prefix, and the numbers of the candidate cells.
         self._holders: dict[tuple[str, int, tuple[int, ...]], str | None] = {}
         directory.on_change(self._replicas_changed)
 
@@ -55,7 +57,7 @@
         self.forget()
 
     def forget(self) -> None:
-        """Compute everything anew when it is asked for next."""
+        """Drop all cached results but the prefix owners; they are recomputed on demand."""
         self._cells.clear()
         self._dispatchers.clear()
         self._nodes_of.clear()
@@ -70,18 +72,19 @@
             regions = {each.name: of_domains.get(each.failure_domain, "") for each in upstreams}
             settled = {u.name: regions[u.name] for u in upstreams if self._directory.settled(u)}
             cells = cut_by_region(pool, settled or regions, self._limit, self._regions.named)
-            # A cell needs replicas of each version of a rollout: its tickets run on one of them.
+            # Replicas that a rollout is trying, or has stopped, do not change how a pool is cut.
+            # They are added to its cells evenly, since a cell needs replicas of both versions.
             self._cells[pool] = spread(cells, regions)
         return self._cells[pool]
 
     def cell(self, pool: str, number: int) -> Cell:
-        """Return the cell of ``pool`` with ``number``, or another one if there is none."""
+        """Return the cell of ``pool`` with ``number``, or another cell if there is none."""
         cells = list(self.cells(pool))
         named = (cell for cell in cells if cell.number == number)
         return next(named, cells[min(number, len(cells) - 1)])
 
     def dispatcher(self, cell: Cell) -> str:
-        """Return the node that dispatches ``cell``; this node itself if it knows no other."""
+        """Return the node that dispatches ``cell``, or this node if no node is usable."""
         if self._local:
             return self._own
         if cell not in self._dispatchers:
@@ -90,28 +93,29 @@
         return self._dispatchers[cell]
 
     def _nodes(self, region: str) -> list[str]:
-        """Return the nodes that may dispatch in ``region``; any, where none is there."""
+        """Return the usable nodes of ``region``, or all usable nodes if it has none."""
         if region not in self._nodes_of:
             near = self._usable(region) if region else self._usable()
             self._nodes_of[region] = near or (self._nodes("") if region else [])
         return self._nodes_of[region]
 
     def far_dispatchers(self, pool: str) -> set[str]:
-        """Return the nodes that dispatch cells of ``pool`` in other regions than this node's."""
+        """Return the nodes that dispatch the cells of ``pool`` in other regions than this one."""
         cells = [c for c in self.cells(pool) if c.region and c.region != self._regions.own]
         return {self.dispatcher(cell) for cell in cells}
 
     def way_seconds(self, entry: str, dispatcher: str) -> float:
-        """Return how long a ticket of ``entry`` and its grant are on their way between regions."""
+        """Return the network round trip between two nodes if it crosses regions, else 0."""
         return self._regions.way_seconds(entry, dispatcher)
 
     def home(
         self, pool: str, prefix: int, regions: tuple[str, ...] = (), anywhere: bool = False
     ) -> Cell:
-        """Return the cell of the replica that should have the beginning ``prefix`` in memory.
+        """Return the cell of the replica that owns ``prefix``, and should have it in its cache.
 
-        Every entry of a region names the same one, however the pool is cut, so that one cell reads
-        a beginning and not each. ``anywhere`` names the one home in the fleet, in whichever region.
+        All entries of a region compute the same owner, however the pool is cut, so that one cell
+        prefills the prefix and not each of them. With ``anywhere`` the owner is the same for the
+        entries of all regions, and can be in any region.
         """
         choice = self.reached_cells if anywhere else self.open_cells
         cells = choice(pool, regions)
@@ -138,14 +142,17 @@
         return upstream is not None and self._directory.takes_work(upstream)
 
     def homes(self, pool: str, regions: tuple[str, ...] = ()) -> list[Cell]:
-        """Return the few cells of ``pool`` to which this node sends its tickets.
+        """Return the cells of ``pool`` to which this node sends its tickets, best first.
 
-        They are in one of ``regions``, where some are named.
+        There are at most ``HOME_CELLS``. They are in one of ``regions``, if any are named.
         """
         return self._ranked(self.open_cells(pool, regions))[:HOME_CELLS]
 
     def others(self, cell: Cell, regions: tuple[str, ...] = ()) -> list[Cell]:
-        """Return the cells to try after ``cell``, those of this node's region first."""
+        """Return the cells to try after ``cell``, those that this node usually uses first.
+
+        In a fleet of several regions, all other allowed cells follow.
+        """
         homes = self.homes(cell.pool, regions)
         rest = [other for other in self._allowed(cell.pool, regions) if other.region]
         far = [other for other in self._ranked(rest) if other not in homes]
@@ -156,7 +163,7 @@
         return [named[name] for name in rank(f"homes of {self._own}", named)]
 
     def open_cells(self, pool: str, regions: tuple[str, ...] = ()) -> list[Cell]:
-        """Return the cells that this node may ask: those of its own region, if they take work."""
+        """Return the cells that this node can use: those of its own region, if any accept work."""
         key = (pool, regions)
         if key not in self._open:
             cells = self._allowed(pool, regions)
@@ -165,9 +172,9 @@
         return self._open[key]
 
     def reached_cells(self, pool: str, regions: tuple[str, ...] = ()) -> list[Cell]:
-        """Return the open cells, and those of other regions in which a node can be used.
+        """Return the open cells, and those of other regions that have a usable node.
 
-        A region without one may be cut off, its replicas too.
+        A region without a usable node may be partitioned from this one, with its replicas.
         """
         key = (pool, regions)
         if key not in self._reached:
@@ -177,14 +184,20 @@
         return self._reached[key]
 
     def _allowed(self, pool: str, regions: tuple[str, ...]) -> list[Cell]:
-        """Return the cells in one of ``regions``, those that take work if there are any."""
+        """Return the cells in one of ``regions``, restricted to those that accept work.
+
+        If no cell accepts work, return all cells of ``regions``; if there are none, all cells.
+        """
         cells = list(self.cells(pool))
         bound = regions and any(cell.region for cell in cells)
         allowed = [cell for cell in cells if not bound or cell.region in regions]
         return [cell for cell in allowed if self.takes_work(cell)] or allowed or cells
 
     def takes_work(self, cell: Cell) -> bool:
-        """Say whether a replica of ``cell`` may be given new work; always with one region only."""
+        """Return True if a replica of ``cell`` accepts new work.
+
+        In a fleet of one region this is always true.
+        """
         if not cell.region:
             return True
         return any(self._takes_work(name) for name in self.cells(cell.pool).get(cell, ()))
--- a/railsail/dispatch/entry.py
+++ b/railsail/dispatch/entry.py
@@ -1,8 +1,8 @@
-"""The entry's side: place tickets with dispatchers, and wait for grants.
+"""The entry's side of dispatch: place tickets with dispatchers, and receive grants.
 
-All that a dispatcher knows can be told anew from here, so that the loss of one loses nothing. A
-grant counts only if it bears the ticket's present attempt; any other is handed back, so that a
-dispatcher that was paused, or cut off, can do no harm when it comes back.
+The entry can send all the state of its tickets again, so nothing is lost with a dispatcher. A grant
+is only valid if it has the current attempt number of its ticket. Any other grant is returned, so
+that a dispatcher that was paused or partitioned does no harm when it resumes.
 """
 
 import asyncio
@@ -36,15 +36,16 @@
 from railsail.scheduling.room import LONG_PREFIX_TOKENS
 
 RESYNC_SECONDS = 10.0
-# A dispatcher's refusal may come this long after the wait has ended: a look at its queue, and a way
-# back to the entry.
+# A dispatcher's refusal can arrive this long after the wait has ended: the dispatcher has to check
+# its queue, and the message has to travel to the entry.
 DECISION_SECONDS = 0.025
-# A request goes to another region for its prompt's beginning if it may wait for so many ways.
+# A request is sent to another region for its prompt prefix only if it can wait for at least this
+# many network round trips between regions.
 LEAST_PATIENCE_WAYS = 4
 
 
 class TicketClient:
-    """Hold the bookings of this node, and tell dispatchers of them."""
+    """Holds the pending calls of this node, and places their tickets with dispatchers."""
 
     def __init__(
         self,
@@ -61,14 +62,14 @@
         self._bookings: dict[int, Booking] = {}
         self._next_number = 1
         self._counters: dict[Cell, dict[str, int]] = {}
-        # What logs tell of a granted replica while a rollout runs.
+        # Returns what to log about a granted replica; set where rollouts are followed.
         self.facts_of: Callable[[str], Mapping[str, Fact]] = lambda replica: {}
         self._reach = DispatcherReach(hub, kernel, self.dispatchers, self._reach_changed)
-        # Since when a dispatcher knows what this entry has of a cell; what is not named here may
-        # still have calls that ended while it could not be told.
+        # When a dispatcher was last sent all calls of this entry in a cell. A dispatcher and cell
+        # that are missing here may still hold calls that ended while the link was down.
         self._told_at: dict[tuple[str, Cell], float] = {}
-        # Dispatchers that have yet to be told: a ticket of this entry was passed on to them, or the
-        # link to them in another region has ended.
+        # Dispatchers to resync at the next tick: a ticket of this entry was forwarded to them, or
+        # the link to them, in another region, was lost.
         self._to_tell: set[tuple[str, Cell]] = set()
         self._pools: set[str] = set()
         hub.handle(Granted, self._granted)
@@ -80,24 +81,25 @@
 
     @property
     def unreachable(self) -> set[str]:
-        """Return the nodes that were silent or could not be dialled when last asked."""
+        """Return the nodes that did not respond, or could not be dialled, when last used."""
         return self._reach.unreachable
 
     def waiting(self) -> list[Booking]:
-        """Return the bookings that wait."""
+        """Return the pending calls that wait for a grant."""
         return [booking for booking in self._bookings.values() if booking.waiting]
 
     def dispatchers(self) -> set[str]:
-        """Return the nodes that hold bookings of this one."""
+        """Return the nodes that dispatch the pending calls of this entry."""
         return {booking.node for booking in self._bookings.values()}
 
     def __len__(self) -> int:
         return len(self._bookings)
 
     def place(self, want: PoolRequest, asked_at: float) -> Booking:
-        """Place a ticket, and return its booking, which ends with a grant or ``TicketRefused``.
+        """Place a ticket, and return its pending call.
 
-        It has waited since ``asked_at``.
+        The future ``granted`` of the call yields the replica, or raises ``TicketRefused``. The
+        waiting time of the request counts from ``asked_at``.
         """
         self._pools.add(want.pool)
         cell = self._choose_cell(want)
@@ -109,13 +111,13 @@
         return booking
 
     def quiet_ms(self, booking: Booking) -> int:
-        """Return for how many milliseconds the dispatcher of ``booking`` has not been heard."""
+        """Return the milliseconds since a message of the dispatcher of ``booking`` arrived."""
         if booking.node == self._hub.own.node:
             return 0
         return round((self._clock.monotonic() - self._hub.last_heard(booking.node)) * 1000)
 
     def ticket_name(self, booking: Booking) -> str:
-        """Return how logs name the ticket of ``booking``."""
+        """Return the name of the ticket of ``booking`` in the logs."""
         return ticket_name(self._hub.own.node, booking.number)
 
     def _choose_cell(self, want: PoolRequest) -> Cell:
@@ -125,7 +127,8 @@
         homes = self._cells.homes(want.pool, want.regions)
         if len(homes) == 1:
             return homes[0]
-        # Each workspace is spread over all homes, so that every cell can weigh it against the rest.
+        # Spread each workspace over these cells, so that each cell can compare its demand with that
+        # of the other workspaces.
         load = {cell: [0, 0] for cell in homes}
         for booking in self._bookings.values():
             if booking.waiting and booking.cell in load:
@@ -134,7 +137,10 @@
         return min(homes, key=lambda cell: (load[cell], self._rng.random()))
 
     def withdraw(self, booking: Booking) -> None:
-        """Take back a ticket that waits, because its request expired or its caller left."""
+        """Drop a pending call, because its request expired, its caller left or it is refused.
+
+        A ticket that waits is cancelled, and a granted replica is released without a charge.
+        """
         if self._bookings.pop(booking.number, None) is None:
             return
         if booking.waiting:
@@ -143,29 +149,32 @@
             self._send_release(booking, 0.0, CallResult.NOTHING)
 
     def give_back(self, booking: Booking, why: str) -> None:
-        """Give back the replica that a dispatcher granted, which this node may not send to."""
+        """Return a grant of a replica that this node cannot send to; ``why`` is logged."""
         ticket = self.ticket_name(booking)
         self._tell_returned(booking.replica, booking.node, ticket, why, booking.want)
         self.withdraw(booking)
 
     def progress(self, booking: Booking, charged: float) -> None:
-        """Raise the charge of a running request to ``charged`` in all."""
+        """Raise the total charge of a running call to ``charged`` cost units."""
         booking.charged = charged
         self._hub.send(booking.node, Progress(booking.number, round(charged)))
 
     def begun(self, booking: Booking) -> None:
-        """Take note that the answer to a granted request has begun."""
+        """Record that the answer to a granted call has started, and notify its dispatcher."""
         if not booking.begun and booking.number in self._bookings:
             booking.begun = True
             self._hub.send(booking.node, Begun(booking.number, booking.attempt))
 
     def release(self, booking: Booking, cost: float, result: CallResult) -> None:
-        """End a granted request; ``result`` is what was learnt of its replica."""
+        """End a granted call that used ``cost`` units.
+
+        ``result`` tells the dispatcher how the replica did.
+        """
         if self._bookings.pop(booking.number, None) is not None:
             self._send_release(booking, cost, result)
 
     def replan(self) -> None:
-        """Move bookings whose cell has another dispatcher now."""
+        """Move the pending calls whose cell has another dispatcher now."""
         moved: set[tuple[str, Cell]] = set()
         for booking in self._bookings.values():
             cell = self._cell_now(booking)
@@ -187,11 +196,11 @@
         for node, cell in sorted(moved):
             self._resync(node, cell)
             if not self._has_bookings(node, cell):
-                # Whoever dispatches this cell again later must be told everything anew.
+                # If this node dispatches the cell again later, it needs all the state again.
                 self._told_at.pop((node, cell), None)
 
     def _cell_now(self, booking: Booking) -> Cell:
-        """Return the cell of ``booking``, or another one if it waits where nothing takes work."""
+        """Return the cell of ``booking``, or another if it waits where no replica accepts work."""
         cell = self._cells.cell(booking.cell.pool, booking.cell.number)
         stays = cell.region == booking.cell.region and self._cells.takes_work(cell)
         return cell if stays or not booking.waiting else self._choose_cell(booking.want)
@@ -229,7 +238,8 @@
         for told in [told for told in self._told_at if told[0] == node]:
             del self._told_at[told]
             if far:
-                # Perhaps nothing is placed there any more that would tell it what ended meanwhile.
+                # Perhaps no more tickets are placed there. The next one would cause a resync, which
+                # tells the dispatcher which calls ended in the meantime.
                 self._to_tell.add(told)
 
     def _link_down(self, node: str) -> None:
@@ -241,32 +251,33 @@
         self.replan()
 
     def tick(self) -> None:
-        """Do what is due; to be called about twice a second."""
+        """Do the periodic work: probe and dial dispatchers, and resync. Call it twice a second."""
         self._reach.tick()
         self._link_far()
         self._tell_others()
         now = self._clock.monotonic()
         for (node, cell), told_at in list(self._told_at.items()):
             if now - told_at > RESYNC_SECONDS:
-                # A dispatcher that lost a release would keep room for a request that has ended.
+                # A dispatcher that missed a release would hold a slot for a call that has ended.
                 if self._cells.dispatcher(cell) == node:
                     self._resync(node, cell)
                 else:
                     del self._told_at[(node, cell)]
 
     def _link_far(self) -> None:
-        """Make a link to a dispatcher of another region, if one is lacking.
+        """Dial a dispatcher of another region to which there is no link.
 
-        A ticket that is passed on there would have expired before a new link is made.
+        A ticket forwarded there would expire before a new link is established.
         """
         named = (self._cells.far_dispatchers(pool) for pool in sorted(self._pools))
         lacking = [node for node in sorted(set().union(*named)) if not self._hub.connected(node)]
         if lacking:
-            # One at a time: a node that has just become a dispatcher is dialled by all entries.
+            # Only one at a time, chosen at random: all entries dial a node that has just become a
+            # dispatcher.
             self._hub.dial(self._rng.choice(lacking))
 
     def _tell_others(self) -> None:
-        """Tell dispatchers what this entry has there; a grant or an end may have been lost."""
+        """Resync dispatchers that may have missed the end of a call, or whose grant may be lost."""
         for node, cell in sorted(self._to_tell):
             if self._hub.connected(node):
                 self._to_tell.discard((node, cell))
@@ -282,7 +293,7 @@
 
     def _to_place(self, booking: Booking) -> Place:
         waited = self._clock.monotonic() - booking.placed_at
-        # Its grant must be back in time.
+        # Count the round trip as waiting time, so that the grant is back before the wait ends.
         waited += self._cells.way_seconds(self._hub.own.node, booking.node)
         return to_place(booking.want, booking.number, booking.attempt, booking.cell, waited)
 
@@ -305,11 +316,11 @@
         self._hub.send(booking.node, release)
 
     def _awaiting(self, number: int, attempt: int) -> Booking | None:
-        """Return the booking that waits for an answer to ``attempt``, if it still does."""
+        """Return the pending call that waits for a decision on ``attempt``, else ``None``."""
         booking = self._bookings.get(number)
         if booking is None or not booking.waiting or booking.attempt != attempt:
             return None
-        # The wait may have ended in this turn of the loop, before its task could withdraw.
+        # The wait may have ended in this iteration of the event loop, before its task withdrew.
         return None if booking.granted.done() else booking
 
     def _granted(self, node: str, message: Granted) -> None:
@@ -364,7 +375,7 @@
             return
         reason = Reason(message.reason)
         others = self._cells.others(booking.cell, booking.want.regions)
-        # Whoever has waited for its time, or had its share, would only be refused there again.
+        # A request that expired, or is over its workspace's share, would be refused there as well.
         if others and not booking.refused and reason is Reason.NO_ROOM:
             booking.refused = True
             self._rebook(booking, others[0], self._cells.dispatcher(others[0]))
@@ -377,7 +388,7 @@
         booking = self._awaiting(message.number, message.attempt)
         if booking is None or booking.limit is None:
             return
-        # The caller was refused before: it will hardly come back once more.
+        # The caller was refused before, and is unlikely to retry once more, so it waits longer.
         patience = message.patience / 1000
         booking.want = replace(booking.want, returned=True, patience=patience)
         longest = booking.placed_at + patience + DECISION_SECONDS - self._clock.monotonic()
@@ -389,20 +400,20 @@
         if booking is None or booking.attempt != message.attempt:
             return
         booking.cell = self._cells.cell(booking.cell.pool, message.to_cell)
-        # Its grant may have come first, on another link.
+        # The grant may have arrived before this message, on another link.
         self._to_tell.add((message.node, booking.cell))
         if booking.waiting:
             booking.node = message.node
-            # The grant comes from there; a link that is new tells the ticket once more.
+            # The grant will come from that node. If the link is new, the resync repeats the ticket.
             self._hub.dial(message.node)
 
 
 def _affords_way(want: PoolRequest) -> bool:
-    """Say whether ``want`` goes to the home of its prompt's beginning in whichever region.
+    """Return True if ``want`` goes to the owner of its prompt prefix in whichever region.
 
-    Reading a long beginning once in the fleet, and not once in each region, leaves replicas time
-    and memory for other prompts. It costs a way between regions, which must be a small part of what
-    the request may wait.
+    Prefilling a long prefix once in the fleet, and not once in each region, leaves replicas time
+    and memory for other prompts. It costs a network round trip between regions, which must be a
+    small part of the time that the request can wait.
     """
     long = want.shared_tokens >= LONG_PREFIX_TOKENS
     return long and want.patience >= LEAST_PATIENCE_WAYS * WAY_SECONDS
--- a/railsail/dispatch/exchange.py
+++ b/railsail/dispatch/exchange.py
@@ -1,8 +1,9 @@
-"""Pass tickets between neighbouring cells of a pool, so that no slot idles while work waits.
+"""Exchange tickets between neighbouring cells of a pool, so that no slot is idle while work waits.
 
-Each cell has at most eight neighbours, as in the members' overlay. A cell with waiting tickets
-says so; a cell with room, or with a much shorter queue, asks the neighbour with the longest one.
-Neighbours are in the same region; ``RegionOverflow`` passes tickets between regions.
+Each cell has at most eight neighbours, chosen as in the members' overlay. A cell with waiting
+tickets sends its queue length to its neighbours. A cell with free capacity, or with a much shorter
+queue, requests tickets from the neighbour with the longest queue. Neighbours are in the same
+region; ``RegionOverflow`` exchanges tickets between regions.
 """
 
 from dataclasses import dataclass
@@ -17,17 +18,18 @@
 from railsail.scheduling.cells import Cell
 from railsail.scheduling.dispatcher import CellDispatcher
 
-# A cell says again how many wait after this many seconds, or when the number changed by half.
+# A cell reports its queue length at once when its queue fills or empties. Otherwise it reports a
+# change by more than half, at most once in this many seconds.
 REPEAT_SECONDS = 2.0
 MOST_ASKED = 8
-# A cell asks a neighbour whose queue is more than twice its own, and by at least this much.
+# A cell requests tickets from a neighbour whose queue exceeds twice its own by more than this.
 UNEVEN_BY = 4
 ASK_PAUSE_SECONDS = 0.5
 
 
 @dataclass
 class _Side:
-    """What a cell of this node has told and knows."""
+    """What a cell of this node last reported to its neighbours, and when it last made a request."""
 
     told: int = 0
     told_at: float = 0.0
@@ -41,7 +43,7 @@
 
 
 class CellExchange:
-    """Exchange hints and tickets for the cells of this node."""
+    """Exchanges queue lengths and tickets with neighbours, for the cells of this node."""
 
     def __init__(
         self, cells: CellMap, dispatchers: DispatcherService, hub: PeerHub, clock: Clock
@@ -58,7 +60,7 @@
         dispatchers.on_pumped(self.look)
 
     def look(self, cell: Cell, dispatcher: CellDispatcher) -> None:
-        """Tell neighbours, or ask them, if the state of ``cell`` gives cause to."""
+        """Report the queue length of ``cell`` to its neighbours, and request tickets, as needed."""
         if cell.count == 1:
             return
         if cell.region:
--- a/railsail/dispatch/gate.py
+++ b/railsail/dispatch/gate.py
@@ -1,8 +1,8 @@
-"""Whether this node may send a request to the replica that a dispatcher granted it.
+"""Check whether this node can send a request to the replica that a dispatcher granted.
 
-The dispatcher books, the node sends, and between the two, or because the dispatcher does not know,
-the replica may have said that it leaves, or have asked this node for rest. So each grant is looked
-at again when its request is sent.
+The dispatcher assigns the replica, and the entry sends the request. In the meantime, or unknown to
+the dispatcher, the replica may have started to leave (to drain before it stops), or have asked this
+node to back off. Each grant is therefore checked again just before its request is sent.
 """
 
 import math
@@ -18,15 +18,16 @@
 from railsail.upstreams.records import Upstream
 from railsail.upstreams.rests import ReplicaBackoffs
 
-# Callers that find all replicas at rest come back within so many seconds after the first one is
-# free, spread evenly: it is tried by one request, whose answer takes a part of that time.
+# Jitter on the retry time of callers that find all replicas in backoff. It spreads them evenly over
+# this time after the first backoff ends. One request tries that replica first, and its answer takes
+# part of the time.
 COME_BACK_SPREAD_SECONDS = 0.5
 
 
 class SendGate:
-    """Hold back requests from replicas that leave or rest.
+    """Keeps requests away from replicas that are leaving or in backoff.
 
-    ``regions`` names the region of each failure domain.
+    ``regions`` maps failure domains to regions.
     """
 
     def __init__(
@@ -45,7 +46,10 @@
         self._rng: random.Random = kernel.rng
 
     def admit(self, replica: str) -> str:
-        """Return why ``replica`` is sent nothing now; empty if the request is sent at once."""
+        """Return why ``replica`` cannot be sent a request now, or an empty string if it can.
+
+        If it can, the caller is expected to send the request at once.
+        """
         upstream = self._directory.get(replica)
         if upstream is not None and not self._directory.takes_version(upstream):
             return f"its version {upstream.software_version!r} was rolled back or replaced"
@@ -58,7 +62,7 @@
         return ""
 
     def excluded(self, pool: str) -> tuple[str, ...]:
-        """Return the replicas of ``pool`` that this node may not send to for a while."""
+        """Return the replicas of ``pool`` that are in backoff at this node, the longest first."""
         if not self._rests:
             return ()
         resting = self._rests.all_resting(self._clock.monotonic())
@@ -70,10 +74,11 @@
         return upstream is not None and upstream.pool == pool
 
     def refusal(self, want: PoolRequest) -> NotRun | None:
-        """Return a refusal if no replica could run ``want`` now, else ``None``.
+        """Return a refusal if no replica can run ``want`` now, else ``None``.
 
-        Where all of them rest, its caller may come back when the first of them is free. Where it
-        is bound to regions, none of their replicas may take work at all.
+        This is the case if all replicas are in backoff: the caller can retry when the first backoff
+        ends. It is also the case if the request is bound to regions in which no replica accepts
+        work.
         """
         if want.regions and not self._any_takes(want):
             return NotRun(Reason.NO_ROOM, "no replica in its regions takes work")
@@ -90,9 +95,9 @@
         return any(self._may_run(want, u) for u in self._directory.each_of_pool(want.pool))
 
     def _first_end(self, want: PoolRequest) -> float:
-        """Return after how many seconds a replica may be sent ``want``, 0 if one may now.
+        """Return the seconds until a replica can be sent ``want``, 0 if one can now.
 
-        Where no replica takes work at all, it is 0 too: the dispatcher decides.
+        It is also 0 if no replica accepts work at all, so that the dispatcher decides.
         """
         now = self._clock.monotonic()
         first = math.inf
@@ -109,7 +114,7 @@
         return not want.regions or self._regions.get(upstream.failure_domain) in want.regions
 
     def tell(self, node: str, replica: str) -> None:
-        """Tell the dispatcher ``node`` what is known of a ``replica`` that it granted."""
+        """Send the dispatcher ``node`` the record of the granted ``replica``, if it is leaving."""
         upstream = self._directory.get(replica)
         if upstream is not None and upstream.leaving:
             self._hub.send(node, self._directory.news_of(upstream))
--- a/railsail/dispatch/loads.py
+++ b/railsail/dispatch/loads.py
@@ -1,4 +1,4 @@
-"""Ask the replicas of a node's cells for their load, often while they are busy."""
+"""Poll the replicas of this node's cells for their load, more often while a cell is busy."""
 
 from collections.abc import Callable
 
@@ -20,7 +20,10 @@
 
 
 class LoadReports:
-    """Ask for load reports, and pass them on; a replica's own word that it leaves is a sign."""
+    """Polls replicas for load reports, and delivers them to listeners.
+
+    A report that says that its replica is leaving is recorded in the directory.
+    """
 
     def __init__(
         self,
@@ -36,18 +39,18 @@
         self._rests = rests
         self._clock = clock
         self._asked_at: dict[str, float] = {}
-        # Replicas whose load reports said that they leave.
+        # Replicas whose last load report said that they are leaving.
         self._said_leaving: set[str] = set()
         self._kinds: dict[str, UpstreamKind] = {}
         self._listeners: list[Callable[[Cell, str, LoadReport], None]] = []
         self._tasks = TaskSet()
 
     def on_report(self, listener: Callable[[Cell, str, LoadReport], None]) -> None:
-        """Call ``listener`` with cell, replica and report."""
+        """Call ``listener`` with the cell, the replica and its report for each load report."""
         self._listeners.append(listener)
 
     def kind_of(self, pool: str) -> UpstreamKind | None:
-        """Return the plug-in that speaks to the replicas of ``pool``."""
+        """Return the plug-in for the replicas of ``pool``, or ``None`` if there is no such pool."""
         found = self._catalog().pool(pool)
         if found is None:
             return None
@@ -57,9 +60,10 @@
         return self._kinds[name]
 
     def _tell_leaving(self, name: str, leaving: bool) -> None:
-        """Take note of a report's word; one that does not say so takes back only another report's.
+        """Record whether the load report of replica ``name`` says that it is leaving.
 
-        A replica may say that it leaves in its answers alone.
+        A report that does not say so withdraws only what an earlier load report said. A replica may
+        say that it is leaving only in its answers.
         """
         if leaving:
             self._said_leaving.add(name)
@@ -69,7 +73,7 @@
             self._directory.withdraw(name, Source.LOAD, self._clock.wall())
 
     def ask(self, cell: Cell, dispatcher: CellDispatcher) -> None:
-        """Ask the replicas of ``cell`` whose report is due."""
+        """Poll the replicas of ``cell`` whose next report is due, except those in backoff."""
         kind = self.kind_of(cell.pool)
         if kind is None or not kind.reports_load:
             return
--- a/railsail/dispatch/overflow.py
+++ b/railsail/dispatch/overflow.py
@@ -1,6 +1,6 @@
-"""Pass tickets between the regions of a pool, so that a region's flood is carried by the others.
+"""Exchange tickets between the regions of a pool, so that other regions absorb an overload.
 
-Each cell knows one cell of every other region. The messages are those of ``CellExchange``.
+Each cell communicates with one cell of every other region, using the messages of ``CellExchange``.
 """
 
 from railsail.core.clock import Clock
@@ -13,7 +13,10 @@
 
 
 class RegionOverflow:
-    """Exchange hints with other regions for the cells of this node."""
+    """Exchanges queue lengths and ticket requests with other regions, for the cells of this node.
+
+    The decisions are made in ``railsail.scheduling.overflow``.
+    """
 
     def __init__(
         self, cells: CellMap, dispatchers: DispatcherService, hub: PeerHub, clock: Clock
@@ -24,7 +27,7 @@
         self._clock = clock
 
     def look(self, cell: Cell, dispatcher: CellDispatcher) -> None:
-        """Tell other regions, or ask them, if the state of ``cell`` gives cause to."""
+        """Report the queue length of ``cell`` to other regions, and request tickets, as needed."""
         if dispatcher.overflow is None:
             return
         now = self._clock.monotonic()
@@ -38,7 +41,7 @@
             self._tell(cell, wanted[0], waiting, wanted[1])
 
     def hint(self, cell: Cell, other: Cell, hint: CellHint) -> None:
-        """Take in a hint for ``cell`` from ``other``, which is in another region."""
+        """Handle a hint that the cell ``other`` of another region sent to ``cell``."""
         if not hint.waiting and not hint.wanted and cell not in self._dispatchers.dispatchers():
             return
         cell, dispatcher = self._dispatchers.dispatcher(hint.pool, hint.to_cell)
@@ -52,7 +55,7 @@
         self.look(cell, dispatcher)
 
     def _partners(self, cell: Cell) -> list[Cell]:
-        """Return one cell of each other region, another one for each cell of this one."""
+        """Return one cell of each other region, different ones for the cells of this region."""
         regions: dict[str, list[Cell]] = {}
         for other in self._cells.cells(cell.pool):
             regions.setdefault(other.region, []).append(other)
--- a/railsail/dispatch/reach.py
+++ b/railsail/dispatch/reach.py
@@ -1,4 +1,4 @@
-"""Which nodes can be asked to dispatch, as one entry has found out by asking them."""
+"""Which dispatchers an entry can reach, as observed from its own requests and probes."""
 
 import asyncio
 from collections.abc import Callable, Collection
@@ -9,17 +9,17 @@
 from railsail.peers.hub import PeerHub
 from railsail.peers.messages import Probe
 
-# An open connection may carry nothing any more while a new one would. A node that was left and does
-# not answer probes for so many seconds gets a new link; a node that is only slow has answered by
-# then, and a link made anew would cost it more time.
+# An open connection may have stopped carrying data where a new one would work. The link to an
+# unreachable node that does not answer probes for this many seconds is dropped and dialled again. A
+# node that is only slow has answered by then, and a new link would delay it further.
 LINK_SILENT_SECONDS = 2.0
 
 
 class DispatcherReach:
-    """Leave nodes that cannot be dialled or are silent, and come back to them.
+    """Tracks which dispatchers are unreachable: silent, or impossible to dial.
 
-    ``in_use`` gives the nodes that hold something of this entry; ``changed`` is called when a node
-    is left or can be asked again.
+    ``in_use`` returns the nodes that hold tickets or calls of this entry. ``changed`` is called
+    when a node becomes unreachable or reachable again.
     """
 
     def __init__(
@@ -41,11 +41,11 @@
 
     @property
     def unreachable(self) -> set[str]:
-        """Return the nodes that were silent or could not be dialled when last asked."""
+        """Return the nodes that did not respond, or could not be dialled, when last used."""
         return set(self._left_at)
 
     def asked(self, node: str) -> None:
-        """Take note that ``node`` was asked for something, and see whether a word of it comes."""
+        """Record that a request was sent to ``node``, and check that it responds."""
         if node == self._hub.own.node or node in self._left_at:
             return
         self._silence.asked(node, self._clock.monotonic(), self._hub.last_heard(node))
@@ -54,23 +54,23 @@
             self._check_later(node)
 
     def link_up(self, node: str) -> None:
-        """Take note of a new link."""
+        """Handle a new link to ``node``, which makes the node reachable."""
         self._redialled.discard(node)
         if node in self._left_at:
             self._come_back(node)
 
     def link_down(self, node: str) -> None:
-        """Take note that the last link to ``node`` has ended, or could not be made."""
+        """Handle the loss of the last link to ``node``, or a failed attempt to dial it."""
         if node in self._left_at or node not in self._in_use():
             return
-        # One attempt to link again; if it fails, this is called once more and the node is left.
+        # Dial once more. If that fails, this method is called again, and the node is unreachable.
         if node not in self._redialled and self._hub.dial(node):
             self._redialled.add(node)
             return
         self._leave(node)
 
     def tick(self) -> None:
-        """Come back to nodes that were heard again; to be called about twice a second."""
+        """Probe or dial unreachable nodes, and detect which respond. Call it twice a second."""
         for node, left_at in list(self._left_at.items()):
             if not self._hub.connected(node):
                 self._hub.dial(node)
@@ -105,7 +105,7 @@
         if verdict is Verdict.SILENT and node not in self._left_at:
             self._events.emit(
                 Kind.MEMBER,
-                "left as a dispatcher, since it is silent",
+                "the dispatcher does not respond and is not used",
                 member=node,
                 heard_ms_ago=round((self._clock.monotonic() - heard) * 1000),
             )
--- a/railsail/dispatch/regions.py
+++ b/railsail/dispatch/regions.py
@@ -1,6 +1,7 @@
-"""The regions of the fleet, as one node knows them.
+"""The regions of the fleet.
 
-``--domain-regions`` names the region of each failure domain, of nodes and of replicas alike.
+The setting ``--domain-regions`` assigns each failure domain, and so its nodes and replicas, to a
+region.
 """
 
 import functools
@@ -12,10 +13,11 @@
 
 @dataclass(frozen=True)
 class FleetRegions:
-    """What a node knows of the regions; with one region or none, nothing depends on them.
+    """The regions of this node, of failure domains and of other nodes.
 
-    ``own`` is this node's, ``of_domains`` names that of each failure domain, ``of_node`` that of a
-    node, empty where it is not known.
+    ``own`` is the region of this node. ``of_domains`` maps failure domains to regions, and
+    ``of_node`` returns the region of a node, an empty string if it is unknown. With fewer than two
+    regions, nothing depends on them.
     """
 
     own: str = ""
@@ -24,11 +26,14 @@
 
     @functools.cached_property
     def named(self) -> frozenset[str]:
-        """Return the regions of the fleet."""
+        """Return the names of all regions of the fleet."""
         return frozenset(self.of_domains.values())
 
     def way_seconds(self, entry: str, dispatcher: str) -> float:
-        """Return how long a ticket and its grant are on their way between two nodes."""
+        """Return the network round trip of a ticket and its grant between two nodes.
+
+        It is 0 within a region, and where the region of a node is unknown.
+        """
         if len(self.named) <= 1:
             return 0.0
         regions = {self.of_node(entry), self.of_node(dispatcher)}
--- a/railsail/dispatch/replicas.py
+++ b/railsail/dispatch/replicas.py
@@ -1,4 +1,4 @@
-"""Tell the dispatcher of a cell which replicas there are, and what is known of each."""
+"""Configure cell dispatchers with the replicas of their cells, and the state of each replica."""
 
 from collections.abc import Callable, Mapping
 
@@ -17,11 +17,11 @@
 
 
 class FleetBounds(msgspec.Struct, frozen=True):
-    """What holds for the whole fleet, beyond what single replicas say.
+    """Limits and facts that apply to the whole fleet, not to single replicas.
 
-    All nodes together may send a cold replica ``cold_over`` times as many calls as it bears, and
-    ``cold_slack`` more, in any second; ``share`` tells the part of the fleet that this node can
-    reach, from 0 to 1. ``domain_regions`` names the region of each failure domain.
+    In any second, all nodes together can send a cold replica ``cold_over`` times as many calls as
+    it sustains, plus ``cold_slack`` calls. ``share`` returns the part of the fleet that this node
+    can reach, from 0 to 1. ``domain_regions`` maps failure domains to regions.
     """
 
     cold_over: float = 1.0
@@ -30,12 +30,12 @@
     domain_regions: Mapping[str, str] = msgspec.field(default_factory=dict)
 
     def of_cold(self, pool: Pool) -> WarmupBound:
-        """Return what cold replicas of ``pool`` may be sent."""
+        """Return the bound on the calls that a cold replica of ``pool`` is sent."""
         return WarmupBound(pool.warmup_rate, pool.cold_seconds, self.cold_over, self.cold_slack)
 
 
 class CellReplicas:
-    """Bring what the directory and the configuration say of replicas to cell dispatchers."""
+    """Applies the directory's and the configuration's data on replicas to cell dispatchers."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         directory.on_change(self._observe_versions)
 
     def _observe_versions(self) -> None:
-        """Take note of the software versions of each pool that take work."""
+        """Record the software versions of each pool that accept work, and their ages in seconds."""
         if not self._directory.follows_rollouts:
             return
         now = self._clock.monotonic()
@@ -70,7 +70,7 @@
             self._new_versions.observe(pool, ages, now)
 
     def set_all(self, cell: Cell, dispatcher: CellDispatcher) -> None:
-        """Set all that is known of the replicas of ``cell``."""
+        """Set the replicas of ``cell``, with their slots, start times, regions and versions."""
         pool = self._catalog().pool(cell.pool)
         slots = pool.slots if pool else 0
         names = self._cells.cells(cell.pool).get(cell, [])
@@ -97,7 +97,7 @@
         return upstream is None or not self._directory.takes_work(upstream)
 
     def set_cold(self, cell: Cell, dispatcher: CellDispatcher) -> None:
-        """Set which replicas are cold, and this node's part of what they may be sent."""
+        """Set which replicas are cold, and this node's share of the calls that they can be sent."""
         pool = self._catalog().pool(cell.pool)
         if pool is None or not pool.warmup_rate:
             return
--- a/railsail/dispatch/rolloutlog.py
+++ b/railsail/dispatch/rolloutlog.py
@@ -1,4 +1,4 @@
-"""Count and log what dispatchers grant while a rollout runs."""
+"""Count and log the grants of this node's dispatchers while a rollout runs."""
 
 from collections.abc import Mapping
 
@@ -12,7 +12,7 @@
 
 
 class RolloutLog:
-    """Tell which version calls were granted to, and at which stage."""
+    """Counts grants by stage and version, and logs canary calls."""
 
     def __init__(self, dispatchers: Mapping[Cell, CellDispatcher], kernel: Kernel) -> None:
         self._dispatchers = dispatchers
@@ -20,7 +20,7 @@
         self._metrics = kernel.metrics
 
     def granted(self, cell: Cell, grant: Grant) -> None:
-        """Take note of a grant, if a rollout runs."""
+        """Count a grant, and log it if it is a canary call; do nothing if no rollout runs."""
         versions = self._dispatchers[cell].versions
         exposure, stage = versions.exposure, grant.stage
         if exposure is None or stage is None:
@@ -28,7 +28,7 @@
         to_target = versions.is_target(grant.replica)
         side = "target" if to_target else "other"
         self._metrics.rollout_calls.inc({"pool": cell.pool, "stage": stage.name, "version": side})
-        # At later stages most calls go there, and the entry's line names the version.
+        # At later stages most calls go to the target version, and the entry's log line names it.
         if to_target and stage is Stage.CANARY:
             self._events.emit(
                 Kind.GRANTED,
--- a/railsail/dispatch/rollouts.py
+++ b/railsail/dispatch/rollouts.py
@@ -1,7 +1,7 @@
-"""Take in what a rollout's coordinator allows to the cells of this node, and tell it what was seen.
+"""Apply the allowances of rollout coordinators to this node's cells, and send evidence back.
 
-A coordinator that is not heard for a while is told nothing more; another one makes itself known by
-its own allowance.
+Evidence is sent to the node that sent a cell's newest allowance, until no allowance has come from
+it for a while. A new coordinator becomes known by its own allowance.
 """
 
 import asyncio
@@ -27,22 +27,22 @@
 from railsail.upstreams.directory import UpstreamDirectory
 
 EVIDENCE_SECONDS = 0.25
-# A coordinator whose last allowance is older is told nothing more.
+# A coordinator whose last allowance is older than this is sent no more evidence.
 HEARD_SECONDS = 2.0
-# As many tallies as one message holds.
+# The maximum number of tallies in one message.
 MOST_TALLIES = 2000
 
 
 @dataclass(frozen=True)
 class _Coordinator:
-    """The sender of a cell's newest allowance, and when that came."""
+    """The sender of a cell's newest allowance, and when the allowance was received."""
 
     node: str
     heard_at: float
 
 
 class RolloutDispatch:
-    """The dispatcher's and the entry's side of rollouts at one node."""
+    """The parts of a rollout that the dispatchers and the entry of this node take care of."""
 
     def __init__(
         self,
@@ -65,17 +65,17 @@
         book.on_change(directory.rollouts_changed)
 
     async def run(self) -> None:
-        """Tell coordinators what was seen, until cancelled."""
+        """Send evidence to coordinators periodically, until cancelled."""
         while True:
             await asyncio.sleep(EVIDENCE_SECONDS)
             self.tell_all()
 
     def stop(self) -> None:
-        """Tell nobody anything more."""
+        """Stop sending evidence."""
         self._coordinators.clear()
 
     def tell_all(self) -> None:
-        """Tell each coordinator that was heard lately what its cells have seen."""
+        """Send the evidence of each cell to its coordinator, unless that has timed out."""
         now = self._clock.monotonic()
         for cell, coordinator in list(self._coordinators.items()):
             if now - coordinator.heard_at > HEARD_SECONDS:
@@ -92,14 +92,14 @@
     def _allowed(self, node: str, message: RolloutAllowance) -> None:
         order = self._book.running(message.service)
         if order is None or order.version != message.version:
-            # One of the two has not heard of the order, or of its end, yet.
+            # This node or the coordinator has not yet received the order, or its end.
             known = order.version if order else 0
             self._tell_ignored(node, message, "another order", known_version=known)
             return
         cell, dispatcher = self._dispatchers.dispatcher(message.service, message.cell)
         if cell.number != message.cell:
-            # One of the two knows replicas that the other does not: the cells are cut otherwise.
-            self._tell_ignored(node, message, "a cell that is not known here", cell=message.cell)
+            # The two nodes know different replicas, and therefore cut the pool differently.
+            self._tell_ignored(node, message, "an unknown cell", cell=message.cell)
             return
         exposure = dispatcher.versions.exposure
         now = self._clock.monotonic()
@@ -110,7 +110,7 @@
 
     def _tell_ignored(self, node: str, message: RolloutAllowance, what: str, **facts: Fact) -> None:
         get_logger().info(
-            f"allowance for {what}",
+            f"ignored an allowance for {what}",
             service=message.service,
             coordinator=node,
             order_version=message.version,
--- a/railsail/dispatch/service.py
+++ b/railsail/dispatch/service.py
@@ -1,7 +1,8 @@
-"""The dispatcher's side: run the cells that this node serves for the fleet.
+"""The dispatcher's side of dispatch: run the cells that this node dispatches for the fleet.
 
-Whatever an entry asks of a cell is done, whether or not this node believes itself to be that cell's
-dispatcher: two dispatchers for a while over-commit a replica, and break no promise.
+Requests of an entry to a cell are handled whether or not this node considers itself the dispatcher
+of that cell. If a cell has two dispatchers for a while, they may overcommit its replicas, which
+violates no guarantee.
 """
 
 import asyncio
@@ -46,21 +47,21 @@
 from railsail.scheduling.tickets import Ticket, TicketKey
 
 TICK_SECONDS = 0.25
-# While tickets wait, a cell is looked at so often at most, and so often even if nothing was heard,
-# since replicas read on meanwhile. An engine reads about 500 tokens in that time; more often there
-# is hardly anything new to decide.
+# While tickets wait, a cell is pumped at this interval, and not more often. It is pumped even if no
+# message arrived, since replicas continue to prefill prompts in the meantime. An engine prefills
+# about 500 tokens in this time, so at shorter intervals there is hardly anything new to decide.
 LOOK_AGAIN_SECONDS = 0.006
 IDLE_SECONDS = 30.0
-# While it is being found out whether a replica has ended, a request that ran on it is looked at
-# again after so many seconds; a replica's host answers within a few milliseconds.
+# While it is being checked whether a replica has crashed, tickets of the request that it ran are
+# retried after this many seconds. The replica's host answers the check within a few milliseconds.
 CHECK_AGAIN_SECONDS = 0.005
-# A request that is being tried again decides within about so many seconds whether others of the
-# same may run.
+# After a crash, one call of the suspect request runs on trial, and decides within about this many
+# seconds whether its repeats can run.
 TRIAL_SECONDS = 1.0
 
 
 class DispatcherService:
-    """Hold the cell dispatchers of this node."""
+    """Holds the cell dispatchers of this node, and connects them with entries by messages."""
 
     def __init__(
         self,
@@ -106,8 +107,8 @@
         hub.on_up(self._link_up)
 
     def _link_up(self, peer: Identity) -> None:
-        # A process that started anew counts its tickets from one again; what its past self had
-        # here would be taken for them.
+        # An entry that restarted numbers its tickets from one again. The state of its earlier
+        # process must go, or it would be mistaken for that of the new tickets.
         if self._entry_starts.get(peer.node, peer.start_id) != peer.start_id:
             self.drop_entry(peer.node)
         self._entry_starts[peer.node] = peer.start_id
@@ -117,11 +118,14 @@
         return self._dispatchers
 
     def on_pumped(self, listener: Callable[[Cell, CellDispatcher], None]) -> None:
-        """Call ``listener`` after each change of a cell, when its grants have been made."""
+        """Call ``listener`` after each change of a cell, once the resulting grants are sent."""
         self._pumped.append(listener)
 
     def pass_on(self, ticket: Ticket, cell: Cell, node: str) -> None:
-        """Pass a ``ticket`` that was taken out of its queue on to ``cell`` at ``node``."""
+        """Forward a ``ticket`` that was removed from its queue to ``cell`` at ``node``.
+
+        Its entry is notified of the move.
+        """
         place = self._to_place(ticket, cell, node)
         self._where.pop(ticket.key, None)
         self._hub.send(ticket.entry, Moved(ticket.number, ticket.attempt, cell.number, node))
@@ -134,13 +138,13 @@
         return to_place(ticket, ticket.number, ticket.attempt, cell, waited)
 
     def renew_replicas(self) -> None:
-        """Take in a change of the replicas, at once, so that a leaving one gets nothing more."""
+        """Apply a change of the replicas at once, so that a leaving one gets no more calls."""
         for cell, dispatcher in list(self._dispatchers.items()):
             self._replicas.set_all(cell, dispatcher)
             self._pump(cell, dispatcher)
 
     def drop_entry(self, entry: str) -> None:
-        """Forget what a node that is gone had here."""
+        """Drop all tickets and calls of an entry that is gone or restarted."""
         self._entry_starts.pop(entry, None)
         now = self._clock.monotonic()
         for cell, dispatcher in self._dispatchers.items():
@@ -149,7 +153,7 @@
         self._forget_keys()
 
     def hand_over(self) -> None:
-        """Tell the dispatchers that follow this node what its counters are."""
+        """Send the fairness counters of each cell to the node that dispatches it from now on."""
         for cell, dispatcher in self._dispatchers.items():
             node = self._cells.dispatcher(cell)
             if node != self._hub.own.node:
@@ -158,7 +162,7 @@
                 self._hub.send(node, HandedOver(cell.pool, cell.number, records, virtual_time))
 
     def tick(self) -> None:
-        """Look after rooms that open again, and ask for load reports."""
+        """Pump all cells, poll load reports, and drop idle cells; called every ``TICK_SECONDS``."""
         now = self._clock.monotonic()
         for cell, dispatcher in list(self._dispatchers.items()):
             self._replicas.set_cold(cell, dispatcher)
@@ -168,7 +172,7 @@
             self._drop_idle(cell, dispatcher, now)
 
     def dispatcher(self, pool: str, number: int) -> tuple[Cell, CellDispatcher]:
-        """Return a cell and its dispatcher, which is made if there is none yet."""
+        """Return a cell and its dispatcher, which is created if there is none yet."""
         cell = self._cells.cell(pool, number)
         dispatcher = self._dispatchers.get(cell)
         if dispatcher is None:
@@ -191,7 +195,10 @@
         return self._catalog().class_of(workspace).weight
 
     def calls_on(self, replica: str, before: float) -> set[int]:
-        """Return the fingerprints of requests sent to ``replica`` until ``before``."""
+        """Return the fingerprints of the requests in flight that ``replica`` was granted.
+
+        Only those granted at ``before`` or earlier count, by this node's monotonic clock.
+        """
         flights = [f for d in self._dispatchers.values() for f in d.flights.values()]
         return {
             flight.fingerprint
@@ -201,7 +208,8 @@
 
     def _place(self, node: str, message: Place) -> None:
         if self._trials.undecided(message.fingerprint):
-            # Whether a replica has ended under it is known in a moment, which spares another one.
+            # It will be known in a moment whether a replica crashed while running this request. To
+            # wait for that spares another replica.
             loop = asyncio.get_running_loop()
             loop.call_later(CHECK_AGAIN_SECONDS, self._place, node, message)
             return
@@ -209,7 +217,7 @@
         self.offer(cell, dispatcher, node, message)
 
     def offer(self, cell: Cell, dispatcher: CellDispatcher, entry: str, message: Place) -> None:
-        """Take in a ticket of ``entry`` for ``cell``."""
+        """Add a ticket of ``entry`` to ``cell``, and send the resulting decisions."""
         now = self._clock.monotonic()
         ticket = to_ticket(entry, message, now)
         if self._trials.is_second(dispatcher, ticket):
@@ -227,7 +235,7 @@
         key = (node, message.number)
         found = self._find(key)
         if found is not None and key in found[1].flights:
-            # The grant is on its way, and the entry will hand it back.
+            # The grant is on its way, and the entry will return it.
             return
         self._where.pop(key, None)
         if found is not None and key in found[1].queue:
@@ -241,7 +249,7 @@
         return (cell, dispatcher) if dispatcher is not None else None
 
     def _tell_refused(self, cell: Cell, entry: str, number: int) -> None:
-        """Tell what decided that a ticket, which was taken out just now, found no replica."""
+        """Log the state of ``cell`` in which a ticket, already removed, found no replica."""
         dispatcher = self._dispatchers[cell]
         now = self._clock.monotonic()
         rooms = dispatcher.open_rooms(now)
@@ -323,10 +331,10 @@
 
     def _room_changed(self, cell: Cell, dispatcher: CellDispatcher) -> None:
         if len(dispatcher.queue):
-            # A look is due soon, and takes in all that changes until then.
+            # The next pump is due soon, and handles all changes until then.
             self._look_soon(cell, dispatcher)
         else:
-            # Nothing waits here; neighbouring cells may have something.
+            # Nothing waits here, but neighbouring cells may have waiting tickets.
             self._pump(cell, dispatcher)
 
     def _pump_ended(self, cell: Cell, dispatcher: CellDispatcher) -> None:
--- a/railsail/dispatch/shares.py
+++ b/railsail/dispatch/shares.py
@@ -1,4 +1,4 @@
-"""The log of how an overload was shared."""
+"""Log how the capacity of a cell is shared in an overload."""
 
 import math
 from collections import defaultdict
@@ -7,21 +7,21 @@
 from railsail.scheduling.cells import Cell
 from railsail.scheduling.dispatcher import CellDispatcher
 
-# While not all can be served, a line each so many seconds tells how the largest so many demands
-# were met: most workspaces are small, and served whole.
+# During an overload, one line per cell is logged in this many seconds. It lists only the workspaces
+# with the largest demands: most workspaces are small, and get all that they request.
 SHARES_SECONDS = 1.0
 SHARES_TOLD = 5
 
 
 class SharesLog:
-    """Tell each second of an overload how it was shared, a line a cell."""
+    """Logs how each overloaded cell is shared among workspaces, at most one line a second."""
 
     def __init__(self, events: EventLog) -> None:
         self._events = events
         self._told_at: defaultdict[Cell, float] = defaultdict(lambda: -math.inf)
 
     def tell(self, cell: Cell, dispatcher: CellDispatcher, now: float) -> None:
-        """Tell how ``cell`` is shared, if not all can be served and a line is due."""
+        """Log how ``cell`` is shared, if it is overloaded and a line is due."""
         if not dispatcher.overloaded(now) or now - self._told_at[cell] < SHARES_SECONDS:
             return
         self._told_at[cell] = now
@@ -37,5 +37,5 @@
         )
 
     def forget(self, cell: Cell) -> None:
-        """Forget a cell that is not dispatched here any more."""
+        """Drop the state of a cell that is no longer dispatched here."""
         self._told_at.pop(cell, None)
--- a/railsail/dispatch/silence.py
+++ b/railsail/dispatch/silence.py
@@ -1,23 +1,24 @@
-"""Notice within a fraction of a second that a dispatcher has fallen silent.
+"""Detect within a fraction of a second that a dispatcher does not respond.
 
-A dispatcher whose queue is long says nothing for a while, and so does one that is frozen, cut off
-or without power. Whoever asked one for something and has heard nothing since sends it a probe,
-which a dispatcher that lives answers at once. Nothing is sent while dispatchers answer anyway.
+A dispatcher with a long queue sends nothing for a while, and neither does one that is frozen,
+partitioned or without power. A node that has sent a request and received nothing since sends a
+probe, which a live dispatcher answers at once. While dispatchers respond to requests, no probes are
+sent.
 
-Silence is counted in checks, not in time: a process that was itself stopped, or had no processor
-for a while, has made no checks meanwhile, and does not take its own pause for others' silence.
+Silence is measured in checks, not in time. A process that was itself suspended, or had no CPU for a
+while, made no checks in that time, and does not mistake its own pause for the silence of others.
 """
 
 import enum
 
-# A dispatcher that was asked for something is checked after so many seconds, again and again.
+# How often a dispatcher that was sent a request is checked.
 CHECK_SECONDS = 0.1
-# It is left at this check without a word of it; a lost packet is sent again before.
+# A dispatcher is silent if nothing has arrived by this check. TCP retransmits a lost packet sooner.
 CHECKS_TO_LEAVE = 5
 
 
 class Verdict(enum.Enum):
-    """What is to be done about a dispatcher that was asked for something."""
+    """What to do about a dispatcher that was sent a request."""
 
     HEARD = enum.auto()
     WAIT = enum.auto()
@@ -26,22 +27,22 @@
 
 
 class SilenceWatch:
-    """Remember which nodes were asked, and have not been heard since; times are in seconds."""
+    """Tracks nodes that were sent a request and have sent nothing since; times are in seconds."""
 
     def __init__(self) -> None:
         self._asked_at: dict[str, float] = {}
         self._checks: dict[str, int] = {}
 
     def asked(self, node: str, now: float, heard: float) -> None:
-        """Take note that ``node``, last heard at ``heard``, was asked for something."""
+        """Record that ``node`` was sent a request; its last message arrived at ``heard``."""
         if self._asked_at.get(node, heard) <= heard:
             self._asked_at[node] = max(now, heard)
             self._checks[node] = 0
 
     def check(self, node: str, heard: float) -> Verdict:
-        """Say what is to be done about ``node``, which was last heard at ``heard``.
+        """Return what to do about ``node``, whose last message arrived at ``heard``.
 
-        To be called every ``CHECK_SECONDS`` until it says ``HEARD`` or ``SILENT``.
+        Call it every ``CHECK_SECONDS`` until it returns ``HEARD`` or ``SILENT``.
         """
         asked_at = self._asked_at.get(node)
         if asked_at is None or heard > asked_at:
@@ -54,6 +55,6 @@
         return Verdict.PROBE if self._checks[node] == 1 else Verdict.WAIT
 
     def forget(self, node: str) -> None:
-        """Forget what ``node`` was asked."""
+        """Drop the state of ``node``."""
         self._asked_at.pop(node, None)
         self._checks.pop(node, None)
--- a/railsail/dispatch/tree.py
+++ b/railsail/dispatch/tree.py
@@ -1,6 +1,8 @@
-"""Carry the sums of service up and down the tree over the members, or over the dispatchers only.
+"""Aggregate the service that workspaces received in the fleet, over a tree of nodes.
 
-Only pools of several cells take part; a pool of one cell has all its counters in one place.
+Sums go up the tree to the root, and the totals of the pool come down again. The nodes of the tree
+are all members, or only the dispatchers of a pool that spans regions. Only pools of several cells
+take part: a pool of one cell has all its counters in one place.
 """
 
 import asyncio
@@ -19,14 +21,15 @@
 from railsail.scheduling.dispatcher import CellDispatcher
 from railsail.scheduling.totals import PoolTotals, Sums, digest_of
 
-# The root lets all exchange as often as this many bytes a second allow a node, within the bounds.
+# The root sets the period of all exchanges so that a node sends about this many bytes a second. The
+# period stays within the bounds below.
 BYTES_PER_SECOND = 1000.0
 SHORTEST_SECONDS = 0.5
 LONGEST_SECONDS = 10.0
 
 
 class ServiceTree:
-    """Exchange sums with the parent and the children of this node, once a period."""
+    """Exchanges service sums with the parent and the children of this node, once a period."""
 
     def __init__(
         self,
@@ -54,7 +57,7 @@
         hub.handle(FleetServed, self._told_by_root)
 
     async def run(self) -> None:
-        """Exchange until cancelled."""
+        """Exchange sums periodically, until cancelled."""
         while True:
             await asyncio.sleep(max(self._periods.values(), default=SHORTEST_SECONDS))
             for pool in self._pools():
@@ -84,9 +87,10 @@
         self._steer(pool, totals.fleet_gains(), tree.depth(len(ordered)))
 
     def _nodes(self, pool: str) -> list[str]:
-        """Return the members of the tree of ``pool``.
+        """Return the nodes of the tree of ``pool``.
 
-        Where it spans regions, they are its few dispatchers: news to all would cross regions.
+        For a pool that spans regions, these are only its few dispatchers: with all members in the
+        tree, far more messages would cross regions.
         """
         cells = self._cells.cells(pool)
         if any(cell.region for cell in cells):
@@ -94,7 +98,8 @@
         return self._usable()
 
     def _decide_period(self, pool: str) -> None:
-        # Every node follows the root, whose messages are as many as any node's, but for the one up.
+        # All nodes use the root's period. The root sends as much as any other node, except for the
+        # message to a parent.
         period = self._sent_in.get(pool, 0) / BYTES_PER_SECOND
         self._periods[pool] = min(max(period, SHORTEST_SECONDS), LONGEST_SECONDS)
         self._sent_in[pool] = 0
@@ -132,7 +137,7 @@
         gains = {}
         for workspace, value in served.items():
             gain = value - self._counted.get((cell, workspace), 0.0)
-            # An estimate that was too high is taken back later; sums must only grow.
+            # A charge that was estimated too high is corrected later, but sums must only grow.
             if gain > 0:
                 self._counted[(cell, workspace)] = value
                 gains[workspace] = gain
@@ -142,8 +147,8 @@
         now = self._clock.monotonic()
         seconds = now - self._steered_at.get(pool, now)
         self._steered_at[pool] = now
-        # News goes up the tree and down again, and waits for half a period at each hop; what is
-        # steered by it takes about one more to show.
+        # Sums travel up the tree and down again, and wait for half a period on average at each hop.
+        # The effect of an adjustment takes about one more period to appear in them.
         delay = (depth + 1) * self._periods.get(pool, SHORTEST_SECONDS)
         for cell, dispatcher in self._mine(pool).items():
             balance = self._balances.setdefault(cell, FleetBalance(dispatcher.queue.weight))
