--- a/tests/dispatch/test_cellmap.py
+++ b/tests/dispatch/test_cellmap.py
@@ -1,4 +1,4 @@
-"""Which cell is asked for a prompt's beginning, as the entries of a fleet compute it."""
+"""Which cells and dispatchers the entries of a fleet choose, with and without regions."""
 
 import unittest
 from unittest import mock
@@ -20,7 +20,7 @@
 
 
 def directory(replicas: int, leaving: tuple[str, ...] = ()) -> UpstreamDirectory:
-    """Return a directory of so many replicas of one pool."""
+    """Return a directory of ``replicas`` replicas of one pool, some of them ``leaving``."""
     made = UpstreamDirectory(lambda news, source: None, EventLog("n", Clock()))
     list_replicas(made, replicas, leaving)
     return made
@@ -40,22 +40,23 @@
     return CellMap(node, known, lambda: [node], LIMIT, local=False)
 
 
-class HomeTests(unittest.TestCase):
-    def test_all_entries_ask_the_same_cell_for_a_beginning(self):
+class PrefixOwnerTests(unittest.TestCase):
+    def test_all_entries_choose_the_same_cell_for_a_prefix(self):
         known = directory(78)
         maps = [cell_map(f"node {number}", known) for number in range(20)]
         for prefix in PREFIXES:
             self.assertEqual(len({cells.home(POOL, prefix) for cells in maps}), 1)
 
-    def test_its_dispatcher_prefers_the_same_replica_however_the_pool_is_cut(self):
+    def test_dispatcher_prefers_the_same_replica_however_the_pool_is_cut(self):
         known = directory(78)
         small = CellMap("n", known, lambda: ["n"], 8, local=False)
         for prefix in PREFIXES:
             preferred = {_preferred_in(cells, prefix) for cells in (cell_map("n", known), small)}
             self.assertEqual(len(preferred), 1)
 
-    def test_one_more_replica_moves_few_beginnings(self):
-        # 33 replicas make a third cell, which used to move most beginnings to another replica.
+    def test_one_more_replica_moves_few_prefixes(self):
+        # 33 replicas make a third cell. Most prefixes would move to another replica if their owner
+        # depended on how the pool is cut.
         known = directory(32)
         cells = cell_map("n", known)
         before = {prefix: _preferred_in(cells, prefix) for prefix in PREFIXES}
@@ -64,22 +65,25 @@
         self.assertTrue(moved)
         self.assertLess(len(moved), len(PREFIXES) / 10)
 
-    def test_beginnings_of_a_leaving_replica_go_to_others(self):
+    def test_prefixes_of_a_leaving_replica_move_to_others(self):
         known = directory(32, leaving=("r003",))
         cells = cell_map("n", known)
         self.assertNotIn("r003", {_preferred_in(cells, prefix, "r003") for prefix in PREFIXES})
 
-    def test_pool_without_replicas_has_a_home_all_the_same(self):
+    def test_pool_without_replicas_has_one_cell_that_owns_all_prefixes(self):
         self.assertEqual(cell_map("n", directory(0)).home(POOL, 7), Cell(POOL, 0, 1))
 
 
 DOMAINS = {"a": "north", "b": "south", "c": "west"}
-# Two nodes in each region, named by it.
+# Two nodes in each region, named after it.
 NODES = {f"{region} {number}": region for region in DOMAINS.values() for number in range(2)}
 
 
 def spread(replicas: int, leaving: str = "", without: str = "") -> UpstreamDirectory:
-    """Return a directory of replicas spread over the domains; those of ``leaving`` leave."""
+    """Return a directory of replicas spread over the failure domains.
+
+    Those of the domain ``leaving`` are leaving, and the domain ``without`` has none.
+    """
     made = directory(0)
     objects = []
     for number in range(replicas):
@@ -93,7 +97,7 @@
 
 
 def map_of(node: str, known: UpstreamDirectory, nodes: dict[str, str] | None = None) -> CellMap:
-    """Return the map of a ``node`` that can use ``nodes``, each in its region."""
+    """Return the cell map of ``node``, which can use ``nodes``, given with their regions."""
     usable = NODES if nodes is None else nodes
 
     def usable_in(region: str = "") -> list[str]:
@@ -104,7 +108,7 @@
 
 
 class RegionTests(unittest.TestCase):
-    def test_each_cell_is_dispatched_in_its_region_by_everybodys_word(self):
+    def test_all_nodes_choose_the_same_dispatcher_in_the_region_of_a_cell(self):
         known = spread(30)
         maps = [map_of(node, known) for node in NODES]
         for cell in maps[0].cells(POOL):
@@ -118,13 +122,13 @@
         west = next(cell for cell in cells.cells(POOL) if cell.region == "west")
         self.assertIn(cells.dispatcher(west), nodes)
 
-    def test_region_cut_off_dispatches_its_own_cell(self):
+    def test_partitioned_region_dispatches_its_own_cell(self):
         nodes = {name: region for name, region in NODES.items() if region == "west"}
         cells = map_of("west 0", spread(30), nodes)
         (home,) = cells.homes(POOL)
         self.assertEqual((home.region, NODES[cells.dispatcher(home)]), ("west", "west"))
 
-    def test_entries_ask_their_own_region(self):
+    def test_entries_use_cells_of_their_own_region(self):
         known = spread(30)
         for node, region in NODES.items():
             cells = map_of(node, known)
@@ -132,7 +136,7 @@
             homes = {cells.home(POOL, prefix).region for prefix in PREFIXES}
             self.assertEqual(homes, {region})
 
-    def test_bound_requests_are_not_sent_where_the_region_is_unknown(self):
+    def test_request_bound_to_a_region_avoids_cells_of_unknown_region(self):
         with mock.patch.dict(DOMAINS):
             del DOMAINS["b"]
             cells = map_of("west 0", spread(30))
@@ -140,14 +144,14 @@
             homes = cells.homes(POOL, ("north",))
             self.assertEqual({cell.region for cell in homes}, {"north"})
 
-    def test_entries_of_a_region_name_one_home_and_it_is_there(self):
-        # More than a cell's limit in each region.
+    def test_entries_of_a_region_choose_one_owner_cell_in_that_region(self):
+        # Each region has more replicas than the limit of a cell.
         known = spread(90)
         for prefix in PREFIXES:
             homes = {map_of(f"north {n}", known).home(POOL, prefix) for n in range(2)}
             self.assertEqual([cell.region for cell in homes], ["north"])
 
-    def test_one_home_in_the_fleet_is_the_same_for_all_entries(self):
+    def test_fleet_wide_owner_cell_is_the_same_for_all_entries(self):
         known = spread(90)
         for prefix in PREFIXES:
             homes = {map_of(node, known).home(POOL, prefix, anywhere=True) for node in NODES}
@@ -155,12 +159,12 @@
         found = {map_of("north 0", known).home(POOL, p, anywhere=True).region for p in PREFIXES}
         self.assertEqual(found, {"north", "south", "west"})
 
-    def test_one_home_in_the_fleet_is_in_an_allowed_region(self):
+    def test_fleet_wide_owner_cell_is_in_an_allowed_region(self):
         cells = map_of("north 0", spread(90))
         found = {cells.home(POOL, p, ("south", "west"), anywhere=True).region for p in PREFIXES}
         self.assertEqual(found, {"south", "west"})
 
-    def test_region_cut_off_is_nobodys_home_elsewhere(self):
+    def test_partitioned_region_owns_prefixes_only_for_its_own_entries(self):
         known = spread(90)
         inside = {name: region for name, region in NODES.items() if region == "west"}
         outside = {name: region for name, region in NODES.items() if region != "west"}
@@ -170,21 +174,21 @@
         found = {cells.home(POOL, p, anywhere=True).region for p in PREFIXES}
         self.assertEqual(found, {"north", "south"})
 
-    def test_region_that_takes_no_work_is_passed_over(self):
+    def test_region_that_accepts_no_work_is_skipped(self):
         for known in (spread(30, leaving="a"), spread(30, without="a")):
             cells = map_of("north 0", known)
             self.assertEqual({c.region for c in cells.homes(POOL)}, {"south", "west"})
             found = {cells.home(POOL, prefix).region for prefix in PREFIXES}
             self.assertEqual(found, {"south", "west"})
 
-    def test_requests_bound_to_regions_go_to_cells_there(self):
+    def test_requests_bound_to_regions_go_to_cells_of_these_regions(self):
         cells = map_of("north 0", spread(30))
         self.assertEqual([c.region for c in cells.homes(POOL, ("south",))], ["south"])
         self.assertEqual({c.region for c in cells.homes(POOL, ("south", "north"))}, {"north"})
         found = {cells.home(POOL, prefix, ("west",)).region for prefix in PREFIXES}
         self.assertEqual(found, {"west"})
 
-    def test_what_is_tried_next_is_in_an_allowed_region(self):
+    def test_fallback_cells_are_in_an_allowed_region(self):
         cells = map_of("north 0", spread(90))
         first = cells.homes(POOL)[0]
         regions = [cell.region for cell in cells.others(first)]
@@ -193,19 +197,19 @@
         allowed = cells.others(first, ("north", "west"))
         self.assertEqual({cell.region for cell in allowed}, {"north", "west"})
 
-    def test_numbers_name_the_same_cells_when_a_region_is_lost(self):
+    def test_cells_keep_their_numbers_when_another_region_is_lost(self):
         before, after = map_of("north 0", spread(30)), map_of("north 0", spread(30, without="a"))
         for cell in list(before.cells(POOL))[1:]:
             self.assertEqual(after.cell(POOL, cell.number), cell)
             self.assertEqual(after.dispatcher(cell), before.dispatcher(cell))
 
-    def test_way_counts_between_regions_only(self):
+    def test_round_trip_counts_between_regions_only(self):
         cells = map_of("north 0", spread(30))
         self.assertEqual(cells.way_seconds("north 0", "north 1"), 0.0)
         self.assertEqual(cells.way_seconds("north 0", "west 1"), WAY_SECONDS)
         self.assertEqual(cells.way_seconds("north 0", "nobody"), 0.0)
 
-    def test_fleet_of_one_region_is_as_without_regions(self):
+    def test_fleet_of_one_region_is_cut_like_one_without_regions(self):
         known = directory(78)
         plain = cell_map("n", known)
         regions = FleetRegions("north", {"a": "north", "b": "north"}, lambda node: "north")
@@ -222,7 +226,7 @@
 
 
 def _preferred_in(cells: CellMap, prefix: int, without: str = "") -> str:
-    """Return the replica that the dispatcher of the home of ``prefix`` prefers."""
+    """Return the replica that the dispatcher of the owner cell of ``prefix`` prefers."""
     names = cells.cells(POOL)[cells.home(POOL, prefix)]
     rooms = [ReplicaRoom(name, 1) for name in names if name != without]
     return _preferred(Ticket("n", 1, 1, "w", 0.0, 1.0, 0.0, prefix=prefix), rooms).name
--- a/tests/dispatch/test_entry.py
+++ b/tests/dispatch/test_entry.py
@@ -1,4 +1,4 @@
-"""The entry's side of a ticket, with answers that cross the end of its wait."""
+"""The entry's side of a ticket: forwarded tickets, late decisions and unusable grants."""
 
 import asyncio
 import random
@@ -41,7 +41,7 @@
 
 
 class PlaceTests(unittest.TestCase):
-    def test_request_whose_time_is_over_is_a_message_that_peers_read(self):
+    def test_overdue_request_is_encoded_so_that_peers_can_decode_it(self):
         late = replace(WANT, returns_within=-0.3)
         place = to_place(late, 1, 1, Cell("model", 0, 1), 0.2)
         frame = join_frame(0, [encode_message(place)])
@@ -50,7 +50,7 @@
 
 
 class Hub:
-    """Record what is sent, and let tests call the handlers."""
+    """Records the messages sent, and delivers messages of tests to the handlers."""
 
     def __init__(self) -> None:
         self.own = Identity(OWN, 1)
@@ -84,10 +84,10 @@
 
 
 class Cells:
-    """One cell, or ``count`` of them, dispatched elsewhere."""
+    """A cell map of ``count`` cells, all dispatched by another node."""
 
     count = 1
-    # Whether the home asked for last may be anywhere in the fleet.
+    # Whether the prefix owner requested last could be in any region.
     anywhere: bool | None = None
 
     def home(self, pool: str, prefix: int, regions: tuple[str, ...], anywhere: bool) -> Cell:
@@ -130,24 +130,24 @@
         self.clock = clock
 
 
-class PromptHomeTests(EntryTestCase):
+class PromptOwnerTests(EntryTestCase):
     def asked_anywhere(self, shared_tokens: int, patience: float) -> bool:
         want = replace(WANT, prefix=7, shared_tokens=shared_tokens, patience=patience)
         self.tickets.place(want, self.clock.monotonic())
         return self.cells.anywhere
 
-    async def test_long_beginning_is_asked_for_in_the_whole_fleet(self):
+    async def test_long_prefix_has_one_owner_in_the_whole_fleet(self):
         self.assertTrue(self.asked_anywhere(5000, 0.2))
 
-    async def test_short_beginning_stays_in_the_region(self):
+    async def test_short_prefix_has_an_owner_in_the_region(self):
         self.assertFalse(self.asked_anywhere(500, 0.2))
 
-    async def test_request_that_cannot_afford_the_way_stays_in_the_region(self):
+    async def test_request_with_a_short_wait_stays_in_the_region(self):
         self.assertFalse(self.asked_anywhere(5000, 0.1))
 
 
-class PassedTests(EntryTestCase):
-    """A ticket that its dispatcher passed on to a cell that this entry never asked."""
+class ForwardedTicketTests(EntryTestCase):
+    """A ticket that its dispatcher forwarded to a cell that this entry never used."""
 
     async def passed(self) -> Booking:
         self.cells.count = 2
@@ -156,16 +156,16 @@
         return booking
 
     def told(self) -> list[Resync]:
-        """Return what was told of the other cell."""
+        """Return the resyncs of the other cell."""
         return [m for m in self.hub.sent if isinstance(m, Resync) and m.cell == 1]
 
-    async def test_its_grant_comes_from_there(self):
+    async def test_grant_of_the_other_cell_is_accepted(self):
         booking = await self.passed()
         self.hub.deliver(Granted(booking.number, 1, "i-1", 0))
         self.assertEqual(await booking.granted, "i-1")
 
-    async def test_dispatcher_there_is_told_so_that_a_lost_grant_keeps_no_slot(self):
-        """A grant is lost where there is no link yet, and the entry may have given up since."""
+    async def test_other_dispatcher_is_resynced_so_that_a_lost_grant_holds_no_slot(self):
+        """A grant is lost if there is no link yet, and the ticket may be withdrawn by then."""
         booking = await self.passed()
         self.tickets.withdraw(booking)
         self.tickets.tick()
@@ -174,13 +174,13 @@
         self.tickets.tick()
         self.assertEqual(len(self.told()), 1)
 
-    async def test_what_still_waits_is_told_with_it(self):
+    async def test_resync_includes_the_ticket_while_it_waits(self):
         booking = await self.passed()
         self.tickets.tick()
         (resync,) = self.told()
         self.assertEqual([place.number for place in resync.waiting], [booking.number])
 
-    async def test_dispatcher_there_is_told_where_its_grant_was_heard_first(self):
+    async def test_other_dispatcher_is_resynced_if_its_grant_arrives_before_the_move(self):
         self.cells.count = 2
         booking = self.tickets.place(WANT, self.clock.monotonic())
         self.hub.handlers[Granted](FAR, Granted(booking.number, 1, "i-1", 0))
@@ -189,13 +189,13 @@
         (resync,) = self.told()
         self.assertEqual([flight.number for flight in resync.flights], [booking.number])
 
-    async def test_dispatcher_of_another_region_is_told_what_ended_while_it_was_cut_off(self):
+    async def test_dispatcher_of_another_region_learns_of_calls_that_ended_in_a_partition(self):
         booking = await self.passed()
         self.hub.handlers[Granted](FAR, Granted(booking.number, 1, "i-1", 0))
         self.tickets.tick()
         self.cells.way_seconds = lambda entry, dispatcher: WAY_SECONDS * (dispatcher == FAR)
         self.tickets._link_down(FAR)
-        # No link carries this.
+        # The link is down, so this release does not arrive.
         self.tickets.release(booking, 1.0, CallResult.GOOD)
         self.tickets._link_up(Identity(FAR, 1))
         self.hub.sent.clear()
@@ -204,9 +204,9 @@
         self.assertEqual(self.hub.sent[0].flights, [])
 
 
-class CrossingTests(EntryTestCase):
+class LateDecisionTests(EntryTestCase):
     async def answer_at_the_end_of_the_wait(self, message) -> NotRun:
-        """Let ``message`` come after the wait has ended and before its task runs again."""
+        """Deliver ``message`` after the wait has ended and before its task runs again."""
         task = asyncio.ensure_future(self.acquirer.acquire(WANT, 30.0))
         await asyncio.sleep(0)
         self.tickets.waiting()[0].granted.cancel()
@@ -214,26 +214,26 @@
         with self.assertRaises(asyncio.CancelledError):
             await task
 
-    async def test_grant_is_handed_back_and_the_ticket_forgotten(self):
+    async def test_grant_is_returned_and_the_ticket_dropped(self):
         await self.answer_at_the_end_of_the_wait(Granted(1, 1, "i-1", 0))
         self.assertEqual(len(self.tickets), 0)
         released = [message for message in self.hub.sent if isinstance(message, Release)]
         self.assertEqual([(r.number, r.attempt, r.cost) for r in released], [(1, 1, 0)])
 
-    async def test_refusal_changes_nothing_and_the_ticket_is_withdrawn(self):
+    async def test_refusal_is_ignored_and_the_ticket_withdrawn(self):
         await self.answer_at_the_end_of_the_wait(Refused(1, 1, Reason.NO_ROOM))
         self.assertEqual(len(self.tickets), 0)
         cancelled = [message for message in self.hub.sent if isinstance(message, Cancel)]
         self.assertEqual([message.number for message in cancelled], [1])
 
-    async def test_dispatcher_says_when_to_come_back(self):
+    async def test_refusal_has_the_retry_time_of_the_dispatcher(self):
         task = asyncio.ensure_future(self.acquirer.acquire(WANT, 30.0))
         await asyncio.sleep(0)
         self.hub.deliver(Refused(1, 1, Reason.OVER_SHARE, 1250))
         outcome = await task
         self.assertEqual((outcome.reason, outcome.come_back), (Reason.OVER_SHARE, 1.25))
 
-    async def test_only_who_found_no_room_asks_another_cell(self):
+    async def test_another_cell_is_tried_only_if_the_first_has_no_capacity(self):
         self.cells.count = 2
         for reason, placed in ((Reason.EXPIRED, 1), (Reason.NO_ROOM, 2)):
             with self.subTest(reason=reason):
@@ -246,7 +246,7 @@
                 self.assertEqual(len(asked), placed)
                 task.cancel()
 
-    async def test_grant_in_time_is_kept(self):
+    async def test_grant_in_time_is_accepted(self):
         task = asyncio.ensure_future(self.acquirer.acquire(WANT, 30.0))
         await asyncio.sleep(0)
         self.hub.deliver(Granted(1, 1, "i-1", 0))
@@ -254,14 +254,14 @@
         self.assertEqual((booking.replica, len(self.tickets)), ("i-1", 1))
 
 
-class ClosedReplicaTests(EntryTestCase):
-    """A dispatcher grants a replica that this node may not send to."""
+class UnusableGrantTests(EntryTestCase):
+    """A dispatcher grants a replica that this node cannot send to."""
 
     def ask(self, want: PoolRequest = WANT) -> asyncio.Task:
         return asyncio.ensure_future(self.acquirer.acquire(want, 30.0))
 
     async def grant(self, replica: str) -> None:
-        """Answer the ticket that waits."""
+        """Grant ``replica`` to the ticket that waits."""
         await asyncio.sleep(0)
         booking = self.tickets.waiting()[0]
         self.hub.deliver(Granted(booking.number, booking.attempt, replica, 0))
@@ -272,7 +272,7 @@
         self.rests.asked(replica, seconds, self.clock.monotonic())
 
     def placed(self) -> list[Place]:
-        """Return the tickets that were placed, with a first message or by themselves."""
+        """Return the tickets that were placed, in a resync or in a message of their own."""
         told = []
         for message in self.hub.sent:
             told += message.waiting if isinstance(message, Resync) else []
@@ -282,7 +282,7 @@
     def released(self) -> list[Release]:
         return [message for message in self.hub.sent if isinstance(message, Release)]
 
-    async def test_replica_that_rests_is_given_back_uncharged_and_another_one_asked_for(self):
+    async def test_grant_of_a_replica_in_backoff_is_returned_uncharged_and_excluded(self):
         task = self.ask()
         await asyncio.sleep(0)
         self.rest("i-1")
@@ -292,7 +292,7 @@
         self.assertEqual([(r.number, r.cost, r.result) for r in self.released()], [(1, 0, 0)])
         self.assertEqual([list(place.excluded) for place in self.placed()], [[], ["i-1"]])
 
-    async def test_dispatcher_that_grants_a_leaving_replica_is_told(self):
+    async def test_dispatcher_that_grants_a_leaving_replica_is_sent_its_record(self):
         self.directory.sign_leaving("i-1", Source.ANSWER, 0.0)
         task = self.ask()
         await self.grant("i-1")
@@ -302,7 +302,7 @@
         await self.grant("i-2")
         self.assertEqual((await task).replica, "i-2")
 
-    async def test_dispatcher_that_grants_it_again_and_again_does_not_make_a_loop(self):
+    async def test_repeated_grants_of_an_unusable_replica_end_in_a_refusal(self):
         self.rest("i-1")
         task = self.ask()
         for _ in range(MOST_GRANTS):
@@ -311,7 +311,7 @@
         self.assertEqual((outcome.reason, len(self.tickets)), (Reason.NO_ROOM, 0))
         self.assertEqual(len(self.released()), MOST_GRANTS)
 
-    async def test_new_ticket_has_waited_as_long_as_the_request(self):
+    async def test_waiting_time_of_a_new_ticket_counts_from_the_request(self):
         task = self.ask()
         await asyncio.sleep(0.05)
         self.rest("i-1")
@@ -319,14 +319,14 @@
         self.assertGreaterEqual(self.placed()[-1].waited, 50)
         task.cancel()
 
-    async def test_where_all_rest_nothing_is_placed_and_the_first_end_is_told(self):
+    async def test_if_all_replicas_are_in_backoff_the_retry_time_is_the_first_end(self):
         for replica, seconds in (("i-1", 9.0), ("i-2", 4.0), ("i-3", 30.0)):
             self.rest(replica, seconds)
         outcome = await self.acquirer.acquire(WANT, 30.0)
         self.assertEqual((outcome.reason, self.placed()), (Reason.NO_ROOM, []))
         self.assertTrue(3.5 <= outcome.come_back <= 4.0 + COME_BACK_SPREAD_SECONDS)
 
-    async def test_replicas_of_other_regions_are_no_help(self):
+    async def test_replicas_of_other_regions_do_not_count_for_a_bound_request(self):
         for replica in ("i-1", "i-2"):
             self.rest(replica)
         away = {**RECORD, "failure_domain": "z"}
@@ -338,7 +338,7 @@
         outcome = await self.acquirer.acquire(replace(WANT, regions=("north",)), 30.0)
         self.assertEqual(outcome.reason, Reason.NO_ROOM)
 
-    async def test_one_request_tries_a_replica_whose_rest_has_passed(self):
+    async def test_only_one_request_tries_a_replica_whose_backoff_has_ended(self):
         self.rest("i-1", 0.0)
         await asyncio.sleep(0.01)
         first, second = self.ask(), self.ask()
--- a/tests/dispatch/test_reach.py
+++ b/tests/dispatch/test_reach.py
@@ -1,4 +1,4 @@
-"""A dispatcher that was left, on a link that went silent or comes to life again."""
+"""An unreachable dispatcher whose link stays silent, or carries messages again."""
 
 import asyncio
 import random
@@ -16,7 +16,7 @@
 
 
 class Clock:
-    """A clock that tests set."""
+    """A clock that tests advance."""
 
     now = 100.0
 
@@ -28,7 +28,7 @@
 
 
 class Hub:
-    """Links that stay open and may carry nothing."""
+    """A hub whose link stays open, and carries nothing until a test says so."""
 
     def __init__(self) -> None:
         self.own = Identity(OWN, 1)
@@ -70,7 +70,7 @@
         self.clock.now += seconds
         self.reach.tick()
 
-    async def test_silent_link_is_given_up_and_a_new_one_is_dialled(self):
+    async def test_silent_link_is_dropped_and_dialled_again(self):
         self.tick(LINK_SILENT_SECONDS + 0.1)
         self.assertEqual(self.hub.dropped, 1)
         self.tick(0.5)
--- a/tests/dispatch/test_rollouts.py
+++ b/tests/dispatch/test_rollouts.py
@@ -1,4 +1,4 @@
-"""Allowances reach the cells of a node, evidence its coordinator, and entries refuse old grants."""
+"""Rollouts at one node: allowances to its cells, evidence sent back, and checks of grants."""
 
 import random
 import unittest
@@ -44,7 +44,7 @@
 
 
 class SteppedClock(Clock):
-    """A clock that tests move."""
+    """A clock that tests advance."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -58,7 +58,7 @@
 
 
 class Hub:
-    """Record what is sent, and let tests call the handlers."""
+    """Records the messages sent, and delivers messages of tests to the handlers."""
 
     def __init__(self) -> None:
         self.own = Identity(OWN, 1)
@@ -88,14 +88,14 @@
         self.handlers[type(message)](node, message)
 
     def take(self, kind) -> list:
-        """Return what was sent of ``kind``, and forget it."""
+        """Remove the sent messages of type ``kind``, and return them."""
         found = [message for _, message in self.sent if isinstance(message, kind)]
         self.sent = [pair for pair in self.sent if not isinstance(pair[1], kind)]
         return found
 
 
 class Book:
-    """The agreed interface to rollouts, set by tests."""
+    """A rollout registry that tests set."""
 
     def __init__(self) -> None:
         self.order: Order | None = None
@@ -119,7 +119,7 @@
 
 
 class Loads:
-    """Replicas report nothing."""
+    """Load reports of replicas that report nothing."""
 
     def on_report(self, listener) -> None:
         pass
@@ -129,7 +129,7 @@
 
 
 class Trials:
-    """No request ends replicas."""
+    """Trials of a fleet in which no request crashes replicas."""
 
     def undecided(self, fingerprint: int) -> bool:
         return False
@@ -202,7 +202,7 @@
         self.hub.deliver(COORDINATOR, message)
 
     def place(self, route: int = 0) -> str:
-        """Place a ticket, and return the replica that is granted, empty if none is."""
+        """Place a ticket, and return the granted replica, or an empty string if there is none."""
         self.number += 1
         want = PoolRequest(f"r-{self.number}", "model", "one", 0.0, 10.0, False, route=route)
         self.hub.deliver(ENTRY, to_place(want, self.number, 1, CELL, 0.0))
@@ -212,7 +212,7 @@
         self.hub.deliver(ENTRY, Release(self.number, 1, 10, int(result)))
 
     def serve(self, count: int, route: int = 0) -> dict[str, int]:
-        """Serve calls one after the other, and return how many each version got."""
+        """Serve ``count`` calls one after the other, and return how many each version got."""
         served = {"old": 0, "new": 0, "": 0}
         for _ in range(count):
             served[self.place(route)[:3]] += 1
@@ -224,30 +224,30 @@
 
 
 class AllowanceTests(RolloutCase):
-    async def test_target_gets_nothing_before_an_allowance(self):
+    async def test_target_gets_no_calls_before_an_allowance(self):
         self.order()
         self.assertEqual(self.serve(40), {"old": 40, "new": 0, "": 0})
 
-    async def test_allowance_moves_calls_until_it_lapses(self):
+    async def test_allowance_moves_calls_until_it_expires(self):
         self.order()
         self.allow(Stage.SHIFT)
         self.assertEqual(self.serve(40)["new"], 40)
         self.clock.now += 1.0
         self.assertEqual(self.serve(40)["old"], 40)
 
-    async def test_allowance_of_an_older_term_changes_nothing(self):
+    async def test_allowance_of_an_older_term_is_ignored(self):
         self.order()
         self.allow(Stage.HOLD, 0, term=2)
         self.allow(Stage.SHIFT, term=1)
         self.assertEqual(self.serve(40)["new"], 0)
 
-    async def test_allowance_of_another_order_changes_nothing(self):
+    async def test_allowance_of_another_order_is_ignored(self):
         self.order()
         self.allow(Stage.SHIFT, version=6)
         self.assertEqual(self.serve(40)["new"], 0)
         self.assertEqual(self.hub.take(RolloutEvidence), [])
 
-    async def test_allowance_of_an_unknown_cell_is_no_other_cells(self):
+    async def test_allowance_for_an_unknown_cell_applies_to_no_other_cell(self):
         self.order()
         message = RolloutAllowance("model", 3, 7, 1, 1, int(Stage.SHIFT), MANY, 1000, [])
         self.hub.deliver(COORDINATOR, message)
@@ -259,7 +259,7 @@
         self.order(version=9)
         self.assertEqual(self.serve(40)["new"], 0)
 
-    async def test_dispatcher_made_by_an_allowance_begins_with_its_calls(self):
+    async def test_dispatcher_created_by_an_allowance_sends_exactly_its_calls(self):
         self.order()
         self.assertEqual(self.dispatchers.dispatchers(), {})
         self.allow(Stage.CANARY, 3)
@@ -270,7 +270,7 @@
             self.end()
         self.assertEqual(served["new"], 3)
 
-    async def test_flight_of_an_earlier_dispatcher_counts_as_exposed(self):
+    async def test_in_flight_call_of_an_earlier_dispatcher_counts_as_exposed(self):
         self.order()
         flights = [FlightRecord(n, 1, "one", "new0", 10, 100, 1, 0) for n in (901, 902)]
         self.hub.deliver(ENTRY, Resync("model", 0, [], flights, []))
@@ -279,27 +279,27 @@
         self.assertEqual(self.serve(1)["new"], 1)
         self.assertEqual(self.serve(40)["new"], 0)
 
-    async def test_rollback_stops_what_the_allowance_lets(self):
+    async def test_rollback_stops_calls_despite_an_allowance(self):
         self.order()
         self.allow(Stage.SHIFT)
         self.book.set(None, "v2")
         self.assertEqual(self.serve(40), {"old": 40, "new": 0, "": 0})
 
-    async def test_success_stops_the_other_versions(self):
+    async def test_success_stops_calls_to_other_versions(self):
         self.order()
         self.book.set(None, "v1")
         self.assertEqual(self.serve(40), {"old": 0, "new": 40, "": 0})
 
 
 class NewVersionTests(RolloutCase):
-    async def test_version_without_an_order_is_held_for_a_moment(self):
+    async def test_version_without_an_order_gets_no_calls_for_a_moment(self):
         self.clock.now += 10.0
         self.list_replica("new0", "v2")
         self.assertEqual(self.serve(40)["new"], 0)
         self.clock.now += HOLD_SECONDS
         self.assertGreater(self.serve(40)["new"], 5)
 
-    async def test_order_that_comes_within_the_hold_is_not_overtaken(self):
+    async def test_order_that_arrives_within_the_hold_keeps_calls_away(self):
         self.clock.now += 10.0
         self.list_replica("new0", "v2")
         self.clock.now += HOLD_SECONDS / 2
@@ -309,7 +309,7 @@
 
 
 class NoRolloutsTests(unittest.TestCase):
-    def test_no_version_is_held_where_nothing_follows_rollouts(self):
+    def test_no_version_is_held_if_rollouts_are_not_followed(self):
         clock = SteppedClock()
         directory = UpstreamDirectory(
             lambda *told: None, EventLog(OWN, clock), clock.monotonic, clock.wall
@@ -326,7 +326,7 @@
 
 
 class EvidenceTests(RolloutCase):
-    async def test_evidence_is_told_at_once_and_then_by_and_by(self):
+    async def test_evidence_is_sent_on_an_allowance_and_then_periodically(self):
         self.order()
         self.allow(Stage.CANARY, 20)
         self.assertEqual(self.hub.sent[-1][0], COORDINATOR)
@@ -335,7 +335,7 @@
         self.rollouts.tell_all()
         self.assertEqual(self.evidence().arrivals, 10)
 
-    async def test_coordinator_that_is_not_heard_is_told_no_more(self):
+    async def test_coordinator_that_timed_out_is_sent_no_evidence(self):
         self.order()
         self.allow(Stage.CANARY, 20)
         self.hub.sent.clear()
@@ -343,7 +343,7 @@
         self.rollouts.tell_all()
         self.assertEqual(self.hub.sent, [])
 
-    async def test_ended_order_is_told_no_more(self):
+    async def test_no_evidence_is_sent_of_an_ended_order(self):
         self.order()
         self.allow(Stage.CANARY, 20)
         self.hub.sent.clear()
@@ -351,7 +351,7 @@
         self.rollouts.tell_all()
         self.assertEqual(self.hub.take(RolloutEvidence), [])
 
-    async def test_sums_by_route_and_version(self):
+    async def test_evidence_has_sums_by_route_and_version(self):
         self.order()
         self.allow(Stage.CANARY, 4)
         for step in range(20):
@@ -370,7 +370,7 @@
         self.assertEqual(sums[5, "v2", "new0"].failed, 2)
         self.assertEqual(sum(sums[5, "v1", ""].first), 16)
 
-    async def test_running_counts_calls_on_other_versions(self):
+    async def test_running_counts_in_flight_calls_on_other_versions(self):
         self.order()
         self.place()
         self.place()
@@ -381,7 +381,7 @@
 
 
 class RouteTests(unittest.TestCase):
-    def test_route_travels_from_entry_to_ticket(self):
+    def test_route_is_passed_from_the_request_to_the_ticket(self):
         route = route_fingerprint("briefings")
         want = PoolRequest("r", "model", "one", 0.0, 10.0, False, route=route)
         place = to_place(want, 1, 1, CELL, 0.0)
@@ -395,14 +395,14 @@
 
 
 class GateTests(RolloutCase):
-    async def test_grant_of_a_version_that_was_rolled_back_is_not_sent(self):
+    async def test_grant_of_a_version_that_was_rolled_back_is_rejected(self):
         self.order()
         self.assertEqual(self.gate.admit("new0"), "")
         self.book.set(None, "v2")
         self.assertIn("rolled back", self.gate.admit("new0"))
         self.assertEqual(self.gate.admit("old0"), "")
 
-    async def test_request_is_refused_where_all_that_takes_work_rests(self):
+    async def test_request_is_refused_if_all_replicas_that_accept_work_are_in_backoff(self):
         self.order()
         self.book.set(None, "v2")
         want = PoolRequest("r", "model", "one", 0.0, 10.0, False)
@@ -411,11 +411,11 @@
         self.assertIsNotNone(self.gate.refusal(want))
 
 
-class HomeCellTests(RolloutCase):
+class PrefixOwnerTests(RolloutCase):
     def holder(self, prefix: int) -> str | None:
         return self.cells._holder("model", prefix, list(self.cells.cells("model")))
 
-    async def test_prompts_keep_their_cells_until_the_rollout_has_succeeded(self):
+    async def test_prefixes_keep_their_owners_until_the_rollout_has_succeeded(self):
         before = {prefix: self.holder(prefix) for prefix in range(1, 60)}
         self.order()
         during = {prefix: self.holder(prefix) for prefix in range(1, 60)}
@@ -426,7 +426,7 @@
 
 
 class LargePoolTests(RolloutCase):
-    async def test_each_cell_has_replicas_of_both_versions_and_keeps_its_own(self):
+    async def test_each_cell_gets_replicas_of_both_versions_and_keeps_its_own(self):
         for number in range(70):
             self.list_replica(f"old{number:03}", "v1")
         before = self.cells.cells("model")
@@ -447,7 +447,7 @@
 
 
 class LogTests(RolloutCase):
-    async def test_canary_grant_says_version_and_stage(self):
+    async def test_log_of_a_canary_grant_has_version_and_stage(self):
         self.order()
         self.allow(Stage.CANARY, 1)
         self.place()
@@ -456,7 +456,7 @@
         self.assertEqual(told[-1].facts["stage"], "CANARY")
         self.assertEqual(told[-1].facts["ticket"], f"{ENTRY}#1")
 
-    async def test_entry_names_the_version_while_a_rollout_runs(self):
+    async def test_log_of_an_entry_has_the_version_while_a_rollout_runs(self):
         want = PoolRequest("r-1", "model", "one", 0.0, 10.0, False)
         for running in (False, True):
             if running:
