--- a/tests/dispatch/test_rollouts.py
+++ b/tests/dispatch/test_rollouts.py
@@ -411,7 +411,7 @@
         self.assertIsNotNone(self.gate.refusal(want))
 
 
-class PrefixOwnerTests(RolloutCase):
+class RolloutPrefixOwnerTests(RolloutCase):
     def holder(self, prefix: int) -> str | None:
         return self.cells._holder("model", prefix, list(self.cells.cells("model")))
 
