--- a/railsail/dispatch/service.py
+++ b/railsail/dispatch/service.py
@@ -16,7 +16,7 @@
 from railsail.dispatch.loads import LoadReports
 from railsail.dispatch.replicas import CellReplicas
 from railsail.dispatch.rolloutlog import RolloutLog
-from railsail.dispatch.shares import SharesLog
+from railsail.dispatch.shares import ShareLog
 from railsail.objects.catalog import Catalog
 from railsail.peers.hub import PeerHub
 from railsail.peers.link import Identity
@@ -91,7 +91,7 @@
         self._entry_starts: dict[str, int] = {}
         self._used_at: dict[Cell, float] = {}
         self._to_look_at: set[Cell] = set()
-        self._shares = SharesLog(kernel.events)
+        self._share_log = ShareLog(kernel.events)
         self._rollouts = RolloutLog(self._dispatchers, kernel)
         self._loads = loads
         loads.on_report(self._reported)
@@ -133,8 +133,8 @@
 
     def _to_place(self, ticket: Ticket, cell: Cell, node: str) -> Place:
         waited = self._clock.monotonic() - ticket.enqueued_at
-        if not self._cells.way_seconds(ticket.entry, self._hub.own.node):
-            waited += self._cells.way_seconds(ticket.entry, node)
+        if not self._cells.round_trip_seconds(ticket.entry, self._hub.own.node):
+            waited += self._cells.round_trip_seconds(ticket.entry, node)
         return to_place(ticket, ticket.number, ticket.attempt, cell, waited)
 
     def renew_replicas(self) -> None:
@@ -168,7 +168,7 @@
             self._replicas.set_cold(cell, dispatcher)
             self._pump(cell, dispatcher)
             self._loads.ask(cell, dispatcher)
-            self._shares.tell(cell, dispatcher, now)
+            self._share_log.log(cell, dispatcher, now)
             self._drop_idle(cell, dispatcher, now)
 
     def dispatcher(self, pool: str, number: int) -> tuple[Cell, CellDispatcher]:
@@ -394,7 +394,7 @@
         if idle and not mine and now - self._used_at[cell] > IDLE_SECONDS:
             del self._dispatchers[cell]
             del self._used_at[cell]
-            self._shares.forget(cell)
+            self._share_log.forget(cell)
 
     def _forget_keys(self) -> None:
         for key, cell in list(self._where.items()):
