--- a/railsail/dispatch/acquire.py
+++ b/railsail/dispatch/acquire.py
@@ -18,7 +18,7 @@
 # A request is refused after this many grants of replicas that it cannot be sent to. The next ticket
 # names these replicas as excluded, so the second grant is usable unless the state changed in the
 # meantime or the dispatcher runs an older build.
-MOST_GRANTS = 8
+MAX_GRANTS = 8
 _REFUSALS = {
     Reason.EXPIRED: "no replica had room in time",
     Reason.OVER_SHARE: "its workspace had its share of the replicas while others waited",
@@ -38,88 +38,93 @@
         self._clock = kernel.clock
         self._events = kernel.events
 
-    async def acquire(self, want: PoolRequest, seconds: float) -> Booking | NotRun:
-        """Wait up to ``seconds`` for a replica, and return the pending call that holds its grant.
+    async def acquire(self, request: PoolRequest, max_wait: float) -> Booking | NotRun:
+        """Wait up to ``max_wait`` seconds for a replica.
 
-        The request can be sent to that replica immediately. Return ``NotRun`` if there is none.
+        Return the pending call with the grant, whose replica can be sent the request immediately,
+        or ``NotRun`` if there is none.
         """
-        asked_at = self._clock.monotonic()
-        closed = ""
-        for _ in range(MOST_GRANTS):
-            excluded = self._gate.excluded(want.pool)
-            if excluded != want.excluded:
-                want = replace(want, excluded=excluded)
-            booking = await self._wait_for_any(want, asked_at, seconds)
-            if isinstance(booking, NotRun):
-                return booking
-            closed = self._gate.admit(booking.replica)
-            if not closed:
-                return booking
-            self._gate.tell(booking.node, booking.replica)
-            self._tickets.give_back(booking, closed)
-            want = replace(want, avoid=booking.replica)
-        return NotRun(Reason.NO_ROOM, f"the replica that was granted last is not sent to: {closed}")
+        requested_at = self._clock.monotonic()
+        rejection = ""
+        for _ in range(MAX_GRANTS):
+            excluded = self._gate.excluded(request.pool)
+            if excluded != request.excluded:
+                request = replace(request, excluded=excluded)
+            call = await self._wait_for_any(request, requested_at, max_wait)
+            if isinstance(call, NotRun):
+                return call
+            rejection = self._gate.admit(call.replica)
+            if not rejection:
+                return call
+            self._gate.send_if_leaving(call.node, call.replica)
+            self._tickets.return_grant(call, rejection)
+            request = replace(request, avoid=call.replica)
+        return NotRun(
+            Reason.NO_ROOM, f"the replica that was granted last is not sent to: {rejection}"
+        )
 
     async def _wait_for_any(
-        self, want: PoolRequest, asked_at: float, seconds: float
+        self, request: PoolRequest, requested_at: float, max_wait: float
     ) -> Booking | NotRun:
-        """Wait for a grant of any replica until ``seconds`` after ``asked_at``."""
-        refusal = self._quarantined(want) or self._gate.refusal(want)
+        """Wait for a grant of any replica until ``max_wait`` seconds after ``requested_at``."""
+        refusal = self._quarantined(request) or self._gate.refusal(request)
         if refusal is not None:
             return refusal
-        booking = self._tickets.place(want, asked_at)
-        left = asked_at + seconds - self._clock.monotonic()
+        call = self._tickets.place(request, requested_at)
+        remaining = requested_at + max_wait - self._clock.monotonic()
         try:
             # The dispatcher normally decides, and says when to retry. This timeout only covers a
             # dispatcher whose decision does not arrive in time.
-            async with asyncio.timeout(left + DECISION_SECONDS) as booking.limit:
-                await booking.granted
+            async with asyncio.timeout(remaining + DECISION_SECONDS) as call.limit:
+                await call.granted
         except TicketRefused as refusal:
-            return self._refused_by_dispatcher(booking, refusal)
+            return self._refused_by_dispatcher(call, refusal)
         except TimeoutError:
-            self._tell_expired(
-                booking,
-                cell=str(booking.cell),
-                dispatcher_heard_ms_ago=self._tickets.quiet_ms(booking),
+            self._log_expired(
+                call,
+                cell=str(call.cell),
+                dispatcher_heard_ms_ago=self._tickets.silent_ms(call),
             )
-            self._tickets.withdraw(booking)
+            self._tickets.withdraw(call)
             return NotRun(Reason.EXPIRED, _REFUSALS[Reason.EXPIRED])
         except asyncio.CancelledError:
-            self._tickets.withdraw(booking)
+            self._tickets.withdraw(call)
             raise
-        refusal = self._quarantined(want)
+        refusal = self._quarantined(request)
         if refusal is not None:
             # Another replica has crashed while running the same request during this wait.
-            self._tickets.withdraw(booking)
+            self._tickets.withdraw(call)
             return refusal
-        return booking
+        return call
 
-    def _quarantined(self, want: PoolRequest) -> NotRun | None:
-        refusal = self._quarantine.refusal(want.fingerprint)
+    def _quarantined(self, request: PoolRequest) -> NotRun | None:
+        refusal = self._quarantine.refusal(request.fingerprint)
         if refusal is not None:
-            self._quarantine.tell_refused(want.request_id, want.workspace, want.fingerprint)
+            self._quarantine.tell_refused(
+                request.request_id, request.workspace, request.fingerprint
+            )
         return refusal
 
-    def _refused_by_dispatcher(self, booking: Booking, refusal: TicketRefused) -> NotRun:
-        self._tell_expired(
-            booking,
+    def _refused_by_dispatcher(self, call: Booking, refusal: TicketRefused) -> NotRun:
+        self._log_expired(
+            call,
             "refused by the dispatcher",
             reason=refusal.reason,
-            returned=int(booking.want.returned),
+            returned=int(call.want.returned),
             come_back_ms=round(refusal.come_back * 1000),
         )
         detail = _REFUSALS.get(refusal.reason, "decided by the dispatcher")
         return NotRun(refusal.reason, detail, come_back=refusal.come_back)
 
-    def _tell_expired(self, booking: Booking, detail: str = "", **facts: Fact) -> None:
-        waited = self._clock.monotonic() - booking.placed_at
+    def _log_expired(self, call: Booking, detail: str = "", **facts: Fact) -> None:
+        waited = self._clock.monotonic() - call.placed_at
         self._events.emit(
             Kind.EXPIRED,
             detail,
-            booking.want.request_id,
-            booking.want.workspace,
-            ticket=self._tickets.ticket_name(booking),
-            dispatcher=booking.node,
+            call.want.request_id,
+            call.want.workspace,
+            ticket=self._tickets.ticket_name(call),
+            dispatcher=call.node,
             waited_ms=round(waited * 1000),
             **facts,
         )
--- a/railsail/dispatch/bookings.py
+++ b/railsail/dispatch/bookings.py
@@ -10,7 +10,7 @@
 from railsail.scheduling.tickets import Ticket
 
 URGENT_FLAG = 1
-RETURNED_FLAG = 2
+RETRY_FLAG = 2
 RANK_SCALE = 1000
 
 
@@ -104,7 +104,7 @@
 
 
 def to_place(
-    asked: PoolRequest | Ticket, number: int, attempt: int, cell: Cell, waited: float
+    request: PoolRequest | Ticket, number: int, attempt: int, cell: Cell, waited: float
 ) -> Place:
     """Return the message that places a ticket with ``cell`` after it ``waited`` that many seconds.
 
@@ -115,22 +115,22 @@
         attempt,
         cell.number,
         cell.pool,
-        asked.workspace,
-        round(asked.rank * RANK_SCALE),
-        round(asked.estimate),
+        request.workspace,
+        round(request.rank * RANK_SCALE),
+        round(request.estimate),
         max(0, round(waited * 1000)),
-        (URGENT_FLAG if asked.urgent else 0) | (RETURNED_FLAG if asked.returned else 0),
-        asked.prefix,
-        asked.avoid,
-        asked.prompt_tokens,
-        asked.shared_tokens,
-        round(asked.objective * 1000),
-        round(asked.patience * 1000),
-        max(0, round(asked.returns_within * 1000)),
-        list(asked.regions),
-        asked.fingerprint,
-        list(asked.excluded),
-        asked.route,
+        (URGENT_FLAG if request.urgent else 0) | (RETRY_FLAG if request.returned else 0),
+        request.prefix,
+        request.avoid,
+        request.prompt_tokens,
+        request.shared_tokens,
+        round(request.objective * 1000),
+        round(request.patience * 1000),
+        max(0, round(request.returns_within * 1000)),
+        list(request.regions),
+        request.fingerprint,
+        list(request.excluded),
+        request.route,
     )
 
 
@@ -154,7 +154,7 @@
         prompt_tokens=message.prompt_tokens,
         shared_tokens=message.shared_tokens,
         objective=message.objective / 1000,
-        returned=bool(message.flags & RETURNED_FLAG),
+        returned=bool(message.flags & RETRY_FLAG),
         patience=message.patience / 1000,
         returns_within=message.returns_within / 1000,
         regions=tuple(message.regions),
--- a/railsail/dispatch/cellmap.py
+++ b/railsail/dispatch/cellmap.py
@@ -14,10 +14,10 @@
 
 # An entry sends tickets without a shared prompt prefix to at most this many cells of a pool, which
 # bounds the number of its links.
-HOME_CELLS = 4
+MAX_PREFERRED_CELLS = 4
 # Bounds the cache of prefix owners. Computing an owner takes 72 microseconds for 78 replicas, too
 # long to do it for each request.
-MOST_REMEMBERED = 4096
+MAX_CACHED_OWNERS = 4096
 
 
 class CellMap:
@@ -45,33 +45,33 @@
         self._regions = regions or FleetRegions()
         self._cells: dict[str, dict[Cell, list[str]]] = {}
         self._dispatchers: dict[Cell, str] = {}
-        self._nodes_of: dict[str, list[str]] = {}
-        self._open: dict[tuple[str, tuple[str, ...]], list[Cell]] = {}
-        self._reached: dict[tuple[str, tuple[str, ...]], list[Cell]] = {}
+        self._nodes_of_region: dict[str, list[str]] = {}
+        self._usable_cells: dict[tuple[str, tuple[str, ...]], list[Cell]] = {}
+        self._reachable_cells: dict[tuple[str, tuple[str, ...]], list[Cell]] = {}
         # Keyed by pool, prompt prefix, and the numbers of the candidate cells.
-        self._holders: dict[tuple[str, int, tuple[int, ...]], str | None] = {}
+        self._prefix_owners: dict[tuple[str, int, tuple[int, ...]], str | None] = {}
         directory.on_change(self._replicas_changed)
 
     def _replicas_changed(self) -> None:
-        self._holders.clear()
+        self._prefix_owners.clear()
         self.forget()
 
     def forget(self) -> None:
         """Drop all cached results but the prefix owners; they are recomputed on demand."""
         self._cells.clear()
         self._dispatchers.clear()
-        self._nodes_of.clear()
-        self._open.clear()
-        self._reached.clear()
+        self._nodes_of_region.clear()
+        self._usable_cells.clear()
+        self._reachable_cells.clear()
 
     def cells(self, pool: str) -> dict[Cell, list[str]]:
         """Return the replicas of each cell of ``pool``."""
         if pool not in self._cells:
             upstreams = self._directory.of_pool(pool)
-            of_domains = self._regions.of_domains
-            regions = {each.name: of_domains.get(each.failure_domain, "") for each in upstreams}
+            by_domain = self._regions.by_domain
+            regions = {each.name: by_domain.get(each.failure_domain, "") for each in upstreams}
             settled = {u.name: regions[u.name] for u in upstreams if self._directory.settled(u)}
-            cells = cut_by_region(pool, settled or regions, self._limit, self._regions.named)
+            cells = cut_by_region(pool, settled or regions, self._limit, self._regions.names)
             # Replicas that a rollout is trying, or has stopped, do not change how a pool is cut.
             # They are added to its cells evenly, since a cell needs replicas of both versions.
             self._cells[pool] = spread(cells, regions)
@@ -80,8 +80,8 @@
     def cell(self, pool: str, number: int) -> Cell:
         """Return the cell of ``pool`` with ``number``, or another cell if there is none."""
         cells = list(self.cells(pool))
-        named = (cell for cell in cells if cell.number == number)
-        return next(named, cells[min(number, len(cells) - 1)])
+        matching = (cell for cell in cells if cell.number == number)
+        return next(matching, cells[min(number, len(cells) - 1)])
 
     def dispatcher(self, cell: Cell) -> str:
         """Return the node that dispatches ``cell``, or this node if no node is usable."""
@@ -94,21 +94,21 @@
 
     def _nodes(self, region: str) -> list[str]:
         """Return the usable nodes of ``region``, or all usable nodes if it has none."""
-        if region not in self._nodes_of:
-            near = self._usable(region) if region else self._usable()
-            self._nodes_of[region] = near or (self._nodes("") if region else [])
-        return self._nodes_of[region]
+        if region not in self._nodes_of_region:
+            in_region = self._usable(region) if region else self._usable()
+            self._nodes_of_region[region] = in_region or (self._nodes("") if region else [])
+        return self._nodes_of_region[region]
 
-    def far_dispatchers(self, pool: str) -> set[str]:
+    def remote_dispatchers(self, pool: str) -> set[str]:
         """Return the nodes that dispatch the cells of ``pool`` in other regions than this one."""
         cells = [c for c in self.cells(pool) if c.region and c.region != self._regions.own]
         return {self.dispatcher(cell) for cell in cells}
 
-    def way_seconds(self, entry: str, dispatcher: str) -> float:
+    def round_trip_seconds(self, entry: str, dispatcher: str) -> float:
         """Return the network round trip between two nodes if it crosses regions, else 0."""
-        return self._regions.way_seconds(entry, dispatcher)
+        return self._regions.round_trip_seconds(entry, dispatcher)
 
-    def home(
+    def owner_cell(
         self, pool: str, prefix: int, regions: tuple[str, ...] = (), anywhere: bool = False
     ) -> Cell:
         """Return the cell of the replica that owns ``prefix``, and should have it in its cache.
@@ -117,71 +117,73 @@
         prefills the prefix and not each of them. With ``anywhere`` the owner is the same for the
         entries of all regions, and can be in any region.
         """
-        choice = self.reached_cells if anywhere else self.open_cells
-        cells = choice(pool, regions)
-        holder = self._holder(pool, prefix, cells)
-        return next((cell for cell in cells if holder in self.cells(pool)[cell]), cells[0])
+        cells_for = self.reachable_cells if anywhere else self.usable_cells
+        cells = cells_for(pool, regions)
+        owner = self._prefix_owner(pool, prefix, cells)
+        return next((cell for cell in cells if owner in self.cells(pool)[cell]), cells[0])
 
-    def _holder(self, pool: str, prefix: int, cells: list[Cell]) -> str | None:
+    def _prefix_owner(self, pool: str, prefix: int, cells: list[Cell]) -> str | None:
         key = (pool, prefix, tuple(cell.number for cell in cells))
-        if key not in self._holders:
-            if len(self._holders) >= MOST_REMEMBERED:
-                self._holders.clear()
-            held = self.cells(pool)
-            names = [name for cell in cells for name in held[cell]]
-            staying = [name for name in names if self._keeps_prefixes(name)]
-            self._holders[key] = choose(str(prefix), staying or names)
-        return self._holders[key]
-
-    def _keeps_prefixes(self, replica: str) -> bool:
+        if key not in self._prefix_owners:
+            if len(self._prefix_owners) >= MAX_CACHED_OWNERS:
+                self._prefix_owners.clear()
+            replicas = self.cells(pool)
+            names = [name for cell in cells for name in replicas[cell]]
+            owners = [name for name in names if self._can_own_prefixes(name)]
+            self._prefix_owners[key] = choose(str(prefix), owners or names)
+        return self._prefix_owners[key]
+
+    def _can_own_prefixes(self, replica: str) -> bool:
         upstream = self._directory.get(replica)
         return upstream is not None and self._directory.keeps_prefixes(upstream)
 
-    def _takes_work(self, replica: str) -> bool:
+    def _replica_takes_work(self, replica: str) -> bool:
         upstream = self._directory.get(replica)
         return upstream is not None and self._directory.takes_work(upstream)
 
-    def homes(self, pool: str, regions: tuple[str, ...] = ()) -> list[Cell]:
+    def preferred_cells(self, pool: str, regions: tuple[str, ...] = ()) -> list[Cell]:
         """Return the cells of ``pool`` to which this node sends its tickets, best first.
 
-        There are at most ``HOME_CELLS``. They are in one of ``regions``, if any are named.
+        There are at most ``MAX_PREFERRED_CELLS``. They are in one of ``regions``, if any are named.
         """
-        return self._ranked(self.open_cells(pool, regions))[:HOME_CELLS]
+        return self._ranked(self.usable_cells(pool, regions))[:MAX_PREFERRED_CELLS]
 
-    def others(self, cell: Cell, regions: tuple[str, ...] = ()) -> list[Cell]:
+    def fallback_cells(self, cell: Cell, regions: tuple[str, ...] = ()) -> list[Cell]:
         """Return the cells to try after ``cell``, those that this node usually uses first.
 
         In a fleet of several regions, all other allowed cells follow.
         """
-        homes = self.homes(cell.pool, regions)
-        rest = [other for other in self._allowed(cell.pool, regions) if other.region]
-        far = [other for other in self._ranked(rest) if other not in homes]
-        return [other for other in homes + far if other != cell]
+        preferred = self.preferred_cells(cell.pool, regions)
+        allowed = [other for other in self._allowed(cell.pool, regions) if other.region]
+        further = [other for other in self._ranked(allowed) if other not in preferred]
+        return [other for other in preferred + further if other != cell]
 
     def _ranked(self, cells: list[Cell]) -> list[Cell]:
         named = {str(cell): cell for cell in cells}
         return [named[name] for name in rank(f"homes of {self._own}", named)]
 
-    def open_cells(self, pool: str, regions: tuple[str, ...] = ()) -> list[Cell]:
+    def usable_cells(self, pool: str, regions: tuple[str, ...] = ()) -> list[Cell]:
         """Return the cells that this node can use: those of its own region, if any accept work."""
         key = (pool, regions)
-        if key not in self._open:
+        if key not in self._usable_cells:
             cells = self._allowed(pool, regions)
-            near = [cell for cell in cells if cell.region == self._regions.own]
-            self._open[key] = near or cells
-        return self._open[key]
+            in_own_region = [cell for cell in cells if cell.region == self._regions.own]
+            self._usable_cells[key] = in_own_region or cells
+        return self._usable_cells[key]
 
-    def reached_cells(self, pool: str, regions: tuple[str, ...] = ()) -> list[Cell]:
-        """Return the open cells, and those of other regions that have a usable node.
+    def reachable_cells(self, pool: str, regions: tuple[str, ...] = ()) -> list[Cell]:
+        """Return the usable cells, and those of other regions that have a usable node.
 
         A region without a usable node may be partitioned from this one, with its replicas.
         """
         key = (pool, regions)
-        if key not in self._reached:
-            near = self.open_cells(pool, regions)
+        if key not in self._reachable_cells:
+            usable = self.usable_cells(pool, regions)
             allowed = self._allowed(pool, regions)
-            self._reached[key] = [c for c in allowed if c in near or self._usable(c.region)]
-        return self._reached[key]
+            self._reachable_cells[key] = [
+                c for c in allowed if c in usable or self._usable(c.region)
+            ]
+        return self._reachable_cells[key]
 
     def _allowed(self, pool: str, regions: tuple[str, ...]) -> list[Cell]:
         """Return the cells in one of ``regions``, restricted to those that accept work.
@@ -200,4 +202,4 @@
         """
         if not cell.region:
             return True
-        return any(self._takes_work(name) for name in self.cells(cell.pool).get(cell, ()))
+        return any(self._replica_takes_work(name) for name in self.cells(cell.pool).get(cell, ()))
--- a/railsail/dispatch/gate.py
+++ b/railsail/dispatch/gate.py
@@ -21,7 +21,7 @@
 # Jitter on the retry time of callers that find all replicas in backoff. It spreads them evenly over
 # this time after the first backoff ends. One request tries that replica first, and its answer takes
 # part of the time.
-COME_BACK_SPREAD_SECONDS = 0.5
+RETRY_JITTER_SECONDS = 0.5
 
 
 class SendGate:
@@ -33,13 +33,13 @@
     def __init__(
         self,
         directory: UpstreamDirectory,
-        rests: ReplicaBackoffs,
+        backoffs: ReplicaBackoffs,
         regions: Mapping[str, str],
         hub: PeerHub,
         kernel: Kernel,
     ) -> None:
         self._directory = directory
-        self._rests = rests
+        self._backoffs = backoffs
         self._regions = regions
         self._hub = hub
         self._clock = kernel.clock
@@ -56,64 +56,64 @@
         if upstream is not None and not self._directory.takes_work(upstream):
             return "it leaves, or its failure domain is evacuated"
         now = self._clock.monotonic()
-        if self._rests.resting(replica, now):
+        if self._backoffs.resting(replica, now):
             return "it asked this node for rest"
-        self._rests.sent(replica, now)
+        self._backoffs.sent(replica, now)
         return ""
 
     def excluded(self, pool: str) -> tuple[str, ...]:
         """Return the replicas of ``pool`` that are in backoff at this node, the longest first."""
-        if not self._rests:
+        if not self._backoffs:
             return ()
-        resting = self._rests.all_resting(self._clock.monotonic())
-        names = [name for name in resting if self._is_of(pool, name)]
+        in_backoff = self._backoffs.all_resting(self._clock.monotonic())
+        names = [name for name in in_backoff if self._is_of(pool, name)]
         return tuple(names[:MOST_EXCLUDED])
 
     def _is_of(self, pool: str, replica: str) -> bool:
         upstream = self._directory.get(replica)
         return upstream is not None and upstream.pool == pool
 
-    def refusal(self, want: PoolRequest) -> NotRun | None:
-        """Return a refusal if no replica can run ``want`` now, else ``None``.
+    def refusal(self, request: PoolRequest) -> NotRun | None:
+        """Return a refusal if no replica can run ``request`` now, else ``None``.
 
         This is the case if all replicas are in backoff: the caller can retry when the first backoff
         ends. It is also the case if the request is bound to regions in which no replica accepts
         work.
         """
-        if want.regions and not self._any_takes(want):
+        if request.regions and not self._any_can_run(request):
             return NotRun(Reason.NO_ROOM, "no replica in its regions takes work")
-        if not self._rests:
+        if not self._backoffs:
             return None
-        first = self._first_end(want)
-        if first <= 0:
+        seconds = self._seconds_until_usable(request)
+        if seconds <= 0:
             return None
-        after = first + self._rng.uniform(0.0, COME_BACK_SPREAD_SECONDS)
+        retry_after = seconds + self._rng.uniform(0.0, RETRY_JITTER_SECONDS)
         detail = "all replicas asked this node for rest"
-        return NotRun(Reason.NO_ROOM, detail, retry_after=after, come_back=after)
+        return NotRun(Reason.NO_ROOM, detail, retry_after=retry_after, come_back=retry_after)
 
-    def _any_takes(self, want: PoolRequest) -> bool:
-        return any(self._may_run(want, u) for u in self._directory.each_of_pool(want.pool))
+    def _any_can_run(self, request: PoolRequest) -> bool:
+        return any(self._can_run(request, u) for u in self._directory.each_of_pool(request.pool))
 
-    def _first_end(self, want: PoolRequest) -> float:
-        """Return the seconds until a replica can be sent ``want``, 0 if one can now.
+    def _seconds_until_usable(self, request: PoolRequest) -> float:
+        """Return the seconds until a replica can be sent ``request``, 0 if one can now.
 
         It is also 0 if no replica accepts work at all, so that the dispatcher decides.
         """
         now = self._clock.monotonic()
-        first = math.inf
-        for upstream in self._directory.each_of_pool(want.pool):
-            if self._may_run(want, upstream):
-                first = min(first, self._rests.seconds_left(upstream.name, now))
-                if first <= 0:
+        seconds = math.inf
+        for upstream in self._directory.each_of_pool(request.pool):
+            if self._can_run(request, upstream):
+                seconds = min(seconds, self._backoffs.seconds_left(upstream.name, now))
+                if seconds <= 0:
                     break
-        return first if math.isfinite(first) else 0.0
+        return seconds if math.isfinite(seconds) else 0.0
 
-    def _may_run(self, want: PoolRequest, upstream: Upstream) -> bool:
+    def _can_run(self, request: PoolRequest, upstream: Upstream) -> bool:
         if not self._directory.takes_work(upstream):
             return False
-        return not want.regions or self._regions.get(upstream.failure_domain) in want.regions
+        return not request.regions or self._regions.get(upstream.failure_domain) in request.regions
 
-    def tell(self, node: str, replica: str) -> None:
+    def send_if_leaving(self, node: str, replica: str) -> None:
         """Send the dispatcher ``node`` the record of the granted ``replica``, if it is leaving."""
         upstream = self._directory.get(replica)
         if upstream is not None and upstream.leaving:
--- a/railsail/dispatch/reach.py
+++ b/railsail/dispatch/reach.py
@@ -5,17 +5,17 @@
 
 from railsail.core.events import Kind
 from railsail.core.kernel import Kernel
-from railsail.dispatch.silence import CHECK_SECONDS, SilenceWatch, Verdict
+from railsail.dispatch.silence import CHECK_INTERVAL_SECONDS, CheckResult, SilenceDetector
 from railsail.peers.hub import PeerHub
 from railsail.peers.messages import Probe
 
 # An open connection may have stopped carrying data where a new one would work. The link to an
 # unreachable node that does not answer probes for this many seconds is dropped and dialled again. A
 # node that is only slow has answered by then, and a new link would delay it further.
-LINK_SILENT_SECONDS = 2.0
+LINK_TIMEOUT_SECONDS = 2.0
 
 
-class DispatcherReach:
+class DispatcherReachability:
     """Tracks which dispatchers are unreachable: silent, or impossible to dial.
 
     ``in_use`` returns the nodes that hold tickets or calls of this entry. ``changed`` is called
@@ -34,21 +34,21 @@
         self._events = kernel.events
         self._in_use = in_use
         self._changed = changed
-        self._left_at: dict[str, float] = {}
+        self._unreachable_since: dict[str, float] = {}
         self._redialled: set[str] = set()
-        self._silence = SilenceWatch()
+        self._silence = SilenceDetector()
         self._checking: set[str] = set()
 
     @property
     def unreachable(self) -> set[str]:
         """Return the nodes that did not respond, or could not be dialled, when last used."""
-        return set(self._left_at)
+        return set(self._unreachable_since)
 
-    def asked(self, node: str) -> None:
+    def request_sent(self, node: str) -> None:
         """Record that a request was sent to ``node``, and check that it responds."""
-        if node == self._hub.own.node or node in self._left_at:
+        if node == self._hub.own.node or node in self._unreachable_since:
             return
-        self._silence.asked(node, self._clock.monotonic(), self._hub.last_heard(node))
+        self._silence.request_sent(node, self._clock.monotonic(), self._hub.last_heard(node))
         if node not in self._checking:
             self._checking.add(node)
             self._check_later(node)
@@ -56,57 +56,57 @@
     def link_up(self, node: str) -> None:
         """Handle a new link to ``node``, which makes the node reachable."""
         self._redialled.discard(node)
-        if node in self._left_at:
-            self._come_back(node)
+        if node in self._unreachable_since:
+            self._mark_reachable(node)
 
     def link_down(self, node: str) -> None:
         """Handle the loss of the last link to ``node``, or a failed attempt to dial it."""
-        if node in self._left_at or node not in self._in_use():
+        if node in self._unreachable_since or node not in self._in_use():
             return
         # Dial once more. If that fails, this method is called again, and the node is unreachable.
         if node not in self._redialled and self._hub.dial(node):
             self._redialled.add(node)
             return
-        self._leave(node)
+        self._mark_unreachable(node)
 
     def tick(self) -> None:
         """Probe or dial unreachable nodes, and detect which respond. Call it twice a second."""
-        for node, left_at in list(self._left_at.items()):
+        for node, unreachable_since in list(self._unreachable_since.items()):
             if not self._hub.connected(node):
                 self._hub.dial(node)
-            elif self._hub.last_heard(node) > left_at:
-                self._come_back(node)
-            elif self._clock.monotonic() - left_at > LINK_SILENT_SECONDS:
+            elif self._hub.last_heard(node) > unreachable_since:
+                self._mark_reachable(node)
+            elif self._clock.monotonic() - unreachable_since > LINK_TIMEOUT_SECONDS:
                 self._hub.drop(node)
             else:
                 self._hub.send(node, Probe())
 
-    def _leave(self, node: str) -> None:
-        self._left_at[node] = self._clock.monotonic()
+    def _mark_unreachable(self, node: str) -> None:
+        self._unreachable_since[node] = self._clock.monotonic()
         self._changed()
 
-    def _come_back(self, node: str) -> None:
-        del self._left_at[node]
+    def _mark_reachable(self, node: str) -> None:
+        del self._unreachable_since[node]
         self._silence.forget(node)
         self._changed()
 
     def _check_later(self, node: str) -> None:
-        asyncio.get_running_loop().call_later(CHECK_SECONDS, self._check, node)
+        asyncio.get_running_loop().call_later(CHECK_INTERVAL_SECONDS, self._check, node)
 
     def _check(self, node: str) -> None:
-        heard = self._hub.last_heard(node)
-        verdict = self._silence.check(node, heard)
-        if verdict is Verdict.PROBE:
+        last_received = self._hub.last_heard(node)
+        result = self._silence.check(node, last_received)
+        if result is CheckResult.PROBE:
             self._hub.send(node, Probe())
-        if verdict in (Verdict.PROBE, Verdict.WAIT):
+        if result in (CheckResult.PROBE, CheckResult.WAIT):
             self._check_later(node)
             return
         self._checking.discard(node)
-        if verdict is Verdict.SILENT and node not in self._left_at:
+        if result is CheckResult.SILENT and node not in self._unreachable_since:
             self._events.emit(
                 Kind.MEMBER,
                 "the dispatcher does not respond and is not used",
                 member=node,
-                heard_ms_ago=round((self._clock.monotonic() - heard) * 1000),
+                heard_ms_ago=round((self._clock.monotonic() - last_received) * 1000),
             )
-            self._leave(node)
+            self._mark_unreachable(node)
--- a/railsail/dispatch/regions.py
+++ b/railsail/dispatch/regions.py
@@ -15,26 +15,26 @@
 class FleetRegions:
     """The regions of this node, of failure domains and of other nodes.
 
-    ``own`` is the region of this node. ``of_domains`` maps failure domains to regions, and
-    ``of_node`` returns the region of a node, an empty string if it is unknown. With fewer than two
-    regions, nothing depends on them.
+    ``own`` is the region of this node. ``by_domain`` maps failure domains to regions, and
+    ``region_of`` returns the region of a node, or an empty string if it is unknown. In a fleet of
+    one region, or none, no decision depends on them.
     """
 
     own: str = ""
-    of_domains: Mapping[str, str] = field(default_factory=dict)
-    of_node: Callable[[str], str] = lambda node: ""
+    by_domain: Mapping[str, str] = field(default_factory=dict)
+    region_of: Callable[[str], str] = lambda node: ""
 
     @functools.cached_property
-    def named(self) -> frozenset[str]:
+    def names(self) -> frozenset[str]:
         """Return the names of all regions of the fleet."""
-        return frozenset(self.of_domains.values())
+        return frozenset(self.by_domain.values())
 
-    def way_seconds(self, entry: str, dispatcher: str) -> float:
+    def round_trip_seconds(self, entry: str, dispatcher: str) -> float:
         """Return the network round trip of a ticket and its grant between two nodes.
 
         It is 0 within a region, and where the region of a node is unknown.
         """
-        if len(self.named) <= 1:
+        if len(self.names) <= 1:
             return 0.0
-        regions = {self.of_node(entry), self.of_node(dispatcher)}
+        regions = {self.region_of(entry), self.region_of(dispatcher)}
         return WAY_SECONDS if len(regions) > 1 and "" not in regions else 0.0
--- a/railsail/dispatch/rollouts.py
+++ b/railsail/dispatch/rollouts.py
@@ -60,7 +60,7 @@
         self._clock = kernel.clock
         self._coordinators: dict[Cell, _Coordinator] = {}
         hub.handle(RolloutAllowance, self._allowed)
-        tickets.facts_of = self._facts_of
+        tickets.replica_facts = self._replica_facts
         directory.follow_rollouts(book)
         book.on_change(directory.rollouts_changed)
 
@@ -83,7 +83,7 @@
             else:
                 self._tell(cell, coordinator.node)
 
-    def _facts_of(self, replica: str) -> Mapping[str, Fact]:
+    def _replica_facts(self, replica: str) -> Mapping[str, Fact]:
         upstream = self._directory.get(replica)
         if upstream is None or self._book.running(upstream.pool) is None:
             return {}
--- a/railsail/dispatch/silence.py
+++ b/railsail/dispatch/silence.py
@@ -12,49 +12,52 @@
 import enum
 
 # How often a dispatcher that was sent a request is checked.
-CHECK_SECONDS = 0.1
+CHECK_INTERVAL_SECONDS = 0.1
 # A dispatcher is silent if nothing has arrived by this check. TCP retransmits a lost packet sooner.
-CHECKS_TO_LEAVE = 5
+CHECKS_UNTIL_SILENT = 5
 
 
-class Verdict(enum.Enum):
+class CheckResult(enum.Enum):
     """What to do about a dispatcher that was sent a request."""
 
-    HEARD = enum.auto()
+    RESPONDED = enum.auto()
     WAIT = enum.auto()
     PROBE = enum.auto()
     SILENT = enum.auto()
 
 
-class SilenceWatch:
+class SilenceDetector:
     """Tracks nodes that were sent a request and have sent nothing since; times are in seconds."""
 
     def __init__(self) -> None:
-        self._asked_at: dict[str, float] = {}
+        self._requested_at: dict[str, float] = {}
         self._checks: dict[str, int] = {}
 
-    def asked(self, node: str, now: float, heard: float) -> None:
-        """Record that ``node`` was sent a request; its last message arrived at ``heard``."""
-        if self._asked_at.get(node, heard) <= heard:
-            self._asked_at[node] = max(now, heard)
+    def request_sent(self, node: str, now: float, last_received: float) -> None:
+        """Record that ``node`` was sent a request at ``now``.
+
+        Its last message arrived at ``last_received``.
+        """
+        if self._requested_at.get(node, last_received) <= last_received:
+            self._requested_at[node] = max(now, last_received)
             self._checks[node] = 0
 
-    def check(self, node: str, heard: float) -> Verdict:
-        """Return what to do about ``node``, whose last message arrived at ``heard``.
+    def check(self, node: str, last_received: float) -> CheckResult:
+        """Return what to do about ``node``, whose last message arrived at ``last_received``.
 
-        Call it every ``CHECK_SECONDS`` until it returns ``HEARD`` or ``SILENT``.
+        Call it every ``CHECK_INTERVAL_SECONDS`` until it returns ``RESPONDED`` or ``SILENT``.
         """
-        asked_at = self._asked_at.get(node)
-        if asked_at is None or heard > asked_at:
+        requested_at = self._requested_at.get(node)
+        if requested_at is None or last_received > requested_at:
             self.forget(node)
-            return Verdict.HEARD
+            return CheckResult.RESPONDED
         self._checks[node] += 1
-        if self._checks[node] >= CHECKS_TO_LEAVE:
+        if self._checks[node] >= CHECKS_UNTIL_SILENT:
             self.forget(node)
-            return Verdict.SILENT
-        return Verdict.PROBE if self._checks[node] == 1 else Verdict.WAIT
+            return CheckResult.SILENT
+        return CheckResult.PROBE if self._checks[node] == 1 else CheckResult.WAIT
 
     def forget(self, node: str) -> None:
         """Drop the state of ``node``."""
-        self._asked_at.pop(node, None)
+        self._requested_at.pop(node, None)
         self._checks.pop(node, None)
--- a/tests/dispatch/test_cellmap.py
+++ b/tests/dispatch/test_cellmap.py
@@ -21,9 +21,9 @@
 
 def directory(replicas: int, leaving: tuple[str, ...] = ()) -> UpstreamDirectory:
     """Return a directory of ``replicas`` replicas of one pool, some of them ``leaving``."""
-    made = UpstreamDirectory(lambda news, source: None, EventLog("n", Clock()))
-    list_replicas(made, replicas, leaving)
-    return made
+    new_directory = UpstreamDirectory(lambda news, source: None, EventLog("n", Clock()))
+    list_replicas(new_directory, replicas, leaving)
+    return new_directory
 
 
 def list_replicas(known: UpstreamDirectory, replicas: int, leaving: tuple[str, ...] = ()) -> None:
@@ -45,7 +45,7 @@
         known = directory(78)
         maps = [cell_map(f"node {number}", known) for number in range(20)]
         for prefix in PREFIXES:
-            self.assertEqual(len({cells.home(POOL, prefix) for cells in maps}), 1)
+            self.assertEqual(len({cells.owner_cell(POOL, prefix) for cells in maps}), 1)
 
     def test_dispatcher_prefers_the_same_replica_however_the_pool_is_cut(self):
         known = directory(78)
@@ -71,7 +71,7 @@
         self.assertNotIn("r003", {_preferred_in(cells, prefix, "r003") for prefix in PREFIXES})
 
     def test_pool_without_replicas_has_one_cell_that_owns_all_prefixes(self):
-        self.assertEqual(cell_map("n", directory(0)).home(POOL, 7), Cell(POOL, 0, 1))
+        self.assertEqual(cell_map("n", directory(0)).owner_cell(POOL, 7), Cell(POOL, 0, 1))
 
 
 DOMAINS = {"a": "north", "b": "south", "c": "west"}
@@ -79,12 +79,12 @@
 NODES = {f"{region} {number}": region for region in DOMAINS.values() for number in range(2)}
 
 
-def spread(replicas: int, leaving: str = "", without: str = "") -> UpstreamDirectory:
+def regional_directory(replicas: int, leaving: str = "", without: str = "") -> UpstreamDirectory:
     """Return a directory of replicas spread over the failure domains.
 
     Those of the domain ``leaving`` are leaving, and the domain ``without`` has none.
     """
-    made = directory(0)
+    new_directory = directory(0)
     objects = []
     for number in range(replicas):
         domain = "abc"[number % 3]
@@ -92,25 +92,27 @@
         spec = {"pool": POOL, "endpoint": "127.0.0.1:1", "failure_domain": domain, "state": state}
         if domain != without:
             objects.append(StoredObject("upstream", f"r{number:03}", number + 1, spec))
-    made.listed(Listing(replicas + 1, tuple(objects)))
-    return made
+    new_directory.listed(Listing(replicas + 1, tuple(objects)))
+    return new_directory
 
 
-def map_of(node: str, known: UpstreamDirectory, nodes: dict[str, str] | None = None) -> CellMap:
+def regional_cell_map(
+    node: str, known: UpstreamDirectory, nodes: dict[str, str] | None = None
+) -> CellMap:
     """Return the cell map of ``node``, which can use ``nodes``, given with their regions."""
     usable = NODES if nodes is None else nodes
 
-    def usable_in(region: str = "") -> list[str]:
+    def nodes_in(region: str = "") -> list[str]:
         return [name for name, of in usable.items() if region in ("", of)]
 
     regions = FleetRegions(NODES[node], DOMAINS, lambda name: NODES.get(name, ""))
-    return CellMap(node, known, usable_in, LIMIT, local=False, regions=regions)
+    return CellMap(node, known, nodes_in, LIMIT, local=False, regions=regions)
 
 
 class RegionTests(unittest.TestCase):
     def test_all_nodes_choose_the_same_dispatcher_in_the_region_of_a_cell(self):
-        known = spread(30)
-        maps = [map_of(node, known) for node in NODES]
+        known = regional_directory(30)
+        maps = [regional_cell_map(node, known) for node in NODES]
         for cell in maps[0].cells(POOL):
             named = {cells.dispatcher(cell) for cells in maps}
             self.assertEqual(len(named), 1)
@@ -118,96 +120,113 @@
 
     def test_region_without_usable_nodes_is_dispatched_elsewhere(self):
         nodes = {name: region for name, region in NODES.items() if region != "west"}
-        cells = map_of("north 0", spread(30), nodes)
+        cells = regional_cell_map("north 0", regional_directory(30), nodes)
         west = next(cell for cell in cells.cells(POOL) if cell.region == "west")
         self.assertIn(cells.dispatcher(west), nodes)
 
     def test_partitioned_region_dispatches_its_own_cell(self):
         nodes = {name: region for name, region in NODES.items() if region == "west"}
-        cells = map_of("west 0", spread(30), nodes)
-        (home,) = cells.homes(POOL)
-        self.assertEqual((home.region, NODES[cells.dispatcher(home)]), ("west", "west"))
+        cells = regional_cell_map("west 0", regional_directory(30), nodes)
+        (preferred,) = cells.preferred_cells(POOL)
+        self.assertEqual((preferred.region, NODES[cells.dispatcher(preferred)]), ("west", "west"))
 
     def test_entries_use_cells_of_their_own_region(self):
-        known = spread(30)
+        known = regional_directory(30)
         for node, region in NODES.items():
-            cells = map_of(node, known)
-            self.assertEqual({cell.region for cell in cells.homes(POOL)}, {region})
-            homes = {cells.home(POOL, prefix).region for prefix in PREFIXES}
-            self.assertEqual(homes, {region})
+            cells = regional_cell_map(node, known)
+            self.assertEqual({cell.region for cell in cells.preferred_cells(POOL)}, {region})
+            owner_cells = {cells.owner_cell(POOL, prefix).region for prefix in PREFIXES}
+            self.assertEqual(owner_cells, {region})
 
     def test_request_bound_to_a_region_avoids_cells_of_unknown_region(self):
         with mock.patch.dict(DOMAINS):
             del DOMAINS["b"]
-            cells = map_of("west 0", spread(30))
+            cells = regional_cell_map("west 0", regional_directory(30))
             self.assertIn("", {cell.region for cell in cells.cells(POOL)})
-            homes = cells.homes(POOL, ("north",))
-            self.assertEqual({cell.region for cell in homes}, {"north"})
+            preferred = cells.preferred_cells(POOL, ("north",))
+            self.assertEqual({cell.region for cell in preferred}, {"north"})
 
     def test_entries_of_a_region_choose_one_owner_cell_in_that_region(self):
         # Each region has more replicas than the limit of a cell.
-        known = spread(90)
+        known = regional_directory(90)
         for prefix in PREFIXES:
-            homes = {map_of(f"north {n}", known).home(POOL, prefix) for n in range(2)}
-            self.assertEqual([cell.region for cell in homes], ["north"])
+            owner_cells = {
+                regional_cell_map(f"north {n}", known).owner_cell(POOL, prefix) for n in range(2)
+            }
+            self.assertEqual([cell.region for cell in owner_cells], ["north"])
 
     def test_fleet_wide_owner_cell_is_the_same_for_all_entries(self):
-        known = spread(90)
+        known = regional_directory(90)
         for prefix in PREFIXES:
-            homes = {map_of(node, known).home(POOL, prefix, anywhere=True) for node in NODES}
-            self.assertEqual(len(homes), 1)
-        found = {map_of("north 0", known).home(POOL, p, anywhere=True).region for p in PREFIXES}
+            owner_cells = {
+                regional_cell_map(node, known).owner_cell(POOL, prefix, anywhere=True)
+                for node in NODES
+            }
+            self.assertEqual(len(owner_cells), 1)
+        found = {
+            regional_cell_map("north 0", known).owner_cell(POOL, p, anywhere=True).region
+            for p in PREFIXES
+        }
         self.assertEqual(found, {"north", "south", "west"})
 
     def test_fleet_wide_owner_cell_is_in_an_allowed_region(self):
-        cells = map_of("north 0", spread(90))
-        found = {cells.home(POOL, p, ("south", "west"), anywhere=True).region for p in PREFIXES}
+        cells = regional_cell_map("north 0", regional_directory(90))
+        found = {
+            cells.owner_cell(POOL, p, ("south", "west"), anywhere=True).region for p in PREFIXES
+        }
         self.assertEqual(found, {"south", "west"})
 
     def test_partitioned_region_owns_prefixes_only_for_its_own_entries(self):
-        known = spread(90)
+        known = regional_directory(90)
         inside = {name: region for name, region in NODES.items() if region == "west"}
         outside = {name: region for name, region in NODES.items() if region != "west"}
-        cells = map_of("west 0", known, inside)
-        self.assertEqual({cells.home(POOL, p, anywhere=True).region for p in PREFIXES}, {"west"})
-        cells = map_of("north 0", known, outside)
-        found = {cells.home(POOL, p, anywhere=True).region for p in PREFIXES}
+        cells = regional_cell_map("west 0", known, inside)
+        self.assertEqual(
+            {cells.owner_cell(POOL, p, anywhere=True).region for p in PREFIXES}, {"west"}
+        )
+        cells = regional_cell_map("north 0", known, outside)
+        found = {cells.owner_cell(POOL, p, anywhere=True).region for p in PREFIXES}
         self.assertEqual(found, {"north", "south"})
 
     def test_region_that_accepts_no_work_is_skipped(self):
-        for known in (spread(30, leaving="a"), spread(30, without="a")):
-            cells = map_of("north 0", known)
-            self.assertEqual({c.region for c in cells.homes(POOL)}, {"south", "west"})
-            found = {cells.home(POOL, prefix).region for prefix in PREFIXES}
+        for known in (regional_directory(30, leaving="a"), regional_directory(30, without="a")):
+            cells = regional_cell_map("north 0", known)
+            self.assertEqual({c.region for c in cells.preferred_cells(POOL)}, {"south", "west"})
+            found = {cells.owner_cell(POOL, prefix).region for prefix in PREFIXES}
             self.assertEqual(found, {"south", "west"})
 
     def test_requests_bound_to_regions_go_to_cells_of_these_regions(self):
-        cells = map_of("north 0", spread(30))
-        self.assertEqual([c.region for c in cells.homes(POOL, ("south",))], ["south"])
-        self.assertEqual({c.region for c in cells.homes(POOL, ("south", "north"))}, {"north"})
-        found = {cells.home(POOL, prefix, ("west",)).region for prefix in PREFIXES}
+        cells = regional_cell_map("north 0", regional_directory(30))
+        self.assertEqual([c.region for c in cells.preferred_cells(POOL, ("south",))], ["south"])
+        self.assertEqual(
+            {c.region for c in cells.preferred_cells(POOL, ("south", "north"))}, {"north"}
+        )
+        found = {cells.owner_cell(POOL, prefix, ("west",)).region for prefix in PREFIXES}
         self.assertEqual(found, {"west"})
 
     def test_fallback_cells_are_in_an_allowed_region(self):
-        cells = map_of("north 0", spread(90))
-        first = cells.homes(POOL)[0]
-        regions = [cell.region for cell in cells.others(first)]
+        cells = regional_cell_map("north 0", regional_directory(90))
+        first = cells.preferred_cells(POOL)[0]
+        regions = [cell.region for cell in cells.fallback_cells(first)]
         self.assertEqual(regions[0], "north")
         self.assertEqual(set(regions), {"north", "south", "west"})
-        allowed = cells.others(first, ("north", "west"))
+        allowed = cells.fallback_cells(first, ("north", "west"))
         self.assertEqual({cell.region for cell in allowed}, {"north", "west"})
 
     def test_cells_keep_their_numbers_when_another_region_is_lost(self):
-        before, after = map_of("north 0", spread(30)), map_of("north 0", spread(30, without="a"))
+        before, after = (
+            regional_cell_map("north 0", regional_directory(30)),
+            regional_cell_map("north 0", regional_directory(30, without="a")),
+        )
         for cell in list(before.cells(POOL))[1:]:
             self.assertEqual(after.cell(POOL, cell.number), cell)
             self.assertEqual(after.dispatcher(cell), before.dispatcher(cell))
 
     def test_round_trip_counts_between_regions_only(self):
-        cells = map_of("north 0", spread(30))
-        self.assertEqual(cells.way_seconds("north 0", "north 1"), 0.0)
-        self.assertEqual(cells.way_seconds("north 0", "west 1"), WAY_SECONDS)
-        self.assertEqual(cells.way_seconds("north 0", "nobody"), 0.0)
+        cells = regional_cell_map("north 0", regional_directory(30))
+        self.assertEqual(cells.round_trip_seconds("north 0", "north 1"), 0.0)
+        self.assertEqual(cells.round_trip_seconds("north 0", "west 1"), WAY_SECONDS)
+        self.assertEqual(cells.round_trip_seconds("north 0", "nobody"), 0.0)
 
     def test_fleet_of_one_region_is_cut_like_one_without_regions(self):
         known = directory(78)
@@ -217,17 +236,17 @@
         one = CellMap("n", known, lambda region="": usable[region], LIMIT, False, regions)
         many = CellMap("n", known, lambda: usable[""], LIMIT, local=False)
         self.assertEqual(list(one.cells(POOL).items()), list(plain.cells(POOL).items()))
-        self.assertEqual(one.homes(POOL), plain.homes(POOL))
+        self.assertEqual(one.preferred_cells(POOL), plain.preferred_cells(POOL))
         for cell in plain.cells(POOL):
             self.assertEqual(one.dispatcher(cell), many.dispatcher(cell))
             self.assertTrue(one.takes_work(cell))
         for prefix in PREFIXES:
-            self.assertEqual(one.home(POOL, prefix), plain.home(POOL, prefix))
+            self.assertEqual(one.owner_cell(POOL, prefix), plain.owner_cell(POOL, prefix))
 
 
 def _preferred_in(cells: CellMap, prefix: int, without: str = "") -> str:
     """Return the replica that the dispatcher of the owner cell of ``prefix`` prefers."""
-    names = cells.cells(POOL)[cells.home(POOL, prefix)]
+    names = cells.cells(POOL)[cells.owner_cell(POOL, prefix)]
     rooms = [ReplicaRoom(name, 1) for name in names if name != without]
     return _preferred(Ticket("n", 1, 1, "w", 0.0, 1.0, 0.0, prefix=prefix), rooms).name
 
--- a/tests/dispatch/test_entry.py
+++ b/tests/dispatch/test_entry.py
@@ -10,10 +10,10 @@
 from railsail.core.kernel import Kernel
 from railsail.core.metrics import Metrics
 from railsail.core.outcomes import NotRun, Reason
-from railsail.dispatch.acquire import MOST_GRANTS, ReplicaAcquirer
+from railsail.dispatch.acquire import MAX_GRANTS, ReplicaAcquirer
 from railsail.dispatch.bookings import Booking, PoolRequest, to_place
 from railsail.dispatch.entry import TicketClient
-from railsail.dispatch.gate import COME_BACK_SPREAD_SECONDS, SendGate
+from railsail.dispatch.gate import RETRY_JITTER_SECONDS, SendGate
 from railsail.peers.codec import decode_frame, encode_message, join_frame
 from railsail.peers.link import Identity
 from railsail.peers.messages import (
@@ -36,13 +36,13 @@
 from railsail.upstreams.signs import Source
 
 OWN, OTHER, FAR = "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"
-WANT = PoolRequest("r-1", "model", "one", 0.0, 10.0, False)
+REQUEST = PoolRequest("r-1", "model", "one", 0.0, 10.0, False)
 RECORD = {"pool": "model", "endpoint": "127.0.0.1:9", "failure_domain": "a", "state": "live"}
 
 
 class PlaceTests(unittest.TestCase):
     def test_overdue_request_is_encoded_so_that_peers_can_decode_it(self):
-        late = replace(WANT, returns_within=-0.3)
+        late = replace(REQUEST, returns_within=-0.3)
         place = to_place(late, 1, 1, Cell("model", 0, 1), 0.2)
         frame = join_frame(0, [encode_message(place)])
         self.assertEqual(decode_frame(frame)[1], [place])
@@ -90,23 +90,23 @@
     # Whether the prefix owner requested last could be in any region.
     anywhere: bool | None = None
 
-    def home(self, pool: str, prefix: int, regions: tuple[str, ...], anywhere: bool) -> Cell:
+    def owner_cell(self, pool: str, prefix: int, regions: tuple[str, ...], anywhere: bool) -> Cell:
         self.anywhere = anywhere
-        return self.homes(pool, regions)[0]
+        return self.preferred_cells(pool, regions)[0]
 
-    def homes(self, pool: str, regions: tuple[str, ...] = ()) -> list[Cell]:
+    def preferred_cells(self, pool: str, regions: tuple[str, ...] = ()) -> list[Cell]:
         return [Cell("model", number, self.count) for number in range(self.count)]
 
-    def others(self, cell: Cell, regions: tuple[str, ...]) -> list[Cell]:
-        return [other for other in self.homes(cell.pool, regions) if other != cell]
+    def fallback_cells(self, cell: Cell, regions: tuple[str, ...]) -> list[Cell]:
+        return [other for other in self.preferred_cells(cell.pool, regions) if other != cell]
 
     def cell(self, pool: str, number: int) -> Cell:
         return Cell(pool, number, self.count)
 
-    def far_dispatchers(self, pool: str) -> set[str]:
+    def remote_dispatchers(self, pool: str) -> set[str]:
         return set()
 
-    def way_seconds(self, entry: str, dispatcher: str) -> float:
+    def round_trip_seconds(self, entry: str, dispatcher: str) -> float:
         return 0.0
 
     def dispatcher(self, cell: Cell) -> str:
@@ -122,8 +122,8 @@
         self.directory = UpstreamDirectory(lambda *told: None, kernel.events)
         for number in (1, 2, 3):
             self.directory.seen(WatchEvent("upstream", f"i-{number}", number, RECORD))
-        self.rests = ReplicaBackoffs()
-        gate = SendGate(self.directory, self.rests, {"a": "north"}, self.hub, kernel)
+        self.backoffs = ReplicaBackoffs()
+        gate = SendGate(self.directory, self.backoffs, {"a": "north"}, self.hub, kernel)
         quarantine = Quarantine(lambda *told: None, self.hub, kernel)
         self.tickets = TicketClient(self.cells, self.hub, kernel)
         self.acquirer = ReplicaAcquirer(self.tickets, gate, quarantine, kernel)
@@ -132,8 +132,8 @@
 
 class PromptOwnerTests(EntryTestCase):
     def asked_anywhere(self, shared_tokens: int, patience: float) -> bool:
-        want = replace(WANT, prefix=7, shared_tokens=shared_tokens, patience=patience)
-        self.tickets.place(want, self.clock.monotonic())
+        request = replace(REQUEST, prefix=7, shared_tokens=shared_tokens, patience=patience)
+        self.tickets.place(request, self.clock.monotonic())
         return self.cells.anywhere
 
     async def test_long_prefix_has_one_owner_in_the_whole_fleet(self):
@@ -151,23 +151,23 @@
 
     async def passed(self) -> Booking:
         self.cells.count = 2
-        booking = self.tickets.place(WANT, self.clock.monotonic())
-        self.hub.deliver(Moved(booking.number, 1, 1, FAR))
-        return booking
+        call = self.tickets.place(REQUEST, self.clock.monotonic())
+        self.hub.deliver(Moved(call.number, 1, 1, FAR))
+        return call
 
     def told(self) -> list[Resync]:
         """Return the resyncs of the other cell."""
         return [m for m in self.hub.sent if isinstance(m, Resync) and m.cell == 1]
 
     async def test_grant_of_the_other_cell_is_accepted(self):
-        booking = await self.passed()
-        self.hub.deliver(Granted(booking.number, 1, "i-1", 0))
-        self.assertEqual(await booking.granted, "i-1")
+        call = await self.passed()
+        self.hub.deliver(Granted(call.number, 1, "i-1", 0))
+        self.assertEqual(await call.granted, "i-1")
 
     async def test_other_dispatcher_is_resynced_so_that_a_lost_grant_holds_no_slot(self):
         """A grant is lost if there is no link yet, and the ticket may be withdrawn by then."""
-        booking = await self.passed()
-        self.tickets.withdraw(booking)
+        call = await self.passed()
+        self.tickets.withdraw(call)
         self.tickets.tick()
         (resync,) = self.told()
         self.assertEqual((resync.waiting, resync.flights), ([], []))
@@ -175,28 +175,28 @@
         self.assertEqual(len(self.told()), 1)
 
     async def test_resync_includes_the_ticket_while_it_waits(self):
-        booking = await self.passed()
+        call = await self.passed()
         self.tickets.tick()
         (resync,) = self.told()
-        self.assertEqual([place.number for place in resync.waiting], [booking.number])
+        self.assertEqual([place.number for place in resync.waiting], [call.number])
 
     async def test_other_dispatcher_is_resynced_if_its_grant_arrives_before_the_move(self):
         self.cells.count = 2
-        booking = self.tickets.place(WANT, self.clock.monotonic())
-        self.hub.handlers[Granted](FAR, Granted(booking.number, 1, "i-1", 0))
-        self.hub.deliver(Moved(booking.number, 1, 1, FAR))
+        call = self.tickets.place(REQUEST, self.clock.monotonic())
+        self.hub.handlers[Granted](FAR, Granted(call.number, 1, "i-1", 0))
+        self.hub.deliver(Moved(call.number, 1, 1, FAR))
         self.tickets.tick()
         (resync,) = self.told()
-        self.assertEqual([flight.number for flight in resync.flights], [booking.number])
+        self.assertEqual([flight.number for flight in resync.flights], [call.number])
 
     async def test_dispatcher_of_another_region_learns_of_calls_that_ended_in_a_partition(self):
-        booking = await self.passed()
-        self.hub.handlers[Granted](FAR, Granted(booking.number, 1, "i-1", 0))
+        call = await self.passed()
+        self.hub.handlers[Granted](FAR, Granted(call.number, 1, "i-1", 0))
         self.tickets.tick()
-        self.cells.way_seconds = lambda entry, dispatcher: WAY_SECONDS * (dispatcher == FAR)
+        self.cells.round_trip_seconds = lambda entry, dispatcher: WAY_SECONDS * (dispatcher == FAR)
         self.tickets._link_down(FAR)
         # The link is down, so this release does not arrive.
-        self.tickets.release(booking, 1.0, CallResult.GOOD)
+        self.tickets.release(call, 1.0, CallResult.GOOD)
         self.tickets._link_up(Identity(FAR, 1))
         self.hub.sent.clear()
         self.tickets.tick()
@@ -207,7 +207,7 @@
 class LateDecisionTests(EntryTestCase):
     async def answer_at_the_end_of_the_wait(self, message) -> NotRun:
         """Deliver ``message`` after the wait has ended and before its task runs again."""
-        task = asyncio.ensure_future(self.acquirer.acquire(WANT, 30.0))
+        task = asyncio.ensure_future(self.acquirer.acquire(REQUEST, 30.0))
         await asyncio.sleep(0)
         self.tickets.waiting()[0].granted.cancel()
         self.hub.deliver(message)
@@ -227,7 +227,7 @@
         self.assertEqual([message.number for message in cancelled], [1])
 
     async def test_refusal_has_the_retry_time_of_the_dispatcher(self):
-        task = asyncio.ensure_future(self.acquirer.acquire(WANT, 30.0))
+        task = asyncio.ensure_future(self.acquirer.acquire(REQUEST, 30.0))
         await asyncio.sleep(0)
         self.hub.deliver(Refused(1, 1, Reason.OVER_SHARE, 1250))
         outcome = await task
@@ -238,7 +238,7 @@
         for reason, placed in ((Reason.EXPIRED, 1), (Reason.NO_ROOM, 2)):
             with self.subTest(reason=reason):
                 self.hub.sent.clear()
-                task = asyncio.ensure_future(self.acquirer.acquire(WANT, 30.0))
+                task = asyncio.ensure_future(self.acquirer.acquire(REQUEST, 30.0))
                 await asyncio.sleep(0)
                 number = self.tickets.waiting()[0].number
                 self.hub.deliver(Refused(number, 1, reason))
@@ -247,29 +247,29 @@
                 task.cancel()
 
     async def test_grant_in_time_is_accepted(self):
-        task = asyncio.ensure_future(self.acquirer.acquire(WANT, 30.0))
+        task = asyncio.ensure_future(self.acquirer.acquire(REQUEST, 30.0))
         await asyncio.sleep(0)
         self.hub.deliver(Granted(1, 1, "i-1", 0))
-        booking = await task
-        self.assertEqual((booking.replica, len(self.tickets)), ("i-1", 1))
+        call = await task
+        self.assertEqual((call.replica, len(self.tickets)), ("i-1", 1))
 
 
 class UnusableGrantTests(EntryTestCase):
     """A dispatcher grants a replica that this node cannot send to."""
 
-    def ask(self, want: PoolRequest = WANT) -> asyncio.Task:
-        return asyncio.ensure_future(self.acquirer.acquire(want, 30.0))
+    def ask(self, request: PoolRequest = REQUEST) -> asyncio.Task:
+        return asyncio.ensure_future(self.acquirer.acquire(request, 30.0))
 
     async def grant(self, replica: str) -> None:
         """Grant ``replica`` to the ticket that waits."""
         await asyncio.sleep(0)
-        booking = self.tickets.waiting()[0]
-        self.hub.deliver(Granted(booking.number, booking.attempt, replica, 0))
+        call = self.tickets.waiting()[0]
+        self.hub.deliver(Granted(call.number, call.attempt, replica, 0))
         for _ in range(5):
             await asyncio.sleep(0)
 
-    def rest(self, replica: str, seconds: float = 30.0) -> None:
-        self.rests.asked(replica, seconds, self.clock.monotonic())
+    def back_off(self, replica: str, seconds: float = 30.0) -> None:
+        self.backoffs.asked(replica, seconds, self.clock.monotonic())
 
     def placed(self) -> list[Place]:
         """Return the tickets that were placed, in a resync or in a message of their own."""
@@ -285,7 +285,7 @@
     async def test_grant_of_a_replica_in_backoff_is_returned_uncharged_and_excluded(self):
         task = self.ask()
         await asyncio.sleep(0)
-        self.rest("i-1")
+        self.back_off("i-1")
         await self.grant("i-1")
         await self.grant("i-2")
         self.assertEqual((await task).replica, "i-2")
@@ -303,43 +303,43 @@
         self.assertEqual((await task).replica, "i-2")
 
     async def test_repeated_grants_of_an_unusable_replica_end_in_a_refusal(self):
-        self.rest("i-1")
+        self.back_off("i-1")
         task = self.ask()
-        for _ in range(MOST_GRANTS):
+        for _ in range(MAX_GRANTS):
             await self.grant("i-1")
         outcome = await task
         self.assertEqual((outcome.reason, len(self.tickets)), (Reason.NO_ROOM, 0))
-        self.assertEqual(len(self.released()), MOST_GRANTS)
+        self.assertEqual(len(self.released()), MAX_GRANTS)
 
     async def test_waiting_time_of_a_new_ticket_counts_from_the_request(self):
         task = self.ask()
         await asyncio.sleep(0.05)
-        self.rest("i-1")
+        self.back_off("i-1")
         await self.grant("i-1")
         self.assertGreaterEqual(self.placed()[-1].waited, 50)
         task.cancel()
 
     async def test_if_all_replicas_are_in_backoff_the_retry_time_is_the_first_end(self):
         for replica, seconds in (("i-1", 9.0), ("i-2", 4.0), ("i-3", 30.0)):
-            self.rest(replica, seconds)
-        outcome = await self.acquirer.acquire(WANT, 30.0)
+            self.back_off(replica, seconds)
+        outcome = await self.acquirer.acquire(REQUEST, 30.0)
         self.assertEqual((outcome.reason, self.placed()), (Reason.NO_ROOM, []))
-        self.assertTrue(3.5 <= outcome.come_back <= 4.0 + COME_BACK_SPREAD_SECONDS)
+        self.assertTrue(3.5 <= outcome.come_back <= 4.0 + RETRY_JITTER_SECONDS)
 
     async def test_replicas_of_other_regions_do_not_count_for_a_bound_request(self):
         for replica in ("i-1", "i-2"):
-            self.rest(replica)
+            self.back_off(replica)
         away = {**RECORD, "failure_domain": "z"}
         self.directory.seen(WatchEvent("upstream", "i-3", 9, away))
         task = self.ask()
         await asyncio.sleep(0)
         self.assertFalse(task.done())
         task.cancel()
-        outcome = await self.acquirer.acquire(replace(WANT, regions=("north",)), 30.0)
+        outcome = await self.acquirer.acquire(replace(REQUEST, regions=("north",)), 30.0)
         self.assertEqual(outcome.reason, Reason.NO_ROOM)
 
     async def test_only_one_request_tries_a_replica_whose_backoff_has_ended(self):
-        self.rest("i-1", 0.0)
+        self.back_off("i-1", 0.0)
         await asyncio.sleep(0.01)
         first, second = self.ask(), self.ask()
         await self.grant("i-1")
@@ -347,6 +347,6 @@
         await self.grant("i-1")
         self.assertFalse(second.done())
         now = self.clock.monotonic()
-        self.assertLessEqual(self.rests.seconds_left("i-1", now), TRIAL_SECONDS)
+        self.assertLessEqual(self.backoffs.seconds_left("i-1", now), TRIAL_SECONDS)
         await self.grant("i-2")
         self.assertEqual((await second).replica, "i-2")
--- a/tests/dispatch/test_reach.py
+++ b/tests/dispatch/test_reach.py
@@ -7,8 +7,8 @@
 from railsail.core.events import EventLog
 from railsail.core.kernel import Kernel
 from railsail.core.metrics import Metrics
-from railsail.dispatch.reach import LINK_SILENT_SECONDS, DispatcherReach
-from railsail.dispatch.silence import CHECK_SECONDS, CHECKS_TO_LEAVE
+from railsail.dispatch.reach import LINK_TIMEOUT_SECONDS, DispatcherReachability
+from railsail.dispatch.silence import CHECK_INTERVAL_SECONDS, CHECKS_UNTIL_SILENT
 from railsail.peers.link import Identity
 from railsail.peers.messages import Probe
 
@@ -32,14 +32,14 @@
 
     def __init__(self) -> None:
         self.own = Identity(OWN, 1)
-        self.heard = 0.0
+        self.received_at = 0.0
         self.linked = True
         self.sent: list[object] = []
         self.dropped = 0
         self.dialled = 0
 
     def last_heard(self, node: str) -> float:
-        return self.heard
+        return self.received_at
 
     def connected(self, node: str) -> bool:
         return self.linked
@@ -61,30 +61,30 @@
     async def asyncSetUp(self):
         self.clock, self.hub = Clock(), Hub()
         kernel = Kernel(self.clock, random.Random(1), EventLog(OWN, self.clock), Metrics())
-        self.reach = DispatcherReach(self.hub, kernel, lambda: {OTHER}, lambda: None)
-        self.reach.asked(OTHER)
-        while OTHER not in self.reach.unreachable:
-            await asyncio.sleep(CHECK_SECONDS * CHECKS_TO_LEAVE)
+        self.reachability = DispatcherReachability(self.hub, kernel, lambda: {OTHER}, lambda: None)
+        self.reachability.request_sent(OTHER)
+        while OTHER not in self.reachability.unreachable:
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS * CHECKS_UNTIL_SILENT)
 
     def tick(self, seconds: float) -> None:
         self.clock.now += seconds
-        self.reach.tick()
+        self.reachability.tick()
 
     async def test_silent_link_is_dropped_and_dialled_again(self):
-        self.tick(LINK_SILENT_SECONDS + 0.1)
+        self.tick(LINK_TIMEOUT_SECONDS + 0.1)
         self.assertEqual(self.hub.dropped, 1)
         self.tick(0.5)
         self.assertEqual(self.hub.dialled, 1)
-        self.reach.link_up(OTHER)
-        self.assertEqual(self.reach.unreachable, set())
+        self.reachability.link_up(OTHER)
+        self.assertEqual(self.reachability.unreachable, set())
 
     async def test_node_that_answers_a_probe_late_keeps_its_link(self):
         self.hub.sent.clear()
         self.tick(0.5)
         self.assertEqual([type(message) for message in self.hub.sent], [Probe])
-        self.hub.heard = self.clock.now + 0.1
-        self.tick(LINK_SILENT_SECONDS)
-        self.assertEqual((self.hub.dropped, self.reach.unreachable), (0, set()))
+        self.hub.received_at = self.clock.now + 0.1
+        self.tick(LINK_TIMEOUT_SECONDS)
+        self.assertEqual((self.hub.dropped, self.reachability.unreachable), (0, set()))
 
 
 if __name__ == "__main__":
--- a/tests/dispatch/test_rollouts.py
+++ b/tests/dispatch/test_rollouts.py
@@ -165,8 +165,8 @@
         )
         self.directory.on_change(self.dispatchers.renew_replicas)
         self.tickets = TicketClient(self.cells, self.hub, self.kernel)
-        self.rests = ReplicaBackoffs()
-        self.gate = SendGate(self.directory, self.rests, {}, self.hub, self.kernel)
+        self.backoffs = ReplicaBackoffs()
+        self.gate = SendGate(self.directory, self.backoffs, {}, self.hub, self.kernel)
         self.rollouts = RolloutDispatch(
             self.book, self.directory, self.dispatchers, self.tickets, self.hub, self.kernel
         )
@@ -204,8 +204,8 @@
     def place(self, route: int = 0) -> str:
         """Place a ticket, and return the granted replica, or an empty string if there is none."""
         self.number += 1
-        want = PoolRequest(f"r-{self.number}", "model", "one", 0.0, 10.0, False, route=route)
-        self.hub.deliver(ENTRY, to_place(want, self.number, 1, CELL, 0.0))
+        request = PoolRequest(f"r-{self.number}", "model", "one", 0.0, 10.0, False, route=route)
+        self.hub.deliver(ENTRY, to_place(request, self.number, 1, CELL, 0.0))
         return next((grant.replica for grant in self.hub.take(Granted)), "")
 
     def end(self, result: CallResult = CallResult.GOOD) -> None:
@@ -383,8 +383,8 @@
 class RouteTests(unittest.TestCase):
     def test_route_is_passed_from_the_request_to_the_ticket(self):
         route = route_fingerprint("briefings")
-        want = PoolRequest("r", "model", "one", 0.0, 10.0, False, route=route)
-        place = to_place(want, 1, 1, CELL, 0.0)
+        request = PoolRequest("r", "model", "one", 0.0, 10.0, False, route=route)
+        place = to_place(request, 1, 1, CELL, 0.0)
         self.assertIsInstance(place, Place)
         self.assertEqual(to_ticket(ENTRY, place, 0.0).route, route)
 
@@ -405,23 +405,23 @@
     async def test_request_is_refused_if_all_replicas_that_accept_work_are_in_backoff(self):
         self.order()
         self.book.set(None, "v2")
-        want = PoolRequest("r", "model", "one", 0.0, 10.0, False)
+        request = PoolRequest("r", "model", "one", 0.0, 10.0, False)
         for name in ("old0", "old1"):
-            self.rests.asked(name, 10.0, self.clock.now)
-        self.assertIsNotNone(self.gate.refusal(want))
+            self.backoffs.asked(name, 10.0, self.clock.now)
+        self.assertIsNotNone(self.gate.refusal(request))
 
 
 class RolloutPrefixOwnerTests(RolloutCase):
-    def holder(self, prefix: int) -> str | None:
-        return self.cells._holder("model", prefix, list(self.cells.cells("model")))
+    def owner(self, prefix: int) -> str | None:
+        return self.cells._prefix_owner("model", prefix, list(self.cells.cells("model")))
 
     async def test_prefixes_keep_their_owners_until_the_rollout_has_succeeded(self):
-        before = {prefix: self.holder(prefix) for prefix in range(1, 60)}
+        before = {prefix: self.owner(prefix) for prefix in range(1, 60)}
         self.order()
-        during = {prefix: self.holder(prefix) for prefix in range(1, 60)}
+        during = {prefix: self.owner(prefix) for prefix in range(1, 60)}
         self.assertEqual(during, before)
         self.book.set(None, "v1")
-        after = {self.holder(prefix) for prefix in range(1, 60)}
+        after = {self.owner(prefix) for prefix in range(1, 60)}
         self.assertEqual(after, {"new0", "new1"})
 
 
@@ -457,12 +457,12 @@
         self.assertEqual(told[-1].facts["ticket"], f"{ENTRY}#1")
 
     async def test_log_of_an_entry_has_the_version_while_a_rollout_runs(self):
-        want = PoolRequest("r-1", "model", "one", 0.0, 10.0, False)
+        request = PoolRequest("r-1", "model", "one", 0.0, 10.0, False)
         for running in (False, True):
             if running:
                 self.order()
-            booking = self.tickets.place(want, self.clock.now)
-            self.hub.deliver(OWN, Granted(booking.number, 1, "old0", 0))
+            call = self.tickets.place(request, self.clock.now)
+            self.hub.deliver(OWN, Granted(call.number, 1, "old0", 0))
             told = [event for event in self.kernel.events if event.kind is Kind.GRANTED][-1]
             self.assertEqual(told.facts.get("software_version"), "v1" if running else None)
 
--- a/tests/platform/test_signs.py
+++ b/tests/platform/test_signs.py
@@ -202,7 +202,7 @@
 
     async def test_request_that_was_booked_before_is_not_sent(self):
         node = await self.serve(saying(Server_Leaving="1"), answering())
-        granted = node.tickets._granted
+        granted = node.tickets._handle_granted
         # The grant comes just after another answer has said that the replica leaves.
         self.passed = []
 
