--- a/railsail/dispatch/exchange.py
+++ b/railsail/dispatch/exchange.py
@@ -20,26 +20,26 @@
 
 # A cell reports its queue length at once when its queue fills or empties. Otherwise it reports a
 # change by more than half, at most once in this many seconds.
-REPEAT_SECONDS = 2.0
-MOST_ASKED = 8
+REPORT_INTERVAL_SECONDS = 2.0
+MAX_REQUESTED_TICKETS = 8
 # A cell requests tickets from a neighbour whose queue exceeds twice its own by more than this.
-UNEVEN_BY = 4
-ASK_PAUSE_SECONDS = 0.5
+MIN_QUEUE_DIFFERENCE = 4
+REQUEST_INTERVAL_SECONDS = 0.5
 
 
 @dataclass
-class _Side:
+class _ReportState:
     """What a cell of this node last reported to its neighbours, and when it last made a request."""
 
-    told: int = 0
-    told_at: float = 0.0
-    asked_at: float = -1e9
+    reported: int = 0
+    reported_at: float = 0.0
+    requested_at: float = -1e9
 
-    def due(self, waiting: int, now: float) -> bool:
-        if (waiting and not self.told) or (self.told and not waiting):
+    def is_report_due(self, waiting: int, now: float) -> bool:
+        if (waiting and not self.reported) or (self.reported and not waiting):
             return True
-        changed = abs(waiting - self.told) > self.told / 2
-        return bool(waiting) and changed and now - self.told_at > REPEAT_SECONDS
+        changed = abs(waiting - self.reported) > self.reported / 2
+        return bool(waiting) and changed and now - self.reported_at > REPORT_INTERVAL_SECONDS
 
 
 class CellExchange:
@@ -53,88 +53,92 @@
         self._hub = hub
         self._clock = clock
         self._overflow = RegionOverflow(cells, dispatchers, hub, clock)
-        self._sides: dict[Cell, _Side] = {}
-        self._known: dict[Cell, dict[Cell, int]] = {}
-        hub.handle(CellHint, self._hint)
-        hub.handle(Passed, self._passed)
-        dispatchers.on_pumped(self.look)
+        self._report_states: dict[Cell, _ReportState] = {}
+        self._neighbour_queues: dict[Cell, dict[Cell, int]] = {}
+        hub.handle(CellHint, self._handle_hint)
+        hub.handle(Passed, self._handle_passed)
+        dispatchers.on_pumped(self.rebalance)
 
-    def look(self, cell: Cell, dispatcher: CellDispatcher) -> None:
+    def rebalance(self, cell: Cell, dispatcher: CellDispatcher) -> None:
         """Report the queue length of ``cell`` to its neighbours, and request tickets, as needed."""
         if cell.count == 1:
             return
         if cell.region:
-            self._overflow.look(cell, dispatcher)
+            self._overflow.rebalance(cell, dispatcher)
         now = self._clock.monotonic()
-        side = self._sides.setdefault(cell, _Side())
+        state = self._report_states.setdefault(cell, _ReportState())
         waiting = len(dispatcher.queue)
-        if side.due(waiting, now):
-            side.told, side.told_at = waiting, now
+        if state.is_report_due(waiting, now):
+            state.reported, state.reported_at = waiting, now
             for neighbour in self._neighbours(cell):
-                self._tell(cell, neighbour, waiting, 0)
-        self._ask(cell, dispatcher, side, now)
+                self._send_hint(cell, neighbour, waiting, 0)
+        self._request_tickets(cell, dispatcher, state, now)
 
-    def _ask(self, cell: Cell, dispatcher: CellDispatcher, side: _Side, now: float) -> None:
-        known = self._known.get(cell, {})
-        if not known or now - side.asked_at < ASK_PAUSE_SECONDS:
+    def _request_tickets(
+        self, cell: Cell, dispatcher: CellDispatcher, state: _ReportState, now: float
+    ) -> None:
+        queues = self._neighbour_queues.get(cell, {})
+        if not queues or now - state.requested_at < REQUEST_INTERVAL_SECONDS:
             return
-        longest = max(known, key=lambda other: (known[other], other))
-        wanted = self._wanted(len(dispatcher.queue), known[longest], dispatcher.room(now))
-        if wanted > 0:
-            side.asked_at = now
-            self._tell(cell, longest, len(dispatcher.queue), wanted)
-
-    def _wanted(self, own: int, other: int, room: int) -> int:
+        longest = max(queues, key=lambda other: (queues[other], other))
+        count = self._tickets_to_request(
+            len(dispatcher.queue), queues[longest], dispatcher.room(now)
+        )
+        if count > 0:
+            state.requested_at = now
+            self._send_hint(cell, longest, len(dispatcher.queue), count)
+
+    def _tickets_to_request(self, own: int, other: int, free_slots: int) -> int:
         if not other:
             return 0
-        if not own and room:
-            return min(room + 1, MOST_ASKED)
-        if other > 2 * own + UNEVEN_BY:
-            return min((other - own) // 4, MOST_ASKED)
+        if not own and free_slots:
+            return min(free_slots + 1, MAX_REQUESTED_TICKETS)
+        if other > 2 * own + MIN_QUEUE_DIFFERENCE:
+            return min((other - own) // 4, MAX_REQUESTED_TICKETS)
         return 0
 
     def _neighbours(self, cell: Cell) -> list[Cell]:
         ring = [c for c in self._cells.cells(cell.pool) if c.region == cell.region]
         return overlay.neighbours(ring, cell) if cell in ring else []
 
-    def _tell(self, cell: Cell, neighbour: Cell, waiting: int, wanted: int) -> None:
-        hint = CellHint(cell.pool, neighbour.number, cell.number, waiting, wanted)
+    def _send_hint(self, cell: Cell, neighbour: Cell, waiting: int, requested: int) -> None:
+        hint = CellHint(cell.pool, neighbour.number, cell.number, waiting, requested)
         self._hub.send(self._cells.dispatcher(neighbour), hint)
 
-    def _hint(self, node: str, hint: CellHint) -> None:
+    def _handle_hint(self, node: str, hint: CellHint) -> None:
         cell = self._cells.cell(hint.pool, hint.to_cell)
-        asking = self._cells.cell(hint.pool, hint.from_cell)
-        if asking.region != cell.region:
-            self._overflow.hint(cell, asking, hint)
+        sender = self._cells.cell(hint.pool, hint.from_cell)
+        if sender.region != cell.region:
+            self._overflow.handle_hint(cell, sender, hint)
             return
-        self._known.setdefault(cell, {})[asking] = hint.waiting
+        self._neighbour_queues.setdefault(cell, {})[sender] = hint.waiting
         dispatcher = self._dispatchers.dispatchers().get(cell)
         if hint.wanted:
-            self._pass(cell, dispatcher, asking, node, hint.wanted)
+            self._forward_tickets(cell, dispatcher, sender, node, hint.wanted)
         elif dispatcher is not None or hint.waiting:
-            self.look(*self._dispatchers.dispatcher(hint.pool, hint.to_cell))
+            self.rebalance(*self._dispatchers.dispatcher(hint.pool, hint.to_cell))
 
-    def _pass(
+    def _forward_tickets(
         self,
         cell: Cell,
         dispatcher: CellDispatcher | None,
-        asking: Cell,
+        requester: Cell,
         node: str,
-        wanted: int,
+        count: int,
     ) -> None:
-        passed = 0
-        while dispatcher is not None and len(dispatcher.queue) and passed < wanted:
-            self._pass_one(dispatcher, asking, node)
-            passed += 1
+        forwarded = 0
+        while dispatcher is not None and len(dispatcher.queue) and forwarded < count:
+            self._forward_first(dispatcher, requester, node)
+            forwarded += 1
         waiting = len(dispatcher.queue) if dispatcher is not None else 0
-        self._tell(cell, asking, waiting, 0)
+        self._send_hint(cell, requester, waiting, 0)
 
-    def _pass_one(self, dispatcher: CellDispatcher, asking: Cell, node: str) -> None:
-        head = dispatcher.queue.head(dispatcher.queue.first_workspace())
-        dispatcher.queue.remove(head.key)
-        self._dispatchers.pass_on(head, asking, node)
+    def _forward_first(self, dispatcher: CellDispatcher, requester: Cell, node: str) -> None:
+        ticket = dispatcher.queue.head(dispatcher.queue.first_workspace())
+        dispatcher.queue.remove(ticket.key)
+        self._dispatchers.forward_ticket(ticket, requester, node)
 
-    def _passed(self, node: str, message: Passed) -> None:
+    def _handle_passed(self, node: str, message: Passed) -> None:
         cell, dispatcher = self._dispatchers.dispatcher(message.ticket.pool, message.cell)
-        self._sides.setdefault(cell, _Side()).asked_at = -1e9
-        self._dispatchers.offer(cell, dispatcher, message.entry, message.ticket)
+        self._report_states.setdefault(cell, _ReportState()).requested_at = -1e9
+        self._dispatchers.accept_ticket(cell, dispatcher, message.entry, message.ticket)
--- a/railsail/dispatch/overflow.py
+++ b/railsail/dispatch/overflow.py
@@ -26,21 +26,21 @@
         self._hub = hub
         self._clock = clock
 
-    def look(self, cell: Cell, dispatcher: CellDispatcher) -> None:
+    def rebalance(self, cell: Cell, dispatcher: CellDispatcher) -> None:
         """Report the queue length of ``cell`` to other regions, and request tickets, as needed."""
         if dispatcher.overflow is None:
             return
         now = self._clock.monotonic()
         waiting = len(dispatcher.queue)
-        news = dispatcher.overflow.news(waiting, now)
-        if news is not None:
+        report = dispatcher.overflow.news(waiting, now)
+        if report is not None:
             for other in self._partners(cell):
-                self._tell(cell, other, news, 0)
-        wanted = dispatcher.wanted(now)
-        if wanted is not None:
-            self._tell(cell, wanted[0], waiting, wanted[1])
+                self._send_hint(cell, other, report, 0)
+        request = dispatcher.wanted(now)
+        if request is not None:
+            self._send_hint(cell, request[0], waiting, request[1])
 
-    def hint(self, cell: Cell, other: Cell, hint: CellHint) -> None:
+    def handle_hint(self, cell: Cell, other: Cell, hint: CellHint) -> None:
         """Handle a hint that the cell ``other`` of another region sent to ``cell``."""
         if not hint.waiting and not hint.wanted and cell not in self._dispatchers.dispatchers():
             return
@@ -52,17 +52,17 @@
             dispatcher.overflow.offered(other, hint.wanted, now)
         else:
             dispatcher.overflow.told(other, hint.waiting, now)
-        self.look(cell, dispatcher)
+        self.rebalance(cell, dispatcher)
 
     def _partners(self, cell: Cell) -> list[Cell]:
         """Return one cell of each other region, different ones for the cells of this region."""
-        regions: dict[str, list[Cell]] = {}
+        by_region: dict[str, list[Cell]] = {}
         for other in self._cells.cells(cell.pool):
-            regions.setdefault(other.region, []).append(other)
-        own = regions.pop(cell.region, [])
-        place = own.index(cell) if cell in own else 0
-        return [others[place % len(others)] for others in regions.values()]
+            by_region.setdefault(other.region, []).append(other)
+        own = by_region.pop(cell.region, [])
+        index = own.index(cell) if cell in own else 0
+        return [others[index % len(others)] for others in by_region.values()]
 
-    def _tell(self, cell: Cell, other: Cell, waiting: int, wanted: int) -> None:
-        hint = CellHint(cell.pool, other.number, cell.number, waiting, wanted)
+    def _send_hint(self, cell: Cell, other: Cell, waiting: int, requested: int) -> None:
+        hint = CellHint(cell.pool, other.number, cell.number, waiting, requested)
         self._hub.send(self._cells.dispatcher(other), hint)
--- a/railsail/dispatch/service.py
+++ b/railsail/dispatch/service.py
@@ -50,14 +50,14 @@
 # While tickets wait, a cell is pumped at this interval, and not more often. It is pumped even if no
 # message arrived, since replicas continue to prefill prompts in the meantime. An engine prefills
 # about 500 tokens in this time, so at shorter intervals there is hardly anything new to decide.
-LOOK_AGAIN_SECONDS = 0.006
+PUMP_INTERVAL_SECONDS = 0.006
 IDLE_SECONDS = 30.0
 # While it is being checked whether a replica has crashed, tickets of the request that it ran are
 # retried after this many seconds. The replica's host answers the check within a few milliseconds.
-CHECK_AGAIN_SECONDS = 0.005
+UNDECIDED_RETRY_SECONDS = 0.005
 # After a crash, one call of the suspect request runs on trial, and decides within about this many
 # seconds whether its repeats can run.
-TRIAL_SECONDS = 1.0
+QUARANTINE_TRIAL_SECONDS = 1.0
 
 
 class DispatcherService:
@@ -87,22 +87,22 @@
         self._fair_window = fair_window
         self._trials = trials
         self._dispatchers: dict[Cell, CellDispatcher] = {}
-        self._where: dict[TicketKey, Cell] = {}
+        self._cell_of_ticket: dict[TicketKey, Cell] = {}
         self._entry_starts: dict[str, int] = {}
-        self._used_at: dict[Cell, float] = {}
-        self._to_look_at: set[Cell] = set()
+        self._last_used: dict[Cell, float] = {}
+        self._pump_scheduled: set[Cell] = set()
         self._share_log = ShareLog(kernel.events)
         self._rollouts = RolloutLog(self._dispatchers, kernel)
         self._loads = loads
-        loads.on_report(self._reported)
-        self._pumped: list[Callable[[Cell, CellDispatcher], None]] = []
-        hub.handle(Place, self._place)
-        hub.handle(Cancel, self._cancel)
-        hub.handle(Release, self._release)
-        hub.handle(Progress, self._progress)
-        hub.handle(Begun, self._begun)
-        hub.handle(Resync, self._resync)
-        hub.handle(HandedOver, self._handed_over)
+        loads.on_report(self._handle_load_report)
+        self._pump_listeners: list[Callable[[Cell, CellDispatcher], None]] = []
+        hub.handle(Place, self._handle_place)
+        hub.handle(Cancel, self._handle_cancel)
+        hub.handle(Release, self._handle_release)
+        hub.handle(Progress, self._handle_progress)
+        hub.handle(Begun, self._handle_begun)
+        hub.handle(Resync, self._handle_resync)
+        hub.handle(HandedOver, self._handle_handed_over)
         hub.handle(Probe, lambda node, message: hub.send(node, ProbeReply()))
         hub.on_up(self._link_up)
 
@@ -119,15 +119,15 @@
 
     def on_pumped(self, listener: Callable[[Cell, CellDispatcher], None]) -> None:
         """Call ``listener`` after each change of a cell, once the resulting grants are sent."""
-        self._pumped.append(listener)
+        self._pump_listeners.append(listener)
 
-    def pass_on(self, ticket: Ticket, cell: Cell, node: str) -> None:
+    def forward_ticket(self, ticket: Ticket, cell: Cell, node: str) -> None:
         """Forward a ``ticket`` that was removed from its queue to ``cell`` at ``node``.
 
         Its entry is notified of the move.
         """
         place = self._to_place(ticket, cell, node)
-        self._where.pop(ticket.key, None)
+        self._cell_of_ticket.pop(ticket.key, None)
         self._hub.send(ticket.entry, Moved(ticket.number, ticket.attempt, cell.number, node))
         self._hub.send(node, Passed(ticket.entry, cell.number, place))
 
@@ -150,14 +150,14 @@
         for cell, dispatcher in self._dispatchers.items():
             dispatcher.drop_entry(entry, now)
             self._pump(cell, dispatcher)
-        self._forget_keys()
+        self._drop_stale_keys()
 
     def hand_over(self) -> None:
         """Send the fairness counters of each cell to the node that dispatches it from now on."""
         for cell, dispatcher in self._dispatchers.items():
             node = self._cells.dispatcher(cell)
             if node != self._hub.own.node:
-                records = _records(dispatcher.queue.counters())
+                records = _to_records(dispatcher.queue.counters())
                 virtual_time = round(dispatcher.queue.virtual_time)
                 self._hub.send(node, HandedOver(cell.pool, cell.number, records, virtual_time))
 
@@ -188,7 +188,7 @@
             replicas = len(dispatcher.replicas)
             self._events.emit(Kind.TOOK_OVER, cell=str(cell), replicas=replicas)
             self._loads.ask(cell, dispatcher)
-        self._used_at[cell] = self._clock.monotonic()
+        self._last_used[cell] = self._clock.monotonic()
         return cell, dispatcher
 
     def _weight(self, workspace: str) -> float:
@@ -206,67 +206,69 @@
             if flight.replica == replica and flight.started_at <= before and flight.fingerprint
         }
 
-    def _place(self, node: str, message: Place) -> None:
+    def _handle_place(self, node: str, message: Place) -> None:
         if self._trials.undecided(message.fingerprint):
             # It will be known in a moment whether a replica crashed while running this request. To
             # wait for that spares another replica.
             loop = asyncio.get_running_loop()
-            loop.call_later(CHECK_AGAIN_SECONDS, self._place, node, message)
+            loop.call_later(UNDECIDED_RETRY_SECONDS, self._handle_place, node, message)
             return
         cell, dispatcher = self.dispatcher(message.pool, message.cell)
-        self.offer(cell, dispatcher, node, message)
+        self.accept_ticket(cell, dispatcher, node, message)
 
-    def offer(self, cell: Cell, dispatcher: CellDispatcher, entry: str, message: Place) -> None:
+    def accept_ticket(
+        self, cell: Cell, dispatcher: CellDispatcher, entry: str, message: Place
+    ) -> None:
         """Add a ticket of ``entry`` to ``cell``, and send the resulting decisions."""
         now = self._clock.monotonic()
         ticket = to_ticket(entry, message, now)
         if self._trials.is_second(dispatcher, ticket):
             reason = Reason.QUARANTINED
-            self._carry_out(cell, [Refusal(ticket, reason, TRIAL_SECONDS)])
+            self._send_decisions(cell, [Refusal(ticket, reason, QUARANTINE_TRIAL_SECONDS)])
             return
-        self._where[ticket.key] = cell
+        self._cell_of_ticket[ticket.key] = cell
         if len(dispatcher.queue):
-            self._carry_out(cell, dispatcher.put(ticket, now))
+            self._send_decisions(cell, dispatcher.put(ticket, now))
         else:
-            self._carry_out(cell, dispatcher.offer(ticket, now))
-        self._pump_ended(cell, dispatcher)
+            self._send_decisions(cell, dispatcher.offer(ticket, now))
+        self._after_pump(cell, dispatcher)
 
-    def _cancel(self, node: str, message: Cancel) -> None:
+    def _handle_cancel(self, node: str, message: Cancel) -> None:
         key = (node, message.number)
         found = self._find(key)
         if found is not None and key in found[1].flights:
             # The grant is on its way, and the entry will return it.
             return
-        self._where.pop(key, None)
+        self._cell_of_ticket.pop(key, None)
         if found is not None and key in found[1].queue:
             cell, dispatcher = found
             dispatcher.cancel(key)
-            self._tell_refused(cell, node, message.number)
+            self._log_refused(cell, node, message.number)
 
     def _find(self, key: TicketKey) -> tuple[Cell, CellDispatcher] | None:
-        cell = self._where.get(key)
+        cell = self._cell_of_ticket.get(key)
         dispatcher = self._dispatchers.get(cell) if cell else None
         return (cell, dispatcher) if dispatcher is not None else None
 
-    def _tell_refused(self, cell: Cell, entry: str, number: int) -> None:
+    def _log_refused(self, cell: Cell, entry: str, number: int) -> None:
         """Log the state of ``cell`` in which a ticket, already removed, found no replica."""
         dispatcher = self._dispatchers[cell]
         now = self._clock.monotonic()
-        rooms = dispatcher.open_rooms(now)
-        serving = [room for room in rooms if room.serves(now)]
+        replicas = dispatcher.open_rooms(now)
+        serving = [replica for replica in replicas if replica.serves(now)]
         self._events.emit(
             Kind.EXPIRED,
             ticket=ticket_name(entry, number),
             cell=str(cell),
             waiting=len(dispatcher.queue) + 1,
             in_flight=len(dispatcher.flights),
-            replicas=len(rooms),
+            replicas=len(replicas),
             replicas_serving=len(serving),
-            free_slots=sum(room.room(now) for room in serving),
-            to_read_ms=round(sum(room.unread_seconds for room in serving) * 1000),
+            free_slots=sum(replica.room(now) for replica in serving),
+            to_read_ms=round(sum(replica.unread_seconds for replica in serving) * 1000),
         )
 
-    def _release(self, node: str, message: Release) -> None:
+    def _handle_release(self, node: str, message: Release) -> None:
         key = (node, message.number)
         found = self._find(key)
         if found is None:
@@ -277,34 +279,34 @@
         self._trials.ended(dispatcher.flights.get(key), result)
         dispatcher.release_attempt(key, message.attempt, float(message.cost), now, result)
         if key not in dispatcher.flights and key not in dispatcher.queue:
-            del self._where[key]
-        self._room_changed(cell, dispatcher)
+            del self._cell_of_ticket[key]
+        self._capacity_changed(cell, dispatcher)
 
-    def _progress(self, node: str, message: Progress) -> None:
+    def _handle_progress(self, node: str, message: Progress) -> None:
         key = (node, message.number)
         found = self._find(key)
         if found is not None:
             found[1].progress(key, float(message.charged))
 
-    def _begun(self, node: str, message: Begun) -> None:
+    def _handle_begun(self, node: str, message: Begun) -> None:
         key = (node, message.number)
         found = self._find(key)
         if found is None:
             return
         cell, dispatcher = found
         dispatcher.answered(key, self._clock.monotonic())
-        self._room_changed(cell, dispatcher)
+        self._capacity_changed(cell, dispatcher)
 
-    def _resync(self, node: str, message: Resync) -> None:
+    def _handle_resync(self, node: str, message: Resync) -> None:
         cell, dispatcher = self.dispatcher(message.pool, message.cell)
         now = self._clock.monotonic()
         dispatcher.queue.merge((item.workspace, float(item.value)) for item in message.counters)
-        named = {(node, item.number) for item in message.waiting}
-        named |= {(node, item.number) for item in message.flights}
-        dispatcher.keep_only(node, named, now)
+        kept_keys = {(node, item.number) for item in message.waiting}
+        kept_keys |= {(node, item.number) for item in message.flights}
+        dispatcher.keep_only(node, kept_keys, now)
         for item in message.flights:
             key = (node, item.number)
-            self._where[key] = cell
+            self._cell_of_ticket[key] = cell
             started = now - item.running / 1000
             flight = Flight(
                 item.attempt,
@@ -317,48 +319,48 @@
             )
             dispatcher.resume_flight(key, flight)
         for item in message.waiting:
-            self.offer(cell, dispatcher, node, item)
-        self._forget_keys()
+            self.accept_ticket(cell, dispatcher, node, item)
+        self._drop_stale_keys()
 
-    def _handed_over(self, node: str, message: HandedOver) -> None:
+    def _handle_handed_over(self, node: str, message: HandedOver) -> None:
         _, dispatcher = self.dispatcher(message.pool, message.cell)
         dispatcher.queue.advance(float(message.virtual_time))
         dispatcher.queue.merge((item.workspace, float(item.value)) for item in message.counters)
 
     def _pump(self, cell: Cell, dispatcher: CellDispatcher) -> None:
-        self._carry_out(cell, dispatcher.pump(self._clock.monotonic()))
-        self._pump_ended(cell, dispatcher)
+        self._send_decisions(cell, dispatcher.pump(self._clock.monotonic()))
+        self._after_pump(cell, dispatcher)
 
-    def _room_changed(self, cell: Cell, dispatcher: CellDispatcher) -> None:
+    def _capacity_changed(self, cell: Cell, dispatcher: CellDispatcher) -> None:
         if len(dispatcher.queue):
             # The next pump is due soon, and handles all changes until then.
-            self._look_soon(cell, dispatcher)
+            self._schedule_pump(cell, dispatcher)
         else:
             # Nothing waits here, but neighbouring cells may have waiting tickets.
             self._pump(cell, dispatcher)
 
-    def _pump_ended(self, cell: Cell, dispatcher: CellDispatcher) -> None:
-        for listener in self._pumped:
+    def _after_pump(self, cell: Cell, dispatcher: CellDispatcher) -> None:
+        for listener in self._pump_listeners:
             listener(cell, dispatcher)
-        self._look_soon(cell, dispatcher)
+        self._schedule_pump(cell, dispatcher)
 
-    def _look_soon(self, cell: Cell, dispatcher: CellDispatcher) -> None:
-        if len(dispatcher.queue) and cell not in self._to_look_at:
-            self._to_look_at.add(cell)
+    def _schedule_pump(self, cell: Cell, dispatcher: CellDispatcher) -> None:
+        if len(dispatcher.queue) and cell not in self._pump_scheduled:
+            self._pump_scheduled.add(cell)
             loop = asyncio.get_running_loop()
-            loop.call_later(LOOK_AGAIN_SECONDS, self._look_again, cell)
+            loop.call_later(PUMP_INTERVAL_SECONDS, self._scheduled_pump, cell)
 
-    def _look_again(self, cell: Cell) -> None:
-        self._to_look_at.discard(cell)
+    def _scheduled_pump(self, cell: Cell) -> None:
+        self._pump_scheduled.discard(cell)
         dispatcher = self._dispatchers.get(cell)
         if dispatcher is not None:
             self._pump(cell, dispatcher)
 
-    def _carry_out(self, cell: Cell, decisions: list[Decision]) -> None:
+    def _send_decisions(self, cell: Cell, decisions: list[Decision]) -> None:
         for decision in decisions:
             ticket = decision.ticket
             if isinstance(decision, Move):
-                self.pass_on(ticket, decision.cell, self._cells.dispatcher(decision.cell))
+                self.forward_ticket(ticket, decision.cell, self._cells.dispatcher(decision.cell))
                 continue
             if isinstance(decision, Grant):
                 self._metrics.granted.inc({"cell": str(cell)})
@@ -369,18 +371,18 @@
             elif isinstance(decision, Hold):
                 message = Held(ticket.number, ticket.attempt, round(ticket.patience * 1000))
             else:
-                message = self._refused(cell, decision)
+                message = self._refuse(cell, decision)
             self._hub.send(ticket.entry, message)
 
-    def _refused(self, cell: Cell, decision: Refusal) -> Refused:
+    def _refuse(self, cell: Cell, decision: Refusal) -> Refused:
         ticket = decision.ticket
-        self._where.pop(ticket.key, None)
+        self._cell_of_ticket.pop(ticket.key, None)
         if decision.reason is not Reason.NO_ROOM:
-            self._tell_refused(cell, ticket.entry, ticket.number)
-        come_back = round(decision.come_back * 1000)
-        return Refused(ticket.number, ticket.attempt, decision.reason, come_back)
+            self._log_refused(cell, ticket.entry, ticket.number)
+        retry_after_ms = round(decision.come_back * 1000)
+        return Refused(ticket.number, ticket.attempt, decision.reason, retry_after_ms)
 
-    def _reported(self, cell: Cell, name: str, report: LoadReport) -> None:
+    def _handle_load_report(self, cell: Cell, name: str, report: LoadReport) -> None:
         dispatcher = self._dispatchers.get(cell)
         if dispatcher is not None:
             dispatcher.report(name, report, self._clock.monotonic())
@@ -390,19 +392,19 @@
         self._metrics.queued.set({"cell": str(cell)}, len(dispatcher.queue))
         dispatcher.queue.forget_idle({flight.workspace for flight in dispatcher.flights.values()})
         idle = not dispatcher.flights and not len(dispatcher.queue)
-        mine = self._cells.dispatcher(cell) == self._hub.own.node
-        if idle and not mine and now - self._used_at[cell] > IDLE_SECONDS:
+        dispatched_here = self._cells.dispatcher(cell) == self._hub.own.node
+        if idle and not dispatched_here and now - self._last_used[cell] > IDLE_SECONDS:
             del self._dispatchers[cell]
-            del self._used_at[cell]
+            del self._last_used[cell]
             self._share_log.forget(cell)
 
-    def _forget_keys(self) -> None:
-        for key, cell in list(self._where.items()):
+    def _drop_stale_keys(self) -> None:
+        for key, cell in list(self._cell_of_ticket.items()):
             dispatcher = self._dispatchers.get(cell)
             known = dispatcher and (key in dispatcher.flights or key in dispatcher.queue)
             if not known:
-                del self._where[key]
+                del self._cell_of_ticket[key]
 
 
-def _records(counters: dict[str, float]) -> list[CounterRecord]:
+def _to_records(counters: dict[str, float]) -> list[CounterRecord]:
     return [CounterRecord(name, round(value)) for name, value in sorted(counters.items())]
