--- a/railsail/dispatch/loads.py
+++ b/railsail/dispatch/loads.py
@@ -15,8 +15,8 @@
 from railsail.upstreams.rests import ReplicaBackoffs
 from railsail.upstreams.signs import Source, read_signs
 
-BUSY_SECONDS = 1.0
-IDLE_SECONDS = 5.0
+BUSY_INTERVAL_SECONDS = 1.0
+IDLE_INTERVAL_SECONDS = 5.0
 
 
 class LoadReports:
@@ -29,18 +29,18 @@
         self,
         catalog: Callable[[], Catalog],
         directory: UpstreamDirectory,
-        heard: HeardSigns,
-        rests: ReplicaBackoffs,
+        signals: HeardSigns,
+        backoffs: ReplicaBackoffs,
         clock: Clock,
     ) -> None:
         self._catalog = catalog
         self._directory = directory
-        self._heard = heard
-        self._rests = rests
+        self._signals = signals
+        self._backoffs = backoffs
         self._clock = clock
-        self._asked_at: dict[str, float] = {}
+        self._polled_at: dict[str, float] = {}
         # Replicas whose last load report said that they are leaving.
-        self._said_leaving: set[str] = set()
+        self._reported_leaving: set[str] = set()
         self._kinds: dict[str, UpstreamKind] = {}
         self._listeners: list[Callable[[Cell, str, LoadReport], None]] = []
         self._tasks = TaskSet()
@@ -51,49 +51,49 @@
 
     def kind_of(self, pool: str) -> UpstreamKind | None:
         """Return the plug-in for the replicas of ``pool``, or ``None`` if there is no such pool."""
-        found = self._catalog().pool(pool)
-        if found is None:
+        configured = self._catalog().pool(pool)
+        if configured is None:
             return None
-        name = found.upstream_kind
+        name = configured.upstream_kind
         if name not in self._kinds:
             self._kinds[name] = UPSTREAM_KINDS.get(name)()
         return self._kinds[name]
 
-    def _tell_leaving(self, name: str, leaving: bool) -> None:
+    def _record_leaving(self, name: str, leaving: bool) -> None:
         """Record whether the load report of replica ``name`` says that it is leaving.
 
         A report that does not say so withdraws only what an earlier load report said. A replica may
         say that it is leaving only in its answers.
         """
         if leaving:
-            self._said_leaving.add(name)
+            self._reported_leaving.add(name)
             self._directory.sign_leaving(name, Source.LOAD, self._clock.wall())
-        elif name in self._said_leaving:
-            self._said_leaving.discard(name)
+        elif name in self._reported_leaving:
+            self._reported_leaving.discard(name)
             self._directory.withdraw(name, Source.LOAD, self._clock.wall())
 
-    def ask(self, cell: Cell, dispatcher: CellDispatcher) -> None:
+    def poll(self, cell: Cell, dispatcher: CellDispatcher) -> None:
         """Poll the replicas of ``cell`` whose next report is due, except those in backoff."""
         kind = self.kind_of(cell.pool)
         if kind is None or not kind.reports_load:
             return
         now = self._clock.monotonic()
         busy = bool(dispatcher.flights) or bool(len(dispatcher.queue))
-        period = BUSY_SECONDS if busy else IDLE_SECONDS
+        interval = BUSY_INTERVAL_SECONDS if busy else IDLE_INTERVAL_SECONDS
         for name in dispatcher.replicas:
-            if self._rests.resting(name, now):
+            if self._backoffs.resting(name, now):
                 continue
-            if now - self._asked_at.get(name, -IDLE_SECONDS) >= period:
-                self._asked_at[name] = now
-                self._tasks.start(self._ask(cell, name, kind))
+            if now - self._polled_at.get(name, -IDLE_INTERVAL_SECONDS) >= interval:
+                self._polled_at[name] = now
+                self._tasks.start(self._poll(cell, name, kind))
 
-    async def _ask(self, cell: Cell, name: str, kind: UpstreamKind) -> None:
+    async def _poll(self, cell: Cell, name: str, kind: UpstreamKind) -> None:
         upstream = self._directory.get(name)
         if upstream is None:
             return
-        report = await kind.load(upstream.endpoint, self._heard.listener(name, read_signs))
+        report = await kind.load(upstream.endpoint, self._signals.listener(name, read_signs))
         if report is None:
             return
-        self._tell_leaving(name, report.leaving)
+        self._record_leaving(name, report.leaving)
         for listener in self._listeners:
             listener(cell, name, report)
--- a/railsail/dispatch/replicas.py
+++ b/railsail/dispatch/replicas.py
@@ -29,7 +29,7 @@
     share: Callable[[], float] = lambda: 1.0
     domain_regions: Mapping[str, str] = msgspec.field(default_factory=dict)
 
-    def of_cold(self, pool: Pool) -> WarmupBound:
+    def warmup_bound(self, pool: Pool) -> WarmupBound:
         """Return the bound on the calls that a cold replica of ``pool`` is sent."""
         return WarmupBound(pool.warmup_rate, pool.cold_seconds, self.cold_over, self.cold_slack)
 
@@ -69,18 +69,18 @@
         for pool, ages in pools.items():
             self._new_versions.observe(pool, ages, now)
 
-    def set_all(self, cell: Cell, dispatcher: CellDispatcher) -> None:
+    def update(self, cell: Cell, dispatcher: CellDispatcher) -> None:
         """Set the replicas of ``cell``, with their slots, start times, regions and versions."""
         pool = self._catalog().pool(cell.pool)
-        slots = pool.slots if pool else 0
+        default_slots = pool.slots if pool else 0
         names = self._cells.cells(cell.pool).get(cell, [])
         found = {name: self._directory.get(name) for name in names}
         known = {name: upstream for name, upstream in found.items() if upstream is not None}
         leaving = [name for name in names if self._is_leaving(known.get(name))]
-        lives = {name: upstream.born for name, upstream in known.items()}
-        told = {name: upstream.slots for name, upstream in known.items()}
-        numbers = {name: told.get(name, 0) or slots for name in names}
-        dispatcher.set_replicas(numbers, leaving, lives)
+        start_times = {name: upstream.born for name, upstream in known.items()}
+        reported_slots = {name: upstream.slots for name, upstream in known.items()}
+        slots = {name: reported_slots.get(name, 0) or default_slots for name in names}
+        dispatcher.set_replicas(slots, leaving, start_times)
         regions = self._bounds.domain_regions
         dispatcher.set_regions({n: regions.get(u.failure_domain, "") for n, u in known.items()})
         self._set_versions(cell, dispatcher, known)
@@ -101,7 +101,7 @@
         pool = self._catalog().pool(cell.pool)
         if pool is None or not pool.warmup_rate:
             return
-        bound = self._bounds.of_cold(pool)
+        bound = self._bounds.warmup_bound(pool)
         dispatcher.set_bound(bound, self._bounds.share())
         now = self._clock.monotonic()
         for name in dispatcher.replicas:
--- a/railsail/dispatch/rolloutlog.py
+++ b/railsail/dispatch/rolloutlog.py
@@ -19,7 +19,7 @@
         self._events = kernel.events
         self._metrics = kernel.metrics
 
-    def granted(self, cell: Cell, grant: Grant) -> None:
+    def record_grant(self, cell: Cell, grant: Grant) -> None:
         """Count a grant, and log it if it is a canary call; do nothing if no rollout runs."""
         versions = self._dispatchers[cell].versions
         exposure, stage = versions.exposure, grant.stage
--- a/railsail/dispatch/rollouts.py
+++ b/railsail/dispatch/rollouts.py
@@ -26,11 +26,11 @@
 from railsail.scheduling.exposure import Allowance
 from railsail.upstreams.directory import UpstreamDirectory
 
-EVIDENCE_SECONDS = 0.25
+EVIDENCE_INTERVAL_SECONDS = 0.25
 # A coordinator whose last allowance is older than this is sent no more evidence.
-HEARD_SECONDS = 2.0
+COORDINATOR_TIMEOUT_SECONDS = 2.0
 # The maximum number of tallies in one message.
-MOST_TALLIES = 2000
+MAX_TALLIES = 2000
 
 
 @dataclass(frozen=True)
@@ -38,7 +38,7 @@
     """The sender of a cell's newest allowance, and when the allowance was received."""
 
     node: str
-    heard_at: float
+    received_at: float
 
 
 class RolloutDispatch:
@@ -46,69 +46,69 @@
 
     def __init__(
         self,
-        book: RolloutBook,
+        registry: RolloutBook,
         directory: UpstreamDirectory,
         dispatchers: DispatcherService,
         tickets: TicketClient,
         hub: PeerHub,
         kernel: Kernel,
     ) -> None:
-        self._book = book
+        self._registry = registry
         self._directory = directory
         self._dispatchers = dispatchers
         self._hub = hub
         self._clock = kernel.clock
         self._coordinators: dict[Cell, _Coordinator] = {}
-        hub.handle(RolloutAllowance, self._allowed)
+        hub.handle(RolloutAllowance, self._handle_allowance)
         tickets.replica_facts = self._replica_facts
-        directory.follow_rollouts(book)
-        book.on_change(directory.rollouts_changed)
+        directory.follow_rollouts(registry)
+        registry.on_change(directory.rollouts_changed)
 
     async def run(self) -> None:
         """Send evidence to coordinators periodically, until cancelled."""
         while True:
-            await asyncio.sleep(EVIDENCE_SECONDS)
-            self.tell_all()
+            await asyncio.sleep(EVIDENCE_INTERVAL_SECONDS)
+            self.send_all_evidence()
 
     def stop(self) -> None:
         """Stop sending evidence."""
         self._coordinators.clear()
 
-    def tell_all(self) -> None:
+    def send_all_evidence(self) -> None:
         """Send the evidence of each cell to its coordinator, unless that has timed out."""
         now = self._clock.monotonic()
         for cell, coordinator in list(self._coordinators.items()):
-            if now - coordinator.heard_at > HEARD_SECONDS:
+            if now - coordinator.received_at > COORDINATOR_TIMEOUT_SECONDS:
                 del self._coordinators[cell]
             else:
-                self._tell(cell, coordinator.node)
+                self._send_evidence(cell, coordinator.node)
 
     def _replica_facts(self, replica: str) -> Mapping[str, Fact]:
         upstream = self._directory.get(replica)
-        if upstream is None or self._book.running(upstream.pool) is None:
+        if upstream is None or self._registry.running(upstream.pool) is None:
             return {}
         return {"software_version": upstream.software_version}
 
-    def _allowed(self, node: str, message: RolloutAllowance) -> None:
-        order = self._book.running(message.service)
+    def _handle_allowance(self, node: str, message: RolloutAllowance) -> None:
+        order = self._registry.running(message.service)
         if order is None or order.version != message.version:
             # This node or the coordinator has not yet received the order, or its end.
             known = order.version if order else 0
-            self._tell_ignored(node, message, "another order", known_version=known)
+            self._log_ignored(node, message, "another order", known_version=known)
             return
         cell, dispatcher = self._dispatchers.dispatcher(message.service, message.cell)
         if cell.number != message.cell:
             # The two nodes know different replicas, and therefore cut the pool differently.
-            self._tell_ignored(node, message, "an unknown cell", cell=message.cell)
+            self._log_ignored(node, message, "an unknown cell", cell=message.cell)
             return
         exposure = dispatcher.versions.exposure
         now = self._clock.monotonic()
         if exposure is None or not exposure.allow(_to_allowance(message, now), now):
             return
         self._coordinators[cell] = _Coordinator(node, now)
-        self._tell(cell, node)
+        self._send_evidence(cell, node)
 
-    def _tell_ignored(self, node: str, message: RolloutAllowance, what: str, **facts: Fact) -> None:
+    def _log_ignored(self, node: str, message: RolloutAllowance, what: str, **facts: Fact) -> None:
         get_logger().info(
             f"ignored an allowance for {what}",
             service=message.service,
@@ -117,7 +117,7 @@
             **facts,
         )
 
-    def _tell(self, cell: Cell, node: str) -> None:
+    def _send_evidence(self, cell: Cell, node: str) -> None:
         dispatcher = self._dispatchers.dispatchers().get(cell)
         if dispatcher is None or dispatcher.tallies is None:
             return
@@ -149,7 +149,7 @@
         tallies.arrivals,
         exposure.exposed,
         sum(flight.software_version != exposure.target_version for flight in flights),
-        list(itertools.islice(records, MOST_TALLIES)),
+        list(itertools.islice(records, MAX_TALLIES)),
     )
 
 
--- a/railsail/dispatch/service.py
+++ b/railsail/dispatch/service.py
@@ -51,7 +51,7 @@
 # message arrived, since replicas continue to prefill prompts in the meantime. An engine prefills
 # about 500 tokens in this time, so at shorter intervals there is hardly anything new to decide.
 PUMP_INTERVAL_SECONDS = 0.006
-IDLE_SECONDS = 30.0
+DROP_IDLE_AFTER_SECONDS = 30.0
 # While it is being checked whether a replica has crashed, tickets of the request that it ran are
 # retried after this many seconds. The replica's host answers the check within a few milliseconds.
 UNDECIDED_RETRY_SECONDS = 0.005
@@ -92,7 +92,7 @@
         self._last_used: dict[Cell, float] = {}
         self._pump_scheduled: set[Cell] = set()
         self._share_log = ShareLog(kernel.events)
-        self._rollouts = RolloutLog(self._dispatchers, kernel)
+        self._rollout_log = RolloutLog(self._dispatchers, kernel)
         self._loads = loads
         loads.on_report(self._handle_load_report)
         self._pump_listeners: list[Callable[[Cell, CellDispatcher], None]] = []
@@ -140,7 +140,7 @@
     def renew_replicas(self) -> None:
         """Apply a change of the replicas at once, so that a leaving one gets no more calls."""
         for cell, dispatcher in list(self._dispatchers.items()):
-            self._replicas.set_all(cell, dispatcher)
+            self._replicas.update(cell, dispatcher)
             self._pump(cell, dispatcher)
 
     def drop_entry(self, entry: str) -> None:
@@ -167,7 +167,7 @@
         for cell, dispatcher in list(self._dispatchers.items()):
             self._replicas.set_cold(cell, dispatcher)
             self._pump(cell, dispatcher)
-            self._loads.ask(cell, dispatcher)
+            self._loads.poll(cell, dispatcher)
             self._share_log.log(cell, dispatcher, now)
             self._drop_idle(cell, dispatcher, now)
 
@@ -184,10 +184,10 @@
                 Overflow() if cell.region else None,
             )
             self._dispatchers[cell] = dispatcher
-            self._replicas.set_all(cell, dispatcher)
+            self._replicas.update(cell, dispatcher)
             replicas = len(dispatcher.replicas)
             self._events.emit(Kind.TOOK_OVER, cell=str(cell), replicas=replicas)
-            self._loads.ask(cell, dispatcher)
+            self._loads.poll(cell, dispatcher)
         self._last_used[cell] = self._clock.monotonic()
         return cell, dispatcher
 
@@ -364,7 +364,7 @@
                 continue
             if isinstance(decision, Grant):
                 self._metrics.granted.inc({"cell": str(cell)})
-                self._rollouts.granted(cell, decision)
+                self._rollout_log.record_grant(cell, decision)
                 message = Granted(
                     ticket.number, ticket.attempt, decision.replica, round(decision.counter)
                 )
@@ -393,7 +393,7 @@
         dispatcher.queue.forget_idle({flight.workspace for flight in dispatcher.flights.values()})
         idle = not dispatcher.flights and not len(dispatcher.queue)
         dispatched_here = self._cells.dispatcher(cell) == self._hub.own.node
-        if idle and not dispatched_here and now - self._last_used[cell] > IDLE_SECONDS:
+        if idle and not dispatched_here and now - self._last_used[cell] > DROP_IDLE_AFTER_SECONDS:
             del self._dispatchers[cell]
             del self._last_used[cell]
             self._share_log.forget(cell)
--- a/railsail/dispatch/tree.py
+++ b/railsail/dispatch/tree.py
@@ -23,9 +23,9 @@
 
 # The root sets the period of all exchanges so that a node sends about this many bytes a second. The
 # period stays within the bounds below.
-BYTES_PER_SECOND = 1000.0
-SHORTEST_SECONDS = 0.5
-LONGEST_SECONDS = 10.0
+TARGET_BYTES_PER_SECOND = 1000.0
+MIN_PERIOD_SECONDS = 0.5
+MAX_PERIOD_SECONDS = 10.0
 
 
 class ServiceTree:
@@ -49,17 +49,17 @@
         self._totals: dict[str, PoolTotals] = {}
         self._counted: dict[tuple[Cell, str], float] = {}
         self._children: dict[str, list[str]] = {}
-        self._sent_in: dict[str, int] = {}
+        self._sent_bytes: dict[str, int] = {}
         self._periods: dict[str, float] = {}
-        self._steered_at: dict[str, float] = {}
+        self._adjusted_at: dict[str, float] = {}
         self._balances: dict[Cell, FleetBalance] = {}
-        hub.handle(Served, self._told_by_child)
-        hub.handle(FleetServed, self._told_by_root)
+        hub.handle(Served, self._handle_served)
+        hub.handle(FleetServed, self._handle_fleet_served)
 
     async def run(self) -> None:
         """Exchange sums periodically, until cancelled."""
         while True:
-            await asyncio.sleep(max(self._periods.values(), default=SHORTEST_SECONDS))
+            await asyncio.sleep(max(self._periods.values(), default=MIN_PERIOD_SECONDS))
             for pool in self._pools():
                 if len(self._cells.cells(pool)) > 1:
                     self._exchange(pool)
@@ -77,14 +77,14 @@
         totals.set_parent(parent, int(self._clock.wall() * 1000))
         if parent is None:
             totals.told_by_root((own, totals.epoch), totals.root_sums())
-            self._decide_period(pool)
+            self._set_period(pool)
         else:
-            self._tell(parent, Served, pool, (totals.epoch,), totals.news_for_parent())
+            self._send_sums(parent, Served, pool, (totals.epoch,), totals.news_for_parent())
         if children != self._children.get(pool):
             self._children[pool] = children
             totals.forget_told()
-        self._tell_children(pool, totals, children)
-        self._steer(pool, totals.fleet_gains(), tree.depth(len(ordered)))
+        self._send_to_children(pool, totals, children)
+        self._adjust_weights(pool, totals.fleet_gains(), tree.depth(len(ordered)))
 
     def _nodes(self, pool: str) -> list[str]:
         """Return the nodes of the tree of ``pool``.
@@ -97,39 +97,39 @@
             return sorted({self._cells.dispatcher(cell) for cell in cells})
         return self._usable()
 
-    def _decide_period(self, pool: str) -> None:
+    def _set_period(self, pool: str) -> None:
         # All nodes use the root's period. The root sends as much as any other node, except for the
         # message to a parent.
-        period = self._sent_in.get(pool, 0) / BYTES_PER_SECOND
-        self._periods[pool] = min(max(period, SHORTEST_SECONDS), LONGEST_SECONDS)
-        self._sent_in[pool] = 0
+        period = self._sent_bytes.get(pool, 0) / TARGET_BYTES_PER_SECOND
+        self._periods[pool] = min(max(period, MIN_PERIOD_SECONDS), MAX_PERIOD_SECONDS)
+        self._sent_bytes[pool] = 0
 
-    def _tell_children(self, pool: str, totals: PoolTotals, children: list[str]) -> None:
+    def _send_to_children(self, pool: str, totals: PoolTotals, children: list[str]) -> None:
         root = totals.root
         if root is None:
             return
-        news = totals.news_for_children()
-        period = round(self._periods.get(pool, SHORTEST_SECONDS) * 1000)
+        sums = totals.news_for_children()
+        period = round(self._periods.get(pool, MIN_PERIOD_SECONDS) * 1000)
         for child in children:
-            self._tell(child, FleetServed, pool, (*root, period), news)
+            self._send_sums(child, FleetServed, pool, (*root, period), sums)
 
-    def _tell(self, node: str, kind: type, pool: str, head: tuple, sums: Sums) -> None:
+    def _send_sums(self, node: str, kind: type, pool: str, header: tuple, sums: Sums) -> None:
         if not sums:
             return
         records = [SumRecord(digest, round(value)) for digest, value in sorted(sums.items())]
-        message = kind(pool, *head, records)
-        self._sent_in[pool] = self._sent_in.get(pool, 0) + len(encode_message(message))
+        message = kind(pool, *header, records)
+        self._sent_bytes[pool] = self._sent_bytes.get(pool, 0) + len(encode_message(message))
         self._hub.send(node, message)
 
     def _totals_of(self, pool: str) -> PoolTotals:
         return self._totals.setdefault(pool, PoolTotals())
 
-    def _mine(self, pool: str) -> dict[Cell, CellDispatcher]:
-        mine = self._dispatchers.dispatchers()
-        return {cell: dispatcher for cell, dispatcher in mine.items() if cell.pool == pool}
+    def _own_dispatchers(self, pool: str) -> dict[Cell, CellDispatcher]:
+        dispatchers = self._dispatchers.dispatchers()
+        return {cell: dispatcher for cell, dispatcher in dispatchers.items() if cell.pool == pool}
 
     def _count_own(self, pool: str, totals: PoolTotals) -> None:
-        for cell, dispatcher in self._mine(pool).items():
+        for cell, dispatcher in self._own_dispatchers(pool).items():
             for workspace, gain in self._gains(cell, dispatcher.served).items():
                 totals.serve(digest_of(workspace), gain)
 
@@ -143,25 +143,25 @@
                 gains[workspace] = gain
         return gains
 
-    def _steer(self, pool: str, gains: Sums, depth: int) -> None:
+    def _adjust_weights(self, pool: str, gains: Sums, depth: int) -> None:
         now = self._clock.monotonic()
-        seconds = now - self._steered_at.get(pool, now)
-        self._steered_at[pool] = now
+        seconds = now - self._adjusted_at.get(pool, now)
+        self._adjusted_at[pool] = now
         # Sums travel up the tree and down again, and wait for half a period on average at each hop.
         # The effect of an adjustment takes about one more period to appear in them.
-        delay = (depth + 1) * self._periods.get(pool, SHORTEST_SECONDS)
-        for cell, dispatcher in self._mine(pool).items():
+        delay = (depth + 1) * self._periods.get(pool, MIN_PERIOD_SECONDS)
+        for cell, dispatcher in self._own_dispatchers(pool).items():
             balance = self._balances.setdefault(cell, FleetBalance(dispatcher.queue.weight))
             waiting = dispatcher.queue.workspaces()
-            named = {name: gains.get(digest_of(name), 0.0) for name in waiting}
-            dispatcher.queue.tilt(balance.update(named, waiting, seconds, delay))
+            workspace_gains = {name: gains.get(digest_of(name), 0.0) for name in waiting}
+            dispatcher.queue.tilt(balance.update(workspace_gains, waiting, seconds, delay))
 
-    def _told_by_child(self, node: str, message: Served) -> None:
+    def _handle_served(self, node: str, message: Served) -> None:
         sums = {record.workspace: float(record.value) for record in message.totals}
         self._totals_of(message.pool).told_by_child(node, message.epoch, sums)
 
-    def _told_by_root(self, node: str, message: FleetServed) -> None:
+    def _handle_fleet_served(self, node: str, message: FleetServed) -> None:
         sums = {record.workspace: float(record.value) for record in message.totals}
         self._totals_of(message.pool).told_by_root((message.root, message.epoch), sums)
         period = message.period / 1000
-        self._periods[message.pool] = min(max(period, SHORTEST_SECONDS), LONGEST_SECONDS)
+        self._periods[message.pool] = min(max(period, MIN_PERIOD_SECONDS), MAX_PERIOD_SECONDS)
--- a/tests/dispatch/test_rollouts.py
+++ b/tests/dispatch/test_rollouts.py
@@ -13,7 +13,7 @@
 from railsail.dispatch.entry import TicketClient
 from railsail.dispatch.gate import SendGate
 from railsail.dispatch.replicas import CellReplicas, FleetBounds
-from railsail.dispatch.rollouts import HEARD_SECONDS, RolloutDispatch
+from railsail.dispatch.rollouts import COORDINATOR_TIMEOUT_SECONDS, RolloutDispatch
 from railsail.dispatch.service import DispatcherService
 from railsail.objects.catalog import Catalog
 from railsail.peers.link import Identity
@@ -124,7 +124,7 @@
     def on_report(self, listener) -> None:
         pass
 
-    def ask(self, cell, dispatcher) -> None:
+    def poll(self, cell, dispatcher) -> None:
         pass
 
 
@@ -321,7 +321,7 @@
             record = {"pool": "model", "endpoint": "127.0.0.1:9", "failure_domain": "a"}
             record |= {"state": "live", "software_version": version}
             directory.seen(WatchEvent("upstream", version, number, record))
-            replicas.set_all(CELL, dispatcher)
+            replicas.update(CELL, dispatcher)
         self.assertTrue(all(room.serves(clock.now) for room in dispatcher.replicas.values()))
 
 
@@ -332,15 +332,15 @@
         self.assertEqual(self.hub.sent[-1][0], COORDINATOR)
         self.assertEqual(self.evidence().arrivals, 0)
         self.serve(10)
-        self.rollouts.tell_all()
+        self.rollouts.send_all_evidence()
         self.assertEqual(self.evidence().arrivals, 10)
 
     async def test_coordinator_that_timed_out_is_sent_no_evidence(self):
         self.order()
         self.allow(Stage.CANARY, 20)
         self.hub.sent.clear()
-        self.clock.now += HEARD_SECONDS + 0.1
-        self.rollouts.tell_all()
+        self.clock.now += COORDINATOR_TIMEOUT_SECONDS + 0.1
+        self.rollouts.send_all_evidence()
         self.assertEqual(self.hub.sent, [])
 
     async def test_no_evidence_is_sent_of_an_ended_order(self):
@@ -348,7 +348,7 @@
         self.allow(Stage.CANARY, 20)
         self.hub.sent.clear()
         self.book.set(None, "v2")
-        self.rollouts.tell_all()
+        self.rollouts.send_all_evidence()
         self.assertEqual(self.hub.take(RolloutEvidence), [])
 
     async def test_evidence_has_sums_by_route_and_version(self):
@@ -361,7 +361,7 @@
             self.clock.now += 0.010
             bad = replica.startswith("new")
             self.end(CallResult.ERROR if bad and step % 2 else CallResult.GOOD)
-        self.rollouts.tell_all()
+        self.rollouts.send_all_evidence()
         evidence = self.evidence()
         self.assertEqual((evidence.term, evidence.exposed, evidence.arrivals), (1, 4, 20))
         sums = {(t.route, t.software_version, t.replica): t for t in evidence.tallies}
@@ -376,7 +376,7 @@
         self.place()
         self.allow(Stage.SHIFT)
         self.place()
-        self.rollouts.tell_all()
+        self.rollouts.send_all_evidence()
         self.assertEqual(self.evidence().running, 2)
 
 
--- a/tests/fleet/test_signs.py
+++ b/tests/fleet/test_signs.py
@@ -47,8 +47,8 @@
         await self.until(self.all_know)
         for node in self.fleet.nodes:
             for cell, dispatcher in node.dispatchers.dispatchers().items():
-                node.loads._asked_at.clear()
-                node.loads.ask(cell, dispatcher)
+                node.loads._polled_at.clear()
+                node.loads.poll(cell, dispatcher)
                 await node.loads._tasks.wait(5.0)
         await self.assert_gets_nothing_more()
 
@@ -57,8 +57,8 @@
         await self.complete(self.node)
         for node in self.fleet.nodes:
             for cell, dispatcher in node.dispatchers.dispatchers().items():
-                node.loads._asked_at.clear()
-                node.loads.ask(cell, dispatcher)
+                node.loads._polled_at.clear()
+                node.loads.poll(cell, dispatcher)
         await self.until(self.all_know)
 
 
