--- a/railsail/dispatch/entry.py
+++ b/railsail/dispatch/entry.py
@@ -14,7 +14,7 @@
 from railsail.core.outcomes import Reason
 from railsail.dispatch.bookings import Booking, PoolRequest, TicketRefused, ticket_name, to_place
 from railsail.dispatch.cellmap import CellMap
-from railsail.dispatch.reach import DispatcherReachability
+from railsail.dispatch.reachability import DispatcherReachability
 from railsail.peers.hub import PeerHub
 from railsail.peers.link import Identity
 from railsail.peers.messages import (
--- a/railsail/dispatch/service.py
+++ b/railsail/dispatch/service.py
@@ -16,7 +16,7 @@
 from railsail.dispatch.loads import LoadReports
 from railsail.dispatch.replicas import CellReplicas
 from railsail.dispatch.rolloutlog import RolloutLog
-from railsail.dispatch.shares import ShareLog
+from railsail.dispatch.sharelog import ShareLog
 from railsail.objects.catalog import Catalog
 from railsail.peers.hub import PeerHub
 from railsail.peers.link import Identity
--- a/tests/dispatch/test_reach.py
+++ b/tests/dispatch/test_reachability.py
@@ -7,7 +7,7 @@
 from railsail.core.events import EventLog
 from railsail.core.kernel import Kernel
 from railsail.core.metrics import Metrics
-from railsail.dispatch.reach import LINK_TIMEOUT_SECONDS, DispatcherReachability
+from railsail.dispatch.reachability import LINK_TIMEOUT_SECONDS, DispatcherReachability
 from railsail.dispatch.silence import CHECK_INTERVAL_SECONDS, CHECKS_UNTIL_SILENT
 from railsail.peers.link import Identity
 from railsail.peers.messages import Probe
