--- a/railsail/dispatch/acquire.py
+++ b/railsail/dispatch/acquire.py
@@ -1,7 +1,8 @@
 """Acquire a replica for a request: wait for a grant, and check whether it can be used.
 
-Requests that cannot succeed are refused before a ticket is placed: those that are quarantined
-because replicas crashed while running them, and those whose replicas are all in backoff here.
+Requests that cannot succeed are refused before a ticket is placed. These are requests in
+quarantine, because replicas crashed while running them, and requests whose replicas are all in
+backoff at this node.
 """
 
 import asyncio
@@ -15,9 +16,9 @@
 from railsail.dispatch.gate import SendGate
 from railsail.quarantine.service import Quarantine
 
-# A request is refused after this many grants of replicas that it cannot be sent to. The next ticket
-# names these replicas as excluded, so the second grant is usable unless the state changed in the
-# meantime or the dispatcher runs an older build.
+# A request is refused after this many grants of replicas that it cannot be sent to. Each new ticket
+# tells the dispatcher which replicas to avoid, so the second grant is usable unless something
+# changed in the meantime or the dispatcher runs an older build.
 MAX_GRANTS = 8
 _REFUSALS = {
     Reason.EXPIRED: "no replica had room in time",
--- a/railsail/dispatch/cellmap.py
+++ b/railsail/dispatch/cellmap.py
@@ -105,7 +105,7 @@
         return {self.dispatcher(cell) for cell in cells}
 
     def round_trip_seconds(self, entry: str, dispatcher: str) -> float:
-        """Return the network round trip between two nodes if it crosses regions, else 0."""
+        """Return the seconds of a round trip between two nodes in different regions, else 0."""
         return self._regions.round_trip_seconds(entry, dispatcher)
 
     def owner_cell(
--- a/railsail/dispatch/entry.py
+++ b/railsail/dispatch/entry.py
@@ -35,7 +35,7 @@
 from railsail.scheduling.overflow import WAY_SECONDS
 from railsail.scheduling.room import LONG_PREFIX_TOKENS
 
-RESYNC_SECONDS = 10.0
+RESYNC_INTERVAL_SECONDS = 10.0
 # A dispatcher's refusal can arrive this long after the wait has ended: the dispatcher has to check
 # its queue, and the message has to travel to the entry.
 DECISION_SECONDS = 0.025
@@ -113,7 +113,7 @@
         return call
 
     def silent_ms(self, call: Booking) -> int:
-        """Return the milliseconds since a message of the dispatcher of ``call`` arrived."""
+        """Return the milliseconds since the last message from the dispatcher of ``call``."""
         if call.node == self._hub.own.node:
             return 0
         return round((self._clock.monotonic() - self._hub.last_heard(call.node)) * 1000)
@@ -139,7 +139,7 @@
         return min(preferred, key=lambda cell: (load[cell], self._rng.random()))
 
     def withdraw(self, call: Booking) -> None:
-        """Drop a pending call, because its request expired, its caller left or it is refused.
+        """Drop a pending call, because it expired, its caller left or its grant cannot be used.
 
         A ticket that waits is cancelled, and a granted replica is released without a charge.
         """
@@ -259,7 +259,7 @@
         self._resync_pending()
         now = self._clock.monotonic()
         for (node, cell), synced_at in list(self._synced_at.items()):
-            if now - synced_at > RESYNC_SECONDS:
+            if now - synced_at > RESYNC_INTERVAL_SECONDS:
                 # A dispatcher that missed a release would hold a slot for a call that has ended.
                 if self._cells.dispatcher(cell) == node:
                     self._resync(node, cell)
@@ -413,7 +413,7 @@
 
 
 def _uses_fleet_wide_owner(request: PoolRequest) -> bool:
-    """Return True if ``request`` goes to the owner of its prompt prefix in whichever region.
+    """Return True if ``request`` goes to the owner of its prompt prefix in the whole fleet.
 
     Prefilling a long prefix once in the fleet, and not once in each region, leaves replicas time
     and memory for other prompts. It costs a network round trip between regions, which must be a
--- a/railsail/dispatch/exchange.py
+++ b/railsail/dispatch/exchange.py
@@ -18,8 +18,8 @@
 from railsail.scheduling.cells import Cell
 from railsail.scheduling.dispatcher import CellDispatcher
 
-# A cell reports its queue length at once when its queue fills or empties. Otherwise it reports a
-# change by more than half, at most once in this many seconds.
+# A cell reports at once that tickets wait, or that none wait any more. Otherwise it reports changes
+# of its queue length by more than half, and at most once in this many seconds.
 REPORT_INTERVAL_SECONDS = 2.0
 MAX_REQUESTED_TICKETS = 8
 # A cell requests tickets from a neighbour whose queue exceeds twice its own by more than this.
@@ -28,8 +28,11 @@
 
 
 @dataclass
-class _ReportState:
-    """What a cell of this node last reported to its neighbours, and when it last made a request."""
+class _CellState:
+    """The last report of a cell of this node to its neighbours, and the time of its last request.
+
+    ``reported`` is the queue length. Times are in seconds of the monotonic clock.
+    """
 
     reported: int = 0
     reported_at: float = 0.0
@@ -53,7 +56,7 @@
         self._hub = hub
         self._clock = clock
         self._overflow = RegionOverflow(cells, dispatchers, hub, clock)
-        self._report_states: dict[Cell, _ReportState] = {}
+        self._states: dict[Cell, _CellState] = {}
         self._neighbour_queues: dict[Cell, dict[Cell, int]] = {}
         hub.handle(CellHint, self._handle_hint)
         hub.handle(Passed, self._handle_passed)
@@ -66,7 +69,7 @@
         if cell.region:
             self._overflow.rebalance(cell, dispatcher)
         now = self._clock.monotonic()
-        state = self._report_states.setdefault(cell, _ReportState())
+        state = self._states.setdefault(cell, _CellState())
         waiting = len(dispatcher.queue)
         if state.is_report_due(waiting, now):
             state.reported, state.reported_at = waiting, now
@@ -75,7 +78,7 @@
         self._request_tickets(cell, dispatcher, state, now)
 
     def _request_tickets(
-        self, cell: Cell, dispatcher: CellDispatcher, state: _ReportState, now: float
+        self, cell: Cell, dispatcher: CellDispatcher, state: _CellState, now: float
     ) -> None:
         queues = self._neighbour_queues.get(cell, {})
         if not queues or now - state.requested_at < REQUEST_INTERVAL_SECONDS:
@@ -140,5 +143,5 @@
 
     def _handle_passed(self, node: str, message: Passed) -> None:
         cell, dispatcher = self._dispatchers.dispatcher(message.ticket.pool, message.cell)
-        self._report_states.setdefault(cell, _ReportState()).requested_at = -1e9
+        self._states.setdefault(cell, _CellState()).requested_at = -1e9
         self._dispatchers.accept_ticket(cell, dispatcher, message.entry, message.ticket)
--- a/railsail/dispatch/gate.py
+++ b/railsail/dispatch/gate.py
@@ -19,8 +19,8 @@
 from railsail.upstreams.rests import ReplicaBackoffs
 
 # Jitter on the retry time of callers that find all replicas in backoff. It spreads them evenly over
-# this time after the first backoff ends. One request tries that replica first, and its answer takes
-# part of the time.
+# this time after the first backoff ends. Only one request tries that replica at first, and its
+# answer takes part of the time.
 RETRY_JITTER_SECONDS = 0.5
 
 
--- a/railsail/dispatch/regions.py
+++ b/railsail/dispatch/regions.py
@@ -30,9 +30,10 @@
         return frozenset(self.by_domain.values())
 
     def round_trip_seconds(self, entry: str, dispatcher: str) -> float:
-        """Return the network round trip of a ticket and its grant between two nodes.
+        """Return the seconds that a ticket and its grant take between two nodes.
 
-        It is 0 within a region, and where the region of a node is unknown.
+        Only the network between regions counts: the result is 0 within a region, and where the
+        region of a node is unknown.
         """
         if len(self.names) <= 1:
             return 0.0
--- a/railsail/dispatch/rollouts.py
+++ b/railsail/dispatch/rollouts.py
@@ -29,7 +29,7 @@
 EVIDENCE_INTERVAL_SECONDS = 0.25
 # A coordinator whose last allowance is older than this is sent no more evidence.
 COORDINATOR_TIMEOUT_SECONDS = 2.0
-# The maximum number of tallies in one message.
+# Peers reject a message with more tallies, see ``RolloutEvidence``.
 MAX_TALLIES = 2000
 
 
@@ -42,7 +42,7 @@
 
 
 class RolloutDispatch:
-    """The parts of a rollout that the dispatchers and the entry of this node take care of."""
+    """Follows rollouts at this node, for its dispatchers and its entry."""
 
     def __init__(
         self,
--- a/railsail/dispatch/service.py
+++ b/railsail/dispatch/service.py
@@ -53,10 +53,10 @@
 PUMP_INTERVAL_SECONDS = 0.006
 DROP_IDLE_AFTER_SECONDS = 30.0
 # While it is being checked whether a replica has crashed, tickets of the request that it ran are
-# retried after this many seconds. The replica's host answers the check within a few milliseconds.
+# held back for this long at a time. The host of the replica answers within a few milliseconds.
 UNDECIDED_RETRY_SECONDS = 0.005
-# After a crash, one call of the suspect request runs on trial, and decides within about this many
-# seconds whether its repeats can run.
+# After a crash, one call of the suspect request runs on trial. It shows within about this many
+# seconds whether repeats of the request can run, so their callers are told to retry by then.
 QUARANTINE_TRIAL_SECONDS = 1.0
 
 
@@ -133,6 +133,7 @@
 
     def _to_place(self, ticket: Ticket, cell: Cell, node: str) -> Place:
         waited = self._clock.monotonic() - ticket.enqueued_at
+        # An entry in another region has already counted a round trip as waiting time.
         if not self._cells.round_trip_seconds(ticket.entry, self._hub.own.node):
             waited += self._cells.round_trip_seconds(ticket.entry, node)
         return to_place(ticket, ticket.number, ticket.attempt, cell, waited)
--- a/tests/dispatch/test_cellmap.py
+++ b/tests/dispatch/test_cellmap.py
@@ -26,48 +26,52 @@
     return new_directory
 
 
-def list_replicas(known: UpstreamDirectory, replicas: int, leaving: tuple[str, ...] = ()) -> None:
+def list_replicas(
+    upstreams: UpstreamDirectory, replicas: int, leaving: tuple[str, ...] = ()
+) -> None:
     objects = []
     for number in range(replicas):
         name = f"r{number:03}"
         state = "leaving" if name in leaving else "live"
         spec = {"pool": POOL, "endpoint": "127.0.0.1:1", "failure_domain": "a", "state": state}
         objects.append(StoredObject("upstream", name, number + 1, spec))
-    known.listed(Listing(replicas + 1, tuple(objects)))
+    upstreams.listed(Listing(replicas + 1, tuple(objects)))
 
 
-def cell_map(node: str, known: UpstreamDirectory) -> CellMap:
-    return CellMap(node, known, lambda: [node], LIMIT, local=False)
+def cell_map(node: str, upstreams: UpstreamDirectory) -> CellMap:
+    return CellMap(node, upstreams, lambda: [node], LIMIT, local=False)
 
 
 class PrefixOwnerTests(unittest.TestCase):
     def test_all_entries_choose_the_same_cell_for_a_prefix(self):
-        known = directory(78)
-        maps = [cell_map(f"node {number}", known) for number in range(20)]
+        upstreams = directory(78)
+        maps = [cell_map(f"node {number}", upstreams) for number in range(20)]
         for prefix in PREFIXES:
             self.assertEqual(len({cells.owner_cell(POOL, prefix) for cells in maps}), 1)
 
     def test_dispatcher_prefers_the_same_replica_however_the_pool_is_cut(self):
-        known = directory(78)
-        small = CellMap("n", known, lambda: ["n"], 8, local=False)
+        upstreams = directory(78)
+        small = CellMap("n", upstreams, lambda: ["n"], 8, local=False)
         for prefix in PREFIXES:
-            preferred = {_preferred_in(cells, prefix) for cells in (cell_map("n", known), small)}
+            preferred = {
+                _preferred_in(cells, prefix) for cells in (cell_map("n", upstreams), small)
+            }
             self.assertEqual(len(preferred), 1)
 
     def test_one_more_replica_moves_few_prefixes(self):
         # 33 replicas make a third cell. Most prefixes would move to another replica if their owner
         # depended on how the pool is cut.
-        known = directory(32)
-        cells = cell_map("n", known)
+        upstreams = directory(32)
+        cells = cell_map("n", upstreams)
         before = {prefix: _preferred_in(cells, prefix) for prefix in PREFIXES}
-        list_replicas(known, 33)
+        list_replicas(upstreams, 33)
         moved = [p for p in PREFIXES if _preferred_in(cells, p) != before[p]]
         self.assertTrue(moved)
         self.assertLess(len(moved), len(PREFIXES) / 10)
 
     def test_prefixes_of_a_leaving_replica_move_to_others(self):
-        known = directory(32, leaving=("r003",))
-        cells = cell_map("n", known)
+        upstreams = directory(32, leaving=("r003",))
+        cells = cell_map("n", upstreams)
         self.assertNotIn("r003", {_preferred_in(cells, prefix, "r003") for prefix in PREFIXES})
 
     def test_pool_without_replicas_has_one_cell_that_owns_all_prefixes(self):
@@ -97,7 +101,7 @@
 
 
 def regional_cell_map(
-    node: str, known: UpstreamDirectory, nodes: dict[str, str] | None = None
+    node: str, upstreams: UpstreamDirectory, nodes: dict[str, str] | None = None
 ) -> CellMap:
     """Return the cell map of ``node``, which can use ``nodes``, given with their regions."""
     usable = NODES if nodes is None else nodes
@@ -106,17 +110,17 @@
         return [name for name, of in usable.items() if region in ("", of)]
 
     regions = FleetRegions(NODES[node], DOMAINS, lambda name: NODES.get(name, ""))
-    return CellMap(node, known, nodes_in, LIMIT, local=False, regions=regions)
+    return CellMap(node, upstreams, nodes_in, LIMIT, local=False, regions=regions)
 
 
 class RegionTests(unittest.TestCase):
     def test_all_nodes_choose_the_same_dispatcher_in_the_region_of_a_cell(self):
-        known = regional_directory(30)
-        maps = [regional_cell_map(node, known) for node in NODES]
+        upstreams = regional_directory(30)
+        maps = [regional_cell_map(node, upstreams) for node in NODES]
         for cell in maps[0].cells(POOL):
-            named = {cells.dispatcher(cell) for cells in maps}
-            self.assertEqual(len(named), 1)
-            self.assertEqual(NODES[named.pop()], cell.region)
+            dispatchers = {cells.dispatcher(cell) for cells in maps}
+            self.assertEqual(len(dispatchers), 1)
+            self.assertEqual(NODES[dispatchers.pop()], cell.region)
 
     def test_region_without_usable_nodes_is_dispatched_elsewhere(self):
         nodes = {name: region for name, region in NODES.items() if region != "west"}
@@ -131,9 +135,9 @@
         self.assertEqual((preferred.region, NODES[cells.dispatcher(preferred)]), ("west", "west"))
 
     def test_entries_use_cells_of_their_own_region(self):
-        known = regional_directory(30)
+        upstreams = regional_directory(30)
         for node, region in NODES.items():
-            cells = regional_cell_map(node, known)
+            cells = regional_cell_map(node, upstreams)
             self.assertEqual({cell.region for cell in cells.preferred_cells(POOL)}, {region})
             owner_cells = {cells.owner_cell(POOL, prefix).region for prefix in PREFIXES}
             self.assertEqual(owner_cells, {region})
@@ -148,23 +152,24 @@
 
     def test_entries_of_a_region_choose_one_owner_cell_in_that_region(self):
         # Each region has more replicas than the limit of a cell.
-        known = regional_directory(90)
+        upstreams = regional_directory(90)
         for prefix in PREFIXES:
             owner_cells = {
-                regional_cell_map(f"north {n}", known).owner_cell(POOL, prefix) for n in range(2)
+                regional_cell_map(f"north {n}", upstreams).owner_cell(POOL, prefix)
+                for n in range(2)
             }
             self.assertEqual([cell.region for cell in owner_cells], ["north"])
 
     def test_fleet_wide_owner_cell_is_the_same_for_all_entries(self):
-        known = regional_directory(90)
+        upstreams = regional_directory(90)
         for prefix in PREFIXES:
             owner_cells = {
-                regional_cell_map(node, known).owner_cell(POOL, prefix, anywhere=True)
+                regional_cell_map(node, upstreams).owner_cell(POOL, prefix, anywhere=True)
                 for node in NODES
             }
             self.assertEqual(len(owner_cells), 1)
         found = {
-            regional_cell_map("north 0", known).owner_cell(POOL, p, anywhere=True).region
+            regional_cell_map("north 0", upstreams).owner_cell(POOL, p, anywhere=True).region
             for p in PREFIXES
         }
         self.assertEqual(found, {"north", "south", "west"})
@@ -177,20 +182,20 @@
         self.assertEqual(found, {"south", "west"})
 
     def test_partitioned_region_owns_prefixes_only_for_its_own_entries(self):
-        known = regional_directory(90)
+        upstreams = regional_directory(90)
         inside = {name: region for name, region in NODES.items() if region == "west"}
         outside = {name: region for name, region in NODES.items() if region != "west"}
-        cells = regional_cell_map("west 0", known, inside)
+        cells = regional_cell_map("west 0", upstreams, inside)
         self.assertEqual(
             {cells.owner_cell(POOL, p, anywhere=True).region for p in PREFIXES}, {"west"}
         )
-        cells = regional_cell_map("north 0", known, outside)
+        cells = regional_cell_map("north 0", upstreams, outside)
         found = {cells.owner_cell(POOL, p, anywhere=True).region for p in PREFIXES}
         self.assertEqual(found, {"north", "south"})
 
     def test_region_that_accepts_no_work_is_skipped(self):
-        for known in (regional_directory(30, leaving="a"), regional_directory(30, without="a")):
-            cells = regional_cell_map("north 0", known)
+        for upstreams in (regional_directory(30, leaving="a"), regional_directory(30, without="a")):
+            cells = regional_cell_map("north 0", upstreams)
             self.assertEqual({c.region for c in cells.preferred_cells(POOL)}, {"south", "west"})
             found = {cells.owner_cell(POOL, prefix).region for prefix in PREFIXES}
             self.assertEqual(found, {"south", "west"})
@@ -229,12 +234,12 @@
         self.assertEqual(cells.round_trip_seconds("north 0", "nobody"), 0.0)
 
     def test_fleet_of_one_region_is_cut_like_one_without_regions(self):
-        known = directory(78)
-        plain = cell_map("n", known)
+        upstreams = directory(78)
+        plain = cell_map("n", upstreams)
         regions = FleetRegions("north", {"a": "north", "b": "north"}, lambda node: "north")
         usable = {"": [f"n{number}" for number in range(9)], "north": []}
-        one = CellMap("n", known, lambda region="": usable[region], LIMIT, False, regions)
-        many = CellMap("n", known, lambda: usable[""], LIMIT, local=False)
+        one = CellMap("n", upstreams, lambda region="": usable[region], LIMIT, False, regions)
+        many = CellMap("n", upstreams, lambda: usable[""], LIMIT, local=False)
         self.assertEqual(list(one.cells(POOL).items()), list(plain.cells(POOL).items()))
         self.assertEqual(one.preferred_cells(POOL), plain.preferred_cells(POOL))
         for cell in plain.cells(POOL):
@@ -247,8 +252,8 @@
 def _preferred_in(cells: CellMap, prefix: int, without: str = "") -> str:
     """Return the replica that the dispatcher of the owner cell of ``prefix`` prefers."""
     names = cells.cells(POOL)[cells.owner_cell(POOL, prefix)]
-    rooms = [ReplicaRoom(name, 1) for name in names if name != without]
-    return _preferred(Ticket("n", 1, 1, "w", 0.0, 1.0, 0.0, prefix=prefix), rooms).name
+    replicas = [ReplicaRoom(name, 1) for name in names if name != without]
+    return _preferred(Ticket("n", 1, 1, "w", 0.0, 1.0, 0.0, prefix=prefix), replicas).name
 
 
 if __name__ == "__main__":
--- a/tests/dispatch/test_entry.py
+++ b/tests/dispatch/test_entry.py
@@ -119,65 +119,65 @@
         clock = Clock()
         kernel = Kernel(clock, random.Random(1), EventLog(OWN, clock), Metrics())
         self.cells = Cells()
-        self.directory = UpstreamDirectory(lambda *told: None, kernel.events)
+        self.directory = UpstreamDirectory(lambda *args: None, kernel.events)
         for number in (1, 2, 3):
             self.directory.seen(WatchEvent("upstream", f"i-{number}", number, RECORD))
         self.backoffs = ReplicaBackoffs()
         gate = SendGate(self.directory, self.backoffs, {"a": "north"}, self.hub, kernel)
-        quarantine = Quarantine(lambda *told: None, self.hub, kernel)
+        quarantine = Quarantine(lambda *args: None, self.hub, kernel)
         self.tickets = TicketClient(self.cells, self.hub, kernel)
         self.acquirer = ReplicaAcquirer(self.tickets, gate, quarantine, kernel)
         self.clock = clock
 
 
 class PromptOwnerTests(EntryTestCase):
-    def asked_anywhere(self, shared_tokens: int, patience: float) -> bool:
+    def owner_is_fleet_wide(self, shared_tokens: int, patience: float) -> bool:
         request = replace(REQUEST, prefix=7, shared_tokens=shared_tokens, patience=patience)
         self.tickets.place(request, self.clock.monotonic())
         return self.cells.anywhere
 
     async def test_long_prefix_has_one_owner_in_the_whole_fleet(self):
-        self.assertTrue(self.asked_anywhere(5000, 0.2))
+        self.assertTrue(self.owner_is_fleet_wide(5000, 0.2))
 
     async def test_short_prefix_has_an_owner_in_the_region(self):
-        self.assertFalse(self.asked_anywhere(500, 0.2))
+        self.assertFalse(self.owner_is_fleet_wide(500, 0.2))
 
     async def test_request_with_a_short_wait_stays_in_the_region(self):
-        self.assertFalse(self.asked_anywhere(5000, 0.1))
+        self.assertFalse(self.owner_is_fleet_wide(5000, 0.1))
 
 
 class ForwardedTicketTests(EntryTestCase):
     """A ticket that its dispatcher forwarded to a cell that this entry never used."""
 
-    async def passed(self) -> Booking:
+    async def forwarded_call(self) -> Booking:
         self.cells.count = 2
         call = self.tickets.place(REQUEST, self.clock.monotonic())
         self.hub.deliver(Moved(call.number, 1, 1, FAR))
         return call
 
-    def told(self) -> list[Resync]:
+    def resyncs(self) -> list[Resync]:
         """Return the resyncs of the other cell."""
         return [m for m in self.hub.sent if isinstance(m, Resync) and m.cell == 1]
 
     async def test_grant_of_the_other_cell_is_accepted(self):
-        call = await self.passed()
+        call = await self.forwarded_call()
         self.hub.deliver(Granted(call.number, 1, "i-1", 0))
         self.assertEqual(await call.granted, "i-1")
 
     async def test_other_dispatcher_is_resynced_so_that_a_lost_grant_holds_no_slot(self):
         """A grant is lost if there is no link yet, and the ticket may be withdrawn by then."""
-        call = await self.passed()
+        call = await self.forwarded_call()
         self.tickets.withdraw(call)
         self.tickets.tick()
-        (resync,) = self.told()
+        (resync,) = self.resyncs()
         self.assertEqual((resync.waiting, resync.flights), ([], []))
         self.tickets.tick()
-        self.assertEqual(len(self.told()), 1)
+        self.assertEqual(len(self.resyncs()), 1)
 
     async def test_resync_includes_the_ticket_while_it_waits(self):
-        call = await self.passed()
+        call = await self.forwarded_call()
         self.tickets.tick()
-        (resync,) = self.told()
+        (resync,) = self.resyncs()
         self.assertEqual([place.number for place in resync.waiting], [call.number])
 
     async def test_other_dispatcher_is_resynced_if_its_grant_arrives_before_the_move(self):
@@ -186,11 +186,11 @@
         self.hub.handlers[Granted](FAR, Granted(call.number, 1, "i-1", 0))
         self.hub.deliver(Moved(call.number, 1, 1, FAR))
         self.tickets.tick()
-        (resync,) = self.told()
+        (resync,) = self.resyncs()
         self.assertEqual([flight.number for flight in resync.flights], [call.number])
 
     async def test_dispatcher_of_another_region_learns_of_calls_that_ended_in_a_partition(self):
-        call = await self.passed()
+        call = await self.forwarded_call()
         self.hub.handlers[Granted](FAR, Granted(call.number, 1, "i-1", 0))
         self.tickets.tick()
         self.cells.round_trip_seconds = lambda entry, dispatcher: WAY_SECONDS * (dispatcher == FAR)
@@ -242,8 +242,8 @@
                 await asyncio.sleep(0)
                 number = self.tickets.waiting()[0].number
                 self.hub.deliver(Refused(number, 1, reason))
-                asked = [m for m in self.hub.sent if isinstance(m, Place | Resync)]
-                self.assertEqual(len(asked), placed)
+                placements = [m for m in self.hub.sent if isinstance(m, Place | Resync)]
+                self.assertEqual(len(placements), placed)
                 task.cancel()
 
     async def test_grant_in_time_is_accepted(self):
@@ -257,7 +257,7 @@
 class UnusableGrantTests(EntryTestCase):
     """A dispatcher grants a replica that this node cannot send to."""
 
-    def ask(self, request: PoolRequest = REQUEST) -> asyncio.Task:
+    def acquire(self, request: PoolRequest = REQUEST) -> asyncio.Task:
         return asyncio.ensure_future(self.acquirer.acquire(request, 30.0))
 
     async def grant(self, replica: str) -> None:
@@ -273,17 +273,17 @@
 
     def placed(self) -> list[Place]:
         """Return the tickets that were placed, in a resync or in a message of their own."""
-        told = []
+        tickets = []
         for message in self.hub.sent:
-            told += message.waiting if isinstance(message, Resync) else []
-            told += [message] if isinstance(message, Place) else []
-        return told
+            tickets += message.waiting if isinstance(message, Resync) else []
+            tickets += [message] if isinstance(message, Place) else []
+        return tickets
 
     def released(self) -> list[Release]:
         return [message for message in self.hub.sent if isinstance(message, Release)]
 
     async def test_grant_of_a_replica_in_backoff_is_returned_uncharged_and_excluded(self):
-        task = self.ask()
+        task = self.acquire()
         await asyncio.sleep(0)
         self.back_off("i-1")
         await self.grant("i-1")
@@ -294,17 +294,17 @@
 
     async def test_dispatcher_that_grants_a_leaving_replica_is_sent_its_record(self):
         self.directory.sign_leaving("i-1", Source.ANSWER, 0.0)
-        task = self.ask()
+        task = self.acquire()
         await self.grant("i-1")
-        news = [message for message in self.hub.sent if isinstance(message, UpstreamNews)]
-        told = [(r.name, r.sign_leaving) for message in news for r in message.upstreams]
-        self.assertEqual(told, [("i-1", True)])
+        updates = [message for message in self.hub.sent if isinstance(message, UpstreamNews)]
+        records = [(r.name, r.sign_leaving) for message in updates for r in message.upstreams]
+        self.assertEqual(records, [("i-1", True)])
         await self.grant("i-2")
         self.assertEqual((await task).replica, "i-2")
 
     async def test_repeated_grants_of_an_unusable_replica_end_in_a_refusal(self):
         self.back_off("i-1")
-        task = self.ask()
+        task = self.acquire()
         for _ in range(MAX_GRANTS):
             await self.grant("i-1")
         outcome = await task
@@ -312,7 +312,7 @@
         self.assertEqual(len(self.released()), MAX_GRANTS)
 
     async def test_waiting_time_of_a_new_ticket_counts_from_the_request(self):
-        task = self.ask()
+        task = self.acquire()
         await asyncio.sleep(0.05)
         self.back_off("i-1")
         await self.grant("i-1")
@@ -331,7 +331,7 @@
             self.back_off(replica)
         away = {**RECORD, "failure_domain": "z"}
         self.directory.seen(WatchEvent("upstream", "i-3", 9, away))
-        task = self.ask()
+        task = self.acquire()
         await asyncio.sleep(0)
         self.assertFalse(task.done())
         task.cancel()
@@ -341,7 +341,7 @@
     async def test_only_one_request_tries_a_replica_whose_backoff_has_ended(self):
         self.back_off("i-1", 0.0)
         await asyncio.sleep(0.01)
-        first, second = self.ask(), self.ask()
+        first, second = self.acquire(), self.acquire()
         await self.grant("i-1")
         self.assertEqual((await first).replica, "i-1")
         await self.grant("i-1")
--- a/tests/dispatch/test_rollouts.py
+++ b/tests/dispatch/test_rollouts.py
@@ -87,33 +87,33 @@
     def deliver(self, node: str, message) -> None:
         self.handlers[type(message)](node, message)
 
-    def take(self, kind) -> list:
+    def pop_sent(self, kind) -> list:
         """Remove the sent messages of type ``kind``, and return them."""
         found = [message for _, message in self.sent if isinstance(message, kind)]
         self.sent = [pair for pair in self.sent if not isinstance(pair[1], kind)]
         return found
 
 
-class Book:
+class Registry:
     """A rollout registry that tests set."""
 
     def __init__(self) -> None:
         self.order: Order | None = None
-        self.closed: set[str] = set()
+        self.stopped_versions: set[str] = set()
         self._listeners = []
 
     def running(self, service: str) -> Order | None:
         return self.order if self.order is not None and self.order.service == service else None
 
     def takes_work(self, service: str, software_version: str) -> bool:
-        return software_version not in self.closed
+        return software_version not in self.stopped_versions
 
     def on_change(self, listener) -> None:
         self._listeners.append(listener)
 
-    def set(self, order: Order | None, *closed: str) -> None:
+    def set(self, order: Order | None, *stopped_versions: str) -> None:
         self.order = order
-        self.closed = set(closed)
+        self.stopped_versions = set(stopped_versions)
         for listener in self._listeners:
             listener()
 
@@ -146,9 +146,9 @@
         self.clock = SteppedClock()
         self.kernel = Kernel(self.clock, random.Random(1), EventLog(OWN, self.clock), Metrics())
         self.hub = Hub()
-        self.book = Book()
+        self.registry = Registry()
         self.directory = UpstreamDirectory(
-            lambda *told: None, self.kernel.events, self.clock.monotonic, self.clock.wall
+            lambda *args: None, self.kernel.events, self.clock.monotonic, self.clock.wall
         )
         self.cells = CellMap(OWN, self.directory, lambda: [OWN], 64, local=True)
         self.replicas = CellReplicas(self.cells, self.directory, Catalog, FleetBounds(), self.clock)
@@ -168,7 +168,7 @@
         self.backoffs = ReplicaBackoffs()
         self.gate = SendGate(self.directory, self.backoffs, {}, self.hub, self.kernel)
         self.rollouts = RolloutDispatch(
-            self.book, self.directory, self.dispatchers, self.tickets, self.hub, self.kernel
+            self.registry, self.directory, self.dispatchers, self.tickets, self.hub, self.kernel
         )
         self.revision = 0
         self.number = 0
@@ -190,7 +190,7 @@
         self.directory.seen(WatchEvent("upstream", name, self.revision, record))
 
     def order(self, version: int = 7) -> None:
-        self.book.set(Order("model", version, "v2", 12.0))
+        self.registry.set(Order("model", version, "v2", 12.0))
         for number in range(2):
             self.list_replica(f"new{number}", "v2")
 
@@ -206,7 +206,7 @@
         self.number += 1
         request = PoolRequest(f"r-{self.number}", "model", "one", 0.0, 10.0, False, route=route)
         self.hub.deliver(ENTRY, to_place(request, self.number, 1, CELL, 0.0))
-        return next((grant.replica for grant in self.hub.take(Granted)), "")
+        return next((grant.replica for grant in self.hub.pop_sent(Granted)), "")
 
     def end(self, result: CallResult = CallResult.GOOD) -> None:
         self.hub.deliver(ENTRY, Release(self.number, 1, 10, int(result)))
@@ -220,7 +220,7 @@
         return served
 
     def evidence(self) -> RolloutEvidence:
-        return self.hub.take(RolloutEvidence)[-1]
+        return self.hub.pop_sent(RolloutEvidence)[-1]
 
 
 class AllowanceTests(RolloutCase):
@@ -245,7 +245,7 @@
         self.order()
         self.allow(Stage.SHIFT, version=6)
         self.assertEqual(self.serve(40)["new"], 0)
-        self.assertEqual(self.hub.take(RolloutEvidence), [])
+        self.assertEqual(self.hub.pop_sent(RolloutEvidence), [])
 
     async def test_allowance_for_an_unknown_cell_applies_to_no_other_cell(self):
         self.order()
@@ -282,12 +282,12 @@
     async def test_rollback_stops_calls_despite_an_allowance(self):
         self.order()
         self.allow(Stage.SHIFT)
-        self.book.set(None, "v2")
+        self.registry.set(None, "v2")
         self.assertEqual(self.serve(40), {"old": 40, "new": 0, "": 0})
 
     async def test_success_stops_calls_to_other_versions(self):
         self.order()
-        self.book.set(None, "v1")
+        self.registry.set(None, "v1")
         self.assertEqual(self.serve(40), {"old": 0, "new": 40, "": 0})
 
 
@@ -312,7 +312,7 @@
     def test_no_version_is_held_if_rollouts_are_not_followed(self):
         clock = SteppedClock()
         directory = UpstreamDirectory(
-            lambda *told: None, EventLog(OWN, clock), clock.monotonic, clock.wall
+            lambda *args: None, EventLog(OWN, clock), clock.monotonic, clock.wall
         )
         cells = CellMap(OWN, directory, lambda: [OWN], 64, local=True)
         replicas = CellReplicas(cells, directory, Catalog, FleetBounds(), clock)
@@ -347,9 +347,9 @@
         self.order()
         self.allow(Stage.CANARY, 20)
         self.hub.sent.clear()
-        self.book.set(None, "v2")
+        self.registry.set(None, "v2")
         self.rollouts.send_all_evidence()
-        self.assertEqual(self.hub.take(RolloutEvidence), [])
+        self.assertEqual(self.hub.pop_sent(RolloutEvidence), [])
 
     async def test_evidence_has_sums_by_route_and_version(self):
         self.order()
@@ -398,13 +398,13 @@
     async def test_grant_of_a_version_that_was_rolled_back_is_rejected(self):
         self.order()
         self.assertEqual(self.gate.admit("new0"), "")
-        self.book.set(None, "v2")
+        self.registry.set(None, "v2")
         self.assertIn("rolled back", self.gate.admit("new0"))
         self.assertEqual(self.gate.admit("old0"), "")
 
     async def test_request_is_refused_if_all_replicas_that_accept_work_are_in_backoff(self):
         self.order()
-        self.book.set(None, "v2")
+        self.registry.set(None, "v2")
         request = PoolRequest("r", "model", "one", 0.0, 10.0, False)
         for name in ("old0", "old1"):
             self.backoffs.asked(name, 10.0, self.clock.now)
@@ -420,7 +420,7 @@
         self.order()
         during = {prefix: self.owner(prefix) for prefix in range(1, 60)}
         self.assertEqual(during, before)
-        self.book.set(None, "v1")
+        self.registry.set(None, "v1")
         after = {self.owner(prefix) for prefix in range(1, 60)}
         self.assertEqual(after, {"new0", "new1"})
 
@@ -431,7 +431,7 @@
             self.list_replica(f"old{number:03}", "v1")
         before = self.cells.cells("model")
         self.assertEqual(len(before), 2)
-        self.book.set(Order("model", 7, "v2", 12.0))
+        self.registry.set(Order("model", 7, "v2", 12.0))
         for number in range(70):
             self.list_replica(f"new{number:03}", "v2")
         during = self.cells.cells("model")
@@ -439,9 +439,9 @@
         for cell, names in during.items():
             self.assertEqual([name for name in names if name.startswith("old")], before[cell])
             self.assertEqual(sum(name.startswith("new") for name in names), 35)
-        self.book.set(None, "v2")
+        self.registry.set(None, "v2")
         self.assertEqual(self.cells.cells("model"), during)
-        self.book.set(None, "v1")
+        self.registry.set(None, "v1")
         for names in self.cells.cells("model").values():
             self.assertEqual(sum(name.startswith("new") for name in names), 35)
 
@@ -451,10 +451,10 @@
         self.order()
         self.allow(Stage.CANARY, 1)
         self.place()
-        told = [event for event in self.kernel.events if event.kind is Kind.GRANTED]
-        self.assertEqual(told[-1].facts["software_version"], "v2")
-        self.assertEqual(told[-1].facts["stage"], "CANARY")
-        self.assertEqual(told[-1].facts["ticket"], f"{ENTRY}#1")
+        events = [event for event in self.kernel.events if event.kind is Kind.GRANTED]
+        self.assertEqual(events[-1].facts["software_version"], "v2")
+        self.assertEqual(events[-1].facts["stage"], "CANARY")
+        self.assertEqual(events[-1].facts["ticket"], f"{ENTRY}#1")
 
     async def test_log_of_an_entry_has_the_version_while_a_rollout_runs(self):
         request = PoolRequest("r-1", "model", "one", 0.0, 10.0, False)
@@ -463,8 +463,8 @@
                 self.order()
             call = self.tickets.place(request, self.clock.now)
             self.hub.deliver(OWN, Granted(call.number, 1, "old0", 0))
-            told = [event for event in self.kernel.events if event.kind is Kind.GRANTED][-1]
-            self.assertEqual(told.facts.get("software_version"), "v1" if running else None)
+            granted = [event for event in self.kernel.events if event.kind is Kind.GRANTED][-1]
+            self.assertEqual(granted.facts.get("software_version"), "v1" if running else None)
 
     async def test_grants_are_counted_by_stage_and_version(self):
         self.serve(3)
