--- a/railsail/dispatch/acquire.py
+++ b/railsail/dispatch/acquire.py
@@ -76,7 +76,7 @@
         try:
             # The dispatcher normally decides, and says when to retry. This timeout only covers a
             # dispatcher whose decision does not arrive in time.
-            async with asyncio.timeout(remaining + DECISION_SECONDS) as call.limit:
+            async with asyncio.timeout(remaining + DECISION_SECONDS) as call.timeout:
                 await call.granted
         except TicketRefused as refusal:
             return self._refused_by_dispatcher(call, refusal)
@@ -112,13 +112,13 @@
             "refused by the dispatcher",
             reason=refusal.reason,
             returned=int(call.want.returned),
-            come_back_ms=round(refusal.come_back * 1000),
+            come_back_ms=round(refusal.retry_after * 1000),
         )
         detail = _REFUSALS.get(refusal.reason, "decided by the dispatcher")
-        return NotRun(refusal.reason, detail, come_back=refusal.come_back)
+        return NotRun(refusal.reason, detail, come_back=refusal.retry_after)
 
     def _log_expired(self, call: Booking, detail: str = "", **facts: Fact) -> None:
-        waited = self._clock.monotonic() - call.placed_at
+        waited = self._clock.monotonic() - call.requested_at
         self._events.emit(
             Kind.EXPIRED,
             detail,
--- a/railsail/dispatch/bookings.py
+++ b/railsail/dispatch/bookings.py
@@ -58,13 +58,13 @@
 class TicketRefused(RailsailError):
     """A dispatcher refused the ticket, for ``reason``.
 
-    The caller should retry after ``come_back`` seconds, 0 where the dispatcher planned no time.
+    The caller should retry after ``retry_after`` seconds, 0 where the dispatcher planned no time.
     """
 
-    def __init__(self, reason: Reason, come_back: float = 0.0) -> None:
+    def __init__(self, reason: Reason, retry_after: float = 0.0) -> None:
         super().__init__(str(reason))
         self.reason = reason
-        self.come_back = come_back
+        self.retry_after = retry_after
 
 
 @dataclass
@@ -72,25 +72,26 @@
     """A pending call: this entry's record of one ticket and its grant.
 
     It exists from placing the ticket until the ticket is withdrawn or refused, or the granted call
-    is released. ``cell`` and ``node`` are the cell where the ticket is placed and its dispatcher,
-    ``attempt`` counts the placements, and ``charged`` is in cost units. ``refused`` is set once a
-    cell had no capacity and the ticket went to another cell.
+    is released. ``cell`` is the cell where the ticket is placed, and ``node`` its dispatcher.
+    ``attempt`` counts the placements. ``charged`` is in cost units. ``tried_other_cell`` is set
+    when a cell had no capacity, and the ticket is placed with another one. Waiting counts from
+    ``requested_at``, in seconds of the monotonic clock.
     """
 
     number: int
     want: PoolRequest
-    placed_at: float
+    requested_at: float
     cell: Cell
     node: str
     attempt: int = 1
     replica: str = ""
     charged: float = 0.0
     granted_at: float = 0.0
-    refused: bool = False
+    tried_other_cell: bool = False
     begun: bool = False
     granted: asyncio.Future = field(default_factory=asyncio.Future)
     # The timeout of the wait for a grant, once the wait has started.
-    limit: asyncio.Timeout | None = None
+    timeout: asyncio.Timeout | None = None
 
     @property
     def waiting(self) -> bool:
--- a/railsail/dispatch/entry.py
+++ b/railsail/dispatch/entry.py
@@ -296,7 +296,7 @@
         self._hub.send(call.node, self._to_place(call))
 
     def _to_place(self, call: Booking) -> Place:
-        waited = self._clock.monotonic() - call.placed_at
+        waited = self._clock.monotonic() - call.requested_at
         # Count the round trip as waiting time, so that the grant is back before the wait ends.
         waited += self._cells.round_trip_seconds(self._hub.own.node, call.node)
         return to_place(call.want, call.number, call.attempt, call.cell, waited)
@@ -345,7 +345,7 @@
             replica=message.replica,
             dispatcher=node,
             ticket=self.ticket_name(call),
-            waited_ms=round((call.granted_at - call.placed_at) * 1000),
+            waited_ms=round((call.granted_at - call.requested_at) * 1000),
             **self.replica_facts(message.replica),
         )
         call.granted.set_result(message.replica)
@@ -380,8 +380,8 @@
         reason = Reason(message.reason)
         fallbacks = self._cells.fallback_cells(call.cell, call.want.regions)
         # A request that expired, or is over its workspace's share, would be refused there as well.
-        if fallbacks and not call.refused and reason is Reason.NO_ROOM:
-            call.refused = True
+        if fallbacks and not call.tried_other_cell and reason is Reason.NO_ROOM:
+            call.tried_other_cell = True
             self._reassign(call, fallbacks[0], self._cells.dispatcher(fallbacks[0]))
             self._send_place(call)
             return
@@ -390,14 +390,14 @@
 
     def _handle_held(self, node: str, message: Held) -> None:
         call = self._call_awaiting(message.number, message.attempt)
-        if call is None or call.limit is None:
+        if call is None or call.timeout is None:
             return
         # The caller was refused before, and is unlikely to retry once more, so it waits longer.
         max_wait = message.patience / 1000
         call.want = replace(call.want, returned=True, patience=max_wait)
-        remaining = call.placed_at + max_wait + DECISION_SECONDS - self._clock.monotonic()
+        remaining = call.requested_at + max_wait + DECISION_SECONDS - self._clock.monotonic()
         loop = asyncio.get_running_loop()
-        call.limit.reschedule(max(loop.time() + remaining, call.limit.when() or 0.0))
+        call.timeout.reschedule(max(loop.time() + remaining, call.timeout.when() or 0.0))
 
     def _handle_moved(self, node: str, message: Moved) -> None:
         call = self._calls.get(message.number)
--- a/railsail/dispatch/service.py
+++ b/railsail/dispatch/service.py
@@ -56,7 +56,7 @@
 # held back for this long at a time. The host of the replica answers within a few milliseconds.
 UNDECIDED_RETRY_SECONDS = 0.005
 # After a crash, one call of the suspect request runs on trial. It shows within about this many
-# seconds whether repeats of the request can run, so their callers are told to retry by then.
+# seconds whether repeats of the request can run, so they are refused with this retry time.
 QUARANTINE_TRIAL_SECONDS = 1.0
 
 
--- a/tests/dispatch/test_rollouts.py
+++ b/tests/dispatch/test_rollouts.py
@@ -322,7 +322,7 @@
             record |= {"state": "live", "software_version": version}
             directory.seen(WatchEvent("upstream", version, number, record))
             replicas.update(CELL, dispatcher)
-        self.assertTrue(all(room.serves(clock.now) for room in dispatcher.replicas.values()))
+        self.assertTrue(all(each.serves(clock.now) for each in dispatcher.replicas.values()))
 
 
 class EvidenceTests(RolloutCase):
