--- a/tests/fleet/test_dispatch.py
+++ b/tests/fleet/test_dispatch.py
@@ -51,10 +51,10 @@
         dispatcher, entry = self.dispatcher(), self.others()[0]
         name = entry.settings.node_id
         service = dispatcher.dispatchers
-        service._place(name, Place(78, 1, 0, "model", "one", 0, 10, 0))
+        service._handle_place(name, Place(78, 1, 0, "model", "one", 0, 10, 0))
         looked_at = []
         service.on_pumped(lambda cell, found: looked_at.append(cell))
-        service._release(name, Release(78, 1, 0, 0))
+        service._handle_release(name, Release(78, 1, 0, 0))
         self.assertEqual(looked_at, [CELL])
 
 
@@ -63,12 +63,12 @@
         dispatcher, entry = self.dispatcher(), self.others()[0]
         name = entry.settings.node_id
         service = dispatcher.dispatchers
-        service._place(name, Place(77, 1, 0, "model", "one", 0, 10, 0))
+        service._handle_place(name, Place(77, 1, 0, "model", "one", 0, 10, 0))
         flights = service.dispatchers()[CELL].flights
         self.assertIn((name, 77), flights)
         # The entry gave up before the grant came, and hands it back when it does.
-        service._cancel(name, Cancel(77))
-        service._release(name, Release(77, 1, 0, 0))
+        service._handle_cancel(name, Cancel(77))
+        service._handle_release(name, Release(77, 1, 0, 0))
         self.assertNotIn((name, 77), flights)
 
     async def test_call_whose_release_was_lost_with_its_link_takes_no_room_for_long(self):
