--- a/railsail/dispatch/acquire.py
+++ b/railsail/dispatch/acquire.py
@@ -1,7 +1,8 @@
-"""Acquire a replica for a request: wait for a grant, and look whether it may be used.
+"""Acquire a replica for a request: wait for a grant, and check whether it can be used.
 
-What is known to be in vain is refused before anything is placed: a request that is held back
-because replicas ended under it, or one whose replicas all asked this node for rest.
+Requests that cannot succeed are refused before a ticket is placed. These are requests in
+quarantine, because replicas crashed while running them, and requests whose replicas are all in
+backoff at this node.
 """
 
 import asyncio
@@ -15,10 +16,10 @@
 from railsail.dispatch.gate import SendGate
 from railsail.quarantine.service import Quarantine
 
-# A request is refused after so many grants of replicas that it cannot be sent to. Dispatchers are
-# told with the next ticket, so that the second grant is good unless something changed meanwhile or
-# the dispatcher is of an older build.
-MOST_GRANTS = 8
+# A request is refused after this many grants of replicas that it cannot be sent to. Each new ticket
+# tells the dispatcher which replicas to avoid, so the second grant is usable unless something
+# changed in the meantime or the dispatcher runs an older build.
+MAX_GRANTS = 8
 _REFUSALS = {
     Reason.EXPIRED: "no replica had room in time",
     Reason.OVER_SHARE: "its workspace had its share of the replicas while others waited",
@@ -27,7 +28,7 @@
 
 
 class ReplicaAcquirer:
-    """Acquire replicas through ``tickets``."""
+    """Acquires replicas for requests, through tickets that it places with dispatchers."""
 
     def __init__(
         self, tickets: TicketClient, gate: SendGate, quarantine: Quarantine, kernel: Kernel
@@ -38,87 +39,93 @@
         self._clock = kernel.clock
         self._events = kernel.events
 
-    async def acquire(self, want: PoolRequest, seconds: float) -> Booking | NotRun:
-        """Wait at most ``seconds`` for a replica, and return the booking that has one.
+    async def acquire(self, request: PoolRequest, max_wait: float) -> Booking | NotRun:
+        """Wait up to ``max_wait`` seconds for a replica.
 
-        The replica may be sent the request at once.
+        Return the pending call with the grant, whose replica can be sent the request immediately,
+        or ``NotRun`` if there is none.
         """
-        asked_at = self._clock.monotonic()
-        closed = ""
-        for _ in range(MOST_GRANTS):
-            excluded = self._gate.excluded(want.pool)
-            if excluded != want.excluded:
-                want = replace(want, excluded=excluded)
-            booking = await self._wait_for_any(want, asked_at, seconds)
-            if isinstance(booking, NotRun):
-                return booking
-            closed = self._gate.admit(booking.replica)
-            if not closed:
-                return booking
-            self._gate.tell(booking.node, booking.replica)
-            self._tickets.give_back(booking, closed)
-            want = replace(want, avoid=booking.replica)
-        return NotRun(Reason.NO_ROOM, f"the replica that was granted last is not sent to: {closed}")
+        requested_at = self._clock.monotonic()
+        rejection = ""
+        for _ in range(MAX_GRANTS):
+            excluded = self._gate.excluded(request.pool)
+            if excluded != request.excluded:
+                request = replace(request, excluded=excluded)
+            call = await self._wait_for_any(request, requested_at, max_wait)
+            if isinstance(call, NotRun):
+                return call
+            rejection = self._gate.admit(call.replica)
+            if not rejection:
+                return call
+            self._gate.send_if_leaving(call.node, call.replica)
+            self._tickets.return_grant(call, rejection)
+            request = replace(request, avoid=call.replica)
+        return NotRun(
+            Reason.NO_ROOM, f"the replica that was granted last is not sent to: {rejection}"
+        )
 
     async def _wait_for_any(
-        self, want: PoolRequest, asked_at: float, seconds: float
+        self, request: PoolRequest, requested_at: float, max_wait: float
     ) -> Booking | NotRun:
-        """Wait for a replica until ``seconds`` after ``asked_at``."""
-        refusal = self._quarantined(want) or self._gate.refusal(want)
+        """Wait for a grant of any replica until ``max_wait`` seconds after ``requested_at``."""
+        refusal = self._quarantined(request) or self._gate.refusal(request)
         if refusal is not None:
             return refusal
-        booking = self._tickets.place(want, asked_at)
-        left = asked_at + seconds - self._clock.monotonic()
+        call = self._tickets.place(request, requested_at)
+        remaining = requested_at + max_wait - self._clock.monotonic()
         try:
-            # The dispatcher decides, and says when to come back, unless it is not heard in time.
-            async with asyncio.timeout(left + DECISION_SECONDS) as booking.limit:
-                await booking.granted
+            # The dispatcher normally decides, and says when to retry. This timeout only covers a
+            # dispatcher whose decision does not arrive in time.
+            async with asyncio.timeout(remaining + DECISION_SECONDS) as call.timeout:
+                await call.granted
         except TicketRefused as refusal:
-            return self._refused_by_dispatcher(booking, refusal)
+            return self._refused_by_dispatcher(call, refusal)
         except TimeoutError:
-            self._tell_expired(
-                booking,
-                cell=str(booking.cell),
-                dispatcher_heard_ms_ago=self._tickets.quiet_ms(booking),
+            self._log_expired(
+                call,
+                cell=str(call.cell),
+                dispatcher_heard_ms_ago=self._tickets.silent_ms(call),
             )
-            self._tickets.withdraw(booking)
+            self._tickets.withdraw(call)
             return NotRun(Reason.EXPIRED, _REFUSALS[Reason.EXPIRED])
         except asyncio.CancelledError:
-            self._tickets.withdraw(booking)
+            self._tickets.withdraw(call)
             raise
-        refusal = self._quarantined(want)
+        refusal = self._quarantined(request)
         if refusal is not None:
-            # Another replica has ended under the same request while this one waited.
-            self._tickets.withdraw(booking)
+            # Another replica has crashed while running the same request during this wait.
+            self._tickets.withdraw(call)
             return refusal
-        return booking
+        return call
 
-    def _quarantined(self, want: PoolRequest) -> NotRun | None:
-        refusal = self._quarantine.refusal(want.fingerprint)
+    def _quarantined(self, request: PoolRequest) -> NotRun | None:
+        refusal = self._quarantine.refusal(request.fingerprint)
         if refusal is not None:
-            self._quarantine.tell_refused(want.request_id, want.workspace, want.fingerprint)
+            self._quarantine.tell_refused(
+                request.request_id, request.workspace, request.fingerprint
+            )
         return refusal
 
-    def _refused_by_dispatcher(self, booking: Booking, refusal: TicketRefused) -> NotRun:
-        self._tell_expired(
-            booking,
+    def _refused_by_dispatcher(self, call: Booking, refusal: TicketRefused) -> NotRun:
+        self._log_expired(
+            call,
             "refused by the dispatcher",
             reason=refusal.reason,
-            returned=int(booking.want.returned),
-            come_back_ms=round(refusal.come_back * 1000),
+            returned=int(call.want.returned),
+            come_back_ms=round(refusal.retry_after * 1000),
         )
         detail = _REFUSALS.get(refusal.reason, "decided by the dispatcher")
-        return NotRun(refusal.reason, detail, come_back=refusal.come_back)
+        return NotRun(refusal.reason, detail, come_back=refusal.retry_after)
 
-    def _tell_expired(self, booking: Booking, detail: str = "", **facts: Fact) -> None:
-        waited = self._clock.monotonic() - booking.placed_at
+    def _log_expired(self, call: Booking, detail: str = "", **facts: Fact) -> None:
+        waited = self._clock.monotonic() - call.requested_at
         self._events.emit(
             Kind.EXPIRED,
             detail,
-            booking.want.request_id,
-            booking.want.workspace,
-            ticket=self._tickets.ticket_name(booking),
-            dispatcher=booking.node,
+            call.want.request_id,
+            call.want.workspace,
+            ticket=self._tickets.ticket_name(call),
+            dispatcher=call.node,
             waited_ms=round(waited * 1000),
             **facts,
         )
--- a/railsail/dispatch/overflow.py
+++ b/railsail/dispatch/overflow.py
@@ -1,6 +1,6 @@
-"""Pass tickets between the regions of a pool, so that a region's flood is carried by the others.
+"""Exchange tickets between the regions of a pool, so that other regions absorb an overload.
 
-Each cell knows one cell of every other region. The messages are those of ``CellExchange``.
+Each cell communicates with one cell of every other region, using the messages of ``CellExchange``.
 """
 
 from railsail.core.clock import Clock
@@ -13,7 +13,10 @@
 
 
 class RegionOverflow:
-    """Exchange hints with other regions for the cells of this node."""
+    """Exchanges queue lengths and ticket requests with other regions, for the cells of this node.
+
+    The decisions are made in ``railsail.scheduling.overflow``.
+    """
 
     def __init__(
         self, cells: CellMap, dispatchers: DispatcherService, hub: PeerHub, clock: Clock
@@ -23,22 +26,22 @@
         self._hub = hub
         self._clock = clock
 
-    def look(self, cell: Cell, dispatcher: CellDispatcher) -> None:
-        """Tell other regions, or ask them, if the state of ``cell`` gives cause to."""
+    def rebalance(self, cell: Cell, dispatcher: CellDispatcher) -> None:
+        """Report the queue length of ``cell`` to other regions, and request tickets, as needed."""
         if dispatcher.overflow is None:
             return
         now = self._clock.monotonic()
         waiting = len(dispatcher.queue)
-        news = dispatcher.overflow.news(waiting, now)
-        if news is not None:
+        report = dispatcher.overflow.news(waiting, now)
+        if report is not None:
             for other in self._partners(cell):
-                self._tell(cell, other, news, 0)
-        wanted = dispatcher.wanted(now)
-        if wanted is not None:
-            self._tell(cell, wanted[0], waiting, wanted[1])
+                self._send_hint(cell, other, report, 0)
+        request = dispatcher.wanted(now)
+        if request is not None:
+            self._send_hint(cell, request[0], waiting, request[1])
 
-    def hint(self, cell: Cell, other: Cell, hint: CellHint) -> None:
-        """Take in a hint for ``cell`` from ``other``, which is in another region."""
+    def handle_hint(self, cell: Cell, other: Cell, hint: CellHint) -> None:
+        """Handle a hint that the cell ``other`` of another region sent to ``cell``."""
         if not hint.waiting and not hint.wanted and cell not in self._dispatchers.dispatchers():
             return
         cell, dispatcher = self._dispatchers.dispatcher(hint.pool, hint.to_cell)
@@ -49,17 +52,17 @@
             dispatcher.overflow.offered(other, hint.wanted, now)
         else:
             dispatcher.overflow.told(other, hint.waiting, now)
-        self.look(cell, dispatcher)
+        self.rebalance(cell, dispatcher)
 
     def _partners(self, cell: Cell) -> list[Cell]:
-        """Return one cell of each other region, another one for each cell of this one."""
-        regions: dict[str, list[Cell]] = {}
+        """Return one cell of each other region, different ones for the cells of this region."""
+        by_region: dict[str, list[Cell]] = {}
         for other in self._cells.cells(cell.pool):
-            regions.setdefault(other.region, []).append(other)
-        own = regions.pop(cell.region, [])
-        place = own.index(cell) if cell in own else 0
-        return [others[place % len(others)] for others in regions.values()]
+            by_region.setdefault(other.region, []).append(other)
+        own = by_region.pop(cell.region, [])
+        index = own.index(cell) if cell in own else 0
+        return [others[index % len(others)] for others in by_region.values()]
 
-    def _tell(self, cell: Cell, other: Cell, waiting: int, wanted: int) -> None:
-        hint = CellHint(cell.pool, other.number, cell.number, waiting, wanted)
+    def _send_hint(self, cell: Cell, other: Cell, waiting: int, requested: int) -> None:
+        hint = CellHint(cell.pool, other.number, cell.number, waiting, requested)
         self._hub.send(self._cells.dispatcher(other), hint)
--- a/railsail/dispatch/regions.py
+++ b/railsail/dispatch/regions.py
@@ -1,6 +1,7 @@
-"""The regions of the fleet, as one node knows them.
+"""The regions of the fleet.
 
-``--domain-regions`` names the region of each failure domain, of nodes and of replicas alike.
+The setting ``--domain-regions`` assigns each failure domain, and so its nodes and replicas, to a
+region.
 """
 
 import functools
@@ -12,24 +13,29 @@
 
 @dataclass(frozen=True)
 class FleetRegions:
-    """What a node knows of the regions; with one region or none, nothing depends on them.
+    """The regions of this node, of failure domains and of other nodes.
 
-    ``own`` is this node's, ``of_domains`` names that of each failure domain, ``of_node`` that of a
-    node, empty where it is not known.
+    ``own`` is the region of this node. ``by_domain`` maps failure domains to regions, and
+    ``region_of`` returns the region of a node, or an empty string if it is unknown. In a fleet of
+    one region, or none, no decision depends on them.
     """
 
     own: str = ""
-    of_domains: Mapping[str, str] = field(default_factory=dict)
-    of_node: Callable[[str], str] = lambda node: ""
+    by_domain: Mapping[str, str] = field(default_factory=dict)
+    region_of: Callable[[str], str] = lambda node: ""
 
     @functools.cached_property
-    def named(self) -> frozenset[str]:
-        """Return the regions of the fleet."""
-        return frozenset(self.of_domains.values())
+    def names(self) -> frozenset[str]:
+        """Return the names of all regions of the fleet."""
+        return frozenset(self.by_domain.values())
 
-    def way_seconds(self, entry: str, dispatcher: str) -> float:
-        """Return how long a ticket and its grant are on their way between two nodes."""
-        if len(self.named) <= 1:
+    def round_trip_seconds(self, entry: str, dispatcher: str) -> float:
+        """Return the seconds that a ticket and its grant take between two nodes.
+
+        Only the network between regions counts: the result is 0 within a region, and where the
+        region of a node is unknown.
+        """
+        if len(self.names) <= 1:
             return 0.0
-        regions = {self.of_node(entry), self.of_node(dispatcher)}
+        regions = {self.region_of(entry), self.region_of(dispatcher)}
         return WAY_SECONDS if len(regions) > 1 and "" not in regions else 0.0
--- a/railsail/dispatch/replicas.py
+++ b/railsail/dispatch/replicas.py
@@ -1,4 +1,4 @@
-"""Tell the dispatcher of a cell which replicas there are, and what is known of each."""
+"""Configure cell dispatchers with the replicas of their cells, and the state of each replica."""
 
 from collections.abc import Callable, Mapping
 
@@ -17,11 +17,11 @@
 
 
 class FleetBounds(msgspec.Struct, frozen=True):
-    """What holds for the whole fleet, beyond what single replicas say.
+    """Limits and facts that apply to the whole fleet, not to single replicas.
 
-    All nodes together may send a cold replica ``cold_over`` times as many calls as it bears, and
-    ``cold_slack`` more, in any second; ``share`` tells the part of the fleet that this node can
-    reach, from 0 to 1. ``domain_regions`` names the region of each failure domain.
+    In any second, all nodes together can send a cold replica ``cold_over`` times as many calls as
+    it sustains, plus ``cold_slack`` calls. ``share`` returns the part of the fleet that this node
+    can reach, from 0 to 1. ``domain_regions`` maps failure domains to regions.
     """
 
     cold_over: float = 1.0
@@ -29,13 +29,13 @@
     share: Callable[[], float] = lambda: 1.0
     domain_regions: Mapping[str, str] = msgspec.field(default_factory=dict)
 
-    def of_cold(self, pool: Pool) -> WarmupBound:
-        """Return what cold replicas of ``pool`` may be sent."""
+    def warmup_bound(self, pool: Pool) -> WarmupBound:
+        """Return the bound on the calls that a cold replica of ``pool`` is sent."""
         return WarmupBound(pool.warmup_rate, pool.cold_seconds, self.cold_over, self.cold_slack)
 
 
 class CellReplicas:
-    """Bring what the directory and the configuration say of replicas to cell dispatchers."""
+    """Applies the directory's and the configuration's data on replicas to cell dispatchers."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         directory.on_change(self._observe_versions)
 
     def _observe_versions(self) -> None:
-        """Take note of the software versions of each pool that take work."""
+        """Record the software versions of each pool that accept work, and their ages in seconds."""
         if not self._directory.follows_rollouts:
             return
         now = self._clock.monotonic()
@@ -69,18 +69,18 @@
         for pool, ages in pools.items():
             self._new_versions.observe(pool, ages, now)
 
-    def set_all(self, cell: Cell, dispatcher: CellDispatcher) -> None:
-        """Set all that is known of the replicas of ``cell``."""
+    def update(self, cell: Cell, dispatcher: CellDispatcher) -> None:
+        """Set the replicas of ``cell``, with their slots, start times, regions and versions."""
         pool = self._catalog().pool(cell.pool)
-        slots = pool.slots if pool else 0
+        default_slots = pool.slots if pool else 0
         names = self._cells.cells(cell.pool).get(cell, [])
         found = {name: self._directory.get(name) for name in names}
         known = {name: upstream for name, upstream in found.items() if upstream is not None}
         leaving = [name for name in names if self._is_leaving(known.get(name))]
-        lives = {name: upstream.born for name, upstream in known.items()}
-        told = {name: upstream.slots for name, upstream in known.items()}
-        numbers = {name: told.get(name, 0) or slots for name in names}
-        dispatcher.set_replicas(numbers, leaving, lives)
+        start_times = {name: upstream.born for name, upstream in known.items()}
+        reported_slots = {name: upstream.slots for name, upstream in known.items()}
+        slots = {name: reported_slots.get(name, 0) or default_slots for name in names}
+        dispatcher.set_replicas(slots, leaving, start_times)
         regions = self._bounds.domain_regions
         dispatcher.set_regions({n: regions.get(u.failure_domain, "") for n, u in known.items()})
         self._set_versions(cell, dispatcher, known)
@@ -97,11 +97,11 @@
         return upstream is None or not self._directory.takes_work(upstream)
 
     def set_cold(self, cell: Cell, dispatcher: CellDispatcher) -> None:
-        """Set which replicas are cold, and this node's part of what they may be sent."""
+        """Set which replicas are cold, and this node's share of the calls that they can be sent."""
         pool = self._catalog().pool(cell.pool)
         if pool is None or not pool.warmup_rate:
             return
-        bound = self._bounds.of_cold(pool)
+        bound = self._bounds.warmup_bound(pool)
         dispatcher.set_bound(bound, self._bounds.share())
         now = self._clock.monotonic()
         for name in dispatcher.replicas:
