--- a/railsail/scheduling/__init__.py
+++ b/railsail/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions about who is served next and where; no input or output."""
+"""Scheduling decisions: who is served next, and on which replica. Nothing here does I/O."""
--- a/railsail/scheduling/balance.py
+++ b/railsail/scheduling/balance.py
@@ -1,25 +1,29 @@
-"""Steer the cells of a pool towards fairness over the fleet, although news of it is late.
-
-A cell is fair among its own tickets at once, by the counters of its queue. What other cells served
-is known only after a delay. To order by late sums alone makes every cell give all it has to
-whoever was behind a moment ago, and the fleet swings by a whole delay's service. So the sums only
-tilt the weights: a workspace that is behind by one scale counts double, one ahead half. The scale
-follows the measured rate of service and the delay, which keeps the loop stable (the gain times the
-delay is about one half). ``docs/design/cells.md`` has the measurements.
+"""Balance the cells of a pool so that the whole fleet is fair.
+
+Each cell is fair among its own tickets at once, through the counters of its queue. What other cells
+have served is known only after a delay. If cells ordered tickets by these late sums alone, every
+cell would give all its capacity to the workspace that was behind a moment ago, and the fleet would
+oscillate by the service of a whole delay. The sums therefore only adjust the weights: a workspace
+that is behind by one scale counts double, one that is ahead by one scale counts half. The scale
+follows the rate of service and the delay, which keeps the control loop stable: its gain times the
+delay is about one half. See ``docs/design/cells.md``.
 """
 
 from collections.abc import Callable, Mapping
 
-# How many delays' service per weight a workspace is behind when its weight counts double.
+# One scale is the service per weight of this many delays: a workspace that is behind by one scale
+# has its weight doubled.
 SCALE_DELAYS = 2.0
+# The weight of a workspace is doubled or halved this many times at most.
 MOST_DOUBLINGS = 3.0
+# Smoothing factor of the service rate.
 RATE_GAIN = 0.2
-# Nobody is made up for more than this many scales, however long a partition was.
+# A deficit is limited to this many scales, however long the cells could not reach each other.
 MOST_SCALES = 6.0
 
 
 class FleetBalance:
-    """The tilt of each workspace's weight in one cell."""
+    """Factors on the weights of the workspaces that wait in one cell."""
 
     def __init__(self, weight_of: Callable[[str], float]) -> None:
         self._weight_of = weight_of
@@ -31,14 +35,14 @@
     ) -> dict[str, float]:
         """Return the factor on the weight of each workspace in ``waiting``.
 
-        ``gains`` are the fleet's service in cost units that became known in the last ``seconds``;
-        ``delay`` is how old such news is, in seconds.
+        ``gains`` is the service of the whole fleet, in cost units, that became known in the last
+        ``seconds``; ``delay`` is the age of these sums in seconds.
         """
         stayed = [name for name in waiting if name in self._behind]
         self._behind = {name: self._behind.get(name, 0.0) for name in waiting}
         if len(stayed) < 2 or seconds <= 0:
             return {}
-        # Whoever has just begun to wait had no claim to the service of the time before.
+        # A workspace that has just started to wait had no claim to the service before that.
         shares = {name: gains.get(name, 0.0) / self._weight_of(name) for name in stayed}
         mean = sum(shares.values()) / len(shares)
         self._rate += RATE_GAIN * (mean / seconds - self._rate)
@@ -49,7 +53,7 @@
         return {name: _factor(behind / scale) for name, behind in self._behind.items()}
 
     def _bound(self, most: float) -> None:
-        # Only differences matter: the middle is taken out, so that nothing drifts.
+        # Only the differences matter. The mean is subtracted so that the deficits do not drift.
         middle = sum(self._behind.values()) / len(self._behind)
         for name, behind in self._behind.items():
             self._behind[name] = min(max(behind - middle, -most), most)
--- a/railsail/scheduling/cells.py
+++ b/railsail/scheduling/cells.py
@@ -1,9 +1,9 @@
-"""How a pool is cut into cells, each with one dispatcher.
+"""How a pool is divided into cells, each with one dispatcher.
 
-While a pool is small it is one cell, and fairness and use of its replicas are exact there. A larger
-pool is cut into the fewest cells that keep each within the limit, so that the work of a dispatcher
-does not grow with the pool. Where the fleet has several regions, each region's replicas are cells
-of their own, so that a request is dispatched without a way to another region and back.
+A small pool is one cell, in which fairness and the use of replicas are exact. A larger pool is
+divided into as few cells as the limit on their size allows, so that the work of a dispatcher does
+not grow with the pool. If the fleet has several regions, the replicas of each region form cells of
+their own, so that dispatching a request takes no round trip to another region.
 """
 
 from collections import defaultdict
@@ -13,9 +13,9 @@
 
 @dataclass(frozen=True, order=True)
 class Cell:
-    """A part of a pool, named by its number among ``count`` cells.
+    """A part of a pool, identified by its number among the ``count`` cells of the pool.
 
-    Its replicas are in ``region``; the name is empty where the fleet has one region only.
+    ``region`` is the region of its replicas; it is empty if the fleet has only one region.
     """
 
     pool: str
@@ -30,7 +30,8 @@
 def cut(pool: str, replicas: Sequence[str], limit: int) -> dict[Cell, list[str]]:
     """Return the replicas of each cell of ``pool``, at most ``limit`` in each.
 
-    Every daemon that knows the same replicas computes the same cells.
+    The result depends on the arguments only, so that all daemons that know the same replicas
+    compute the same cells.
     """
     parts = _parts(replicas, limit)
     return {Cell(pool, number, len(parts)): part for number, part in enumerate(parts)}
@@ -39,10 +40,10 @@
 def cut_by_region(
     pool: str, regions: Mapping[str, str], limit: int, named: Collection[str]
 ) -> dict[Cell, list[str]]:
-    """Return the same, with the replicas of each region in cells of their own.
+    """Return the replicas of each cell, where all replicas of a cell are in one region.
 
-    ``regions`` gives the region of each replica, ``named`` are the regions of the fleet. A region
-    without replicas has no cell, and the cells of the others keep their numbers.
+    ``regions`` maps each replica to its region; ``named`` are the regions of the fleet. A region
+    without replicas has no cell, and the cells of the other regions keep their numbers.
     """
     if len(set(named)) <= 1 or not regions:
         return cut(pool, list(regions), limit)
@@ -71,10 +72,10 @@
 
 
 def spread(cells: dict[Cell, list[str]], regions: Mapping[str, str]) -> dict[Cell, list[str]]:
-    """Return ``cells`` with those replicas that are in none of them, evenly and by name.
+    """Return ``cells`` with the replicas of ``regions`` that are in no cell added evenly, by name.
 
-    ``regions`` gives the region of each replica; one goes to a cell of its region, where there is
-    any. What the cells hold stays where it is. They may hold more then than their limit.
+    ``regions`` maps each replica to its region. A replica is added to a cell of its region if there
+    is one. Replicas that are in a cell stay there. A cell may exceed its limit afterwards.
     """
     held = {name for names in cells.values() for name in names}
     if len(held) == len(regions):
--- a/railsail/scheduling/decisions.py
+++ b/railsail/scheduling/decisions.py
@@ -1,4 +1,4 @@
-"""What a cell's dispatcher decides of tickets, and what it knows of requests in flight."""
+"""The decisions of a cell's dispatcher on tickets, and its record of calls in flight."""
 
 from dataclasses import dataclass
 
@@ -11,9 +11,10 @@
 
 
 class Grant(msgspec.Struct, frozen=True):
-    """Tell the entry to call ``replica``; ``counter`` is the workspace's, after the charge.
+    """The decision to run the request of ``ticket`` on ``replica``.
 
-    ``stage`` is that of the rollout that runs, ``None`` where none does.
+    ``counter`` is the fair-queue counter of the workspace after the charge. ``stage`` is the stage
+    of the active rollout, ``None`` if there is no rollout.
     """
 
     ticket: Ticket
@@ -23,9 +24,10 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """Tell ``ticket``'s entry that the request cannot be served now.
+    """The decision that the request of ``ticket`` cannot be served now.
 
-    ``come_back`` is the time in seconds after which its caller should, 0 where it is not known.
+    ``come_back`` is the number of seconds after which the caller should retry, 0 if that is not
+    known.
     """
 
     ticket: Ticket
@@ -34,14 +36,17 @@
 
 
 class Hold(msgspec.Struct, frozen=True):
-    """Tell ``ticket``'s entry that its caller was refused before, and what it may wait now."""
+    """The decision that ``ticket``, the retry of a refused request, may wait for longer.
+
+    ``ticket.patience`` is the new maximum wait.
+    """
 
     ticket: Ticket
 
 
 @dataclass(frozen=True)
 class Move:
-    """A ticket goes to a cell of another region, which can begin it sooner."""
+    """The decision to move a ticket to a cell of another region, where it can start sooner."""
 
     ticket: Ticket
     cell: Cell
@@ -52,12 +57,12 @@
 
 @dataclass
 class Flight:
-    """A granted request that has not been released; ``charged`` is in cost units.
+    """A granted call that has not been released.
 
-    ``unread`` are the tokens of its prompt until its answer begins, and 0 from then on. Repeats of
-    the request have the same ``fingerprint``, 0 where there is none. ``route`` is the fingerprint
-    of its route, 0 where that is not known, and ``software_version`` what the replica runs. Its
-    answer began at ``begun_at``, 0 before.
+    ``charged`` is in cost units. ``unread`` is the number of prompt tokens that the replica has yet
+    to prefill; it is 0 once the answer has started. ``fingerprint`` identifies equal requests, and
+    ``route`` is the fingerprint of the route; both are 0 where there is none. ``software_version``
+    is what the replica runs. ``begun_at`` is the time when the answer started, 0 before that.
     """
 
     attempt: int
--- a/railsail/scheduling/estimates.py
+++ b/railsail/scheduling/estimates.py
@@ -1,24 +1,27 @@
-"""Estimates of what a request will cost, and charges that follow a stream."""
+"""Estimates of what a request will cost, and charges that grow with a stream."""
 
+# Smoothing factor of the running mean.
 GAIN = 0.1
-# A stream that overruns its charge is charged ahead by this share of the estimate.
+# When the cost of a stream reaches its charge, the charge grows by this part of the estimate, but
+# by at least the minimum step, in cost units.
 STEP_SHARE = 0.25
 LEAST_STEP = 16.0
+# Pairs of workspace and pool that are remembered; the oldest is dropped when there are more.
 MOST_KEYS = 1024
 
 
 class CostEstimator:
-    """A running mean of the cost per workspace and pool, in the pool's cost unit."""
+    """The running mean of the cost per workspace and pool, in the pool's cost unit."""
 
     def __init__(self) -> None:
         self._means: dict[tuple[str, str], float] = {}
 
     def estimate(self, workspace: str, pool: str, first: float) -> float:
-        """Return the expected cost; ``first`` until a cost was seen."""
+        """Return the expected cost, or ``first`` before any cost was observed."""
         return self._means.get((workspace, pool), first)
 
     def observe(self, workspace: str, pool: str, cost: float) -> None:
-        """Take in the ``cost`` of a request that ended."""
+        """Record the ``cost`` of a request that has ended."""
         key = (workspace, pool)
         if key not in self._means and len(self._means) >= MOST_KEYS:
             self._means.pop(next(iter(self._means)))
@@ -27,10 +30,10 @@
 
 
 class ChargeMeter:
-    """Say when a running request must be charged more.
+    """Decide when a running request has to be charged more.
 
-    The charge is kept ahead of the cost by at most one step, so that a dispatcher never counts less
-    than was served, and hears only of requests that overrun their estimate.
+    The charge is kept ahead of the cost by at most one step. So a dispatcher never counts less than
+    was served, and receives messages only about requests that exceed their estimate.
     """
 
     def __init__(self, estimate: float) -> None:
@@ -38,7 +41,7 @@
         self._step = max(LEAST_STEP, estimate * STEP_SHARE)
 
     def overrun(self, cost: float) -> float | None:
-        """Return the new charge if ``cost`` reached the present one, else ``None``."""
+        """Return the new charge if ``cost`` has reached the current one, else ``None``."""
         if cost < self.charged:
             return None
         while self.charged <= cost:
--- a/railsail/scheduling/exposure.py
+++ b/railsail/scheduling/exposure.py
@@ -1,8 +1,8 @@
-"""What the dispatcher of one cell may send to the target version of a rollout.
+"""How many calls the dispatcher of one cell may send to the target version of a rollout.
 
-Calls are spread over the time that they are meant for, so that no sudden burst of one workspace
-takes them all. They go out in small groups to one replica, which then runs several at once and
-shows what load does to its version.
+The calls are spread over time, so that a sudden burst of one workspace does not use all of them.
+They are sent in small groups to one replica, which then runs several at once and shows how its
+version behaves under load.
 """
 
 import math
@@ -11,19 +11,20 @@
 from railsail.rollouts.orders import Order
 from railsail.rollouts.stages import Stage
 
-# Calls that were allowed and not sent yet are spread over so many seconds.
+# The calls that are left of a new allowance are spread over this many seconds.
 PACE_SECONDS = 1.0
-# So many calls go out together.
+# This many calls are sent together.
 GROUP_CALLS = 4
 
 
 @dataclass(frozen=True)
 class Allowance:
-    """What a coordinator of ``term`` lets a cell send until ``until``, by the cell's clock.
+    """The calls that a coordinator of ``term`` allows a cell to send before ``until``.
 
-    It replaces those of a lower ``serial``. In all, ``calls`` calls may be sent in the term, at
-    whichever stage. Canary calls go to ``replicas``, to any of the target version where none are
-    named.
+    ``until`` is in seconds of the cell's clock. An allowance replaces those of the same term with a
+    lower ``serial``, and all of an earlier term. ``calls`` is the limit for the whole term, over
+    all stages. Canary calls go to ``replicas``, or to any replica of the target version if it is
+    empty.
     """
 
     term: int
@@ -38,7 +39,7 @@
 
 
 class Exposure:
-    """Follow the allowances of one order in one cell; times are in seconds."""
+    """The newest allowance of one order in one cell, and its use; times are in seconds."""
 
     def __init__(self, order: Order) -> None:
         self.order = order
@@ -52,7 +53,7 @@
 
     @property
     def target_version(self) -> str:
-        """Return the version that traffic is to move to."""
+        """Return the version that traffic moves to."""
         return self.order.target_version
 
     @property
@@ -62,15 +63,15 @@
 
     @property
     def unspent(self) -> int:
-        """Return how many more calls the newest allowance lets the cell send."""
+        """Return how many more calls the newest allowance permits."""
         return max(0, self._allowance.calls - self.exposed)
 
     def allow(self, allowance: Allowance, now: float) -> bool:
-        """Take in an allowance, and return whether it is newer than the one before."""
+        """Apply an allowance; return True if it is newer than the current one."""
         held = self._allowance
         if (allowance.term, allowance.serial) <= (held.term, held.serial):
             return False
-        # Calls that were resumed before the first allowance count in its term.
+        # Calls that were resumed before the first allowance count towards its term.
         if held.term and allowance.term != held.term:
             self.exposed = 0
         self._earn(now)
@@ -79,19 +80,20 @@
         return True
 
     def stage(self, now: float) -> Stage:
-        """Return the stage at ``now``; without an allowance that lasts it is ``HOLD``.
+        """Return the stage at ``now``: ``HOLD`` without a valid allowance.
 
-        So it is where all allowed calls were sent: callers are served by the other versions then.
+        The stage is also ``HOLD`` when all allowed calls have been sent, so that the other versions
+        serve the callers from then on.
         """
         lasts = now < self._allowance.until and self.unspent > 0
         return self._allowance.stage if lasts else Stage.HOLD
 
     def names(self, replica: str) -> bool:
-        """Say whether canary calls may go to ``replica`` of the target version."""
+        """Return True if canary calls may go to ``replica`` of the target version."""
         return not self._allowance.replicas or replica in self._allowance.replicas
 
     def due(self, now: float) -> bool:
-        """Say whether the next call should be a canary call."""
+        """Return True if the next call should be a canary call."""
         if self.stage(now) is not Stage.CANARY:
             return False
         self._earn(now)
@@ -100,13 +102,13 @@
         return self._in_group
 
     def sent(self, now: float) -> None:
-        """Take note of a call granted to the target version, in whichever stage."""
+        """Record a call granted to the target version, in any stage."""
         self.exposed += 1
         self._earn(now)
         self._credit = max(0.0, self._credit - 1)
 
     def _earn(self, now: float) -> None:
-        # A call that is resumed was sent earlier than what is known already.
+        # A resumed call may have been sent before the last update of the credit.
         if now <= self._credited_at:
             return
         earned = self._rate * (now - self._credited_at) if self._rate else 0.0
--- a/railsail/scheduling/fairqueue.py
+++ b/railsail/scheduling/fairqueue.py
@@ -1,21 +1,24 @@
 """A fair queue between workspaces, by virtual counters.
 
 Each workspace has a counter: the service charged to it, in cost units, divided by the weight of its
-priority class. The waiting workspace with the lowest counter is served next. A workspace that
-starts to wait is lifted to the lowest counter of those that wait, less ``credit``: with a credit of
-0 idling saves up nothing, with that of a window of fairness (``RecentUsage``) it saves up at most
-the mean service of one window, by which the bound below is wider.
+priority class. The waiting workspace with the lowest counter is served next. When a workspace
+starts to wait, its counter is raised to the lowest one that waits, less ``credit``. With a credit
+of 0, a workspace gains nothing by being idle. With the credit of a fairness window
+(``RecentUsage``) it can be ahead by the mean service of one window at most, and the bound below is
+wider by that amount.
+
 Sources: start-time fair queueing (Goyal et al., 1996); virtual token counters (Sheng et al., 2024).
 
 The bound. Let ``w`` be a weight, ``e`` the largest charge made at a grant, ``c`` the largest cost
-of a request and ``n`` the most requests of one workspace in flight. A workspace is only granted a
-ticket while its counter is the lowest, so a grant leaves it at most ``e / w`` above every other
-one that waits. What its requests cost beyond their charge is added later, at most
-``n * max(c - e, 0) / w`` at once, and it gets no grant while it is above. Service given differs
-from service charged by at most ``n * max(c, e)``. So between two workspaces that both wait, service
-per weight differs by at most ``(e + n * max(c, e)) / w`` for each side, whatever arrives: the worst
-case, in which each of one workspace's requests in flight costs the most. Charges that follow the
-stream (see ``ChargeMeter``) keep ``c - e`` near one step, and the measured gap far below the bound.
+of a request and ``n`` the largest number of requests of one workspace in flight. A workspace is
+granted a ticket only while its counter is the lowest, so that a grant leaves it at most ``e / w``
+above every other one that waits. What its requests cost beyond their charge is added later, at most
+``n * max(c - e, 0) / w`` at once, and it gets no grant while it is above the others. The service
+given differs from the service charged by at most ``n * max(c, e)``. So the service per weight of
+two workspaces that both wait differs by at most ``(e + n * max(c, e)) / w`` for each side, whatever
+arrives. This is the worst case, in which each request in flight of one workspace has the largest
+cost. Charges that grow with the stream (see ``ChargeMeter``) keep ``c - e`` near one step, and so
+the difference far below the bound.
 """
 
 from bisect import bisect_left, insort
@@ -24,12 +27,16 @@
 
 from railsail.scheduling.tickets import Ticket, TicketKey
 
-# After a merge of counters, nobody may be further behind than this many of the largest charge.
+# After a merge of counters, no workspace may be further behind than this many of the largest
+# charge.
 CATCH_UP_CHARGES = 8.0
 
 
 class _Place(NamedTuple):
-    """A place in the line of one workspace; the sequence parts tickets of the same order."""
+    """The position of a ticket in the queue of its workspace.
+
+    The sequence number orders tickets with the same sort key.
+    """
 
     order: float
     sequence: int
@@ -37,7 +44,7 @@
 
 
 class FairQueue:
-    """Hold the waiting tickets of one cell and the counters of their workspaces."""
+    """The waiting tickets of one cell, and the counters of their workspaces."""
 
     def __init__(self, weight_of: Callable[[str], float]) -> None:
         self._weight_of = weight_of
@@ -59,7 +66,7 @@
         return key in self._waiting
 
     def push(self, ticket: Ticket) -> None:
-        """Add ``ticket``; one with the same key is replaced."""
+        """Add ``ticket``; it replaces one with the same key."""
         self.remove(ticket.key)
         if ticket.workspace not in self._lines:
             self.lift(ticket.workspace)
@@ -69,7 +76,7 @@
         self._waiting[ticket.key] = place
 
     def remove(self, key: TicketKey) -> Ticket | None:
-        """Take the ticket of ``key`` out and return it, or ``None`` if it does not wait."""
+        """Remove the ticket of ``key`` and return it, or ``None`` if it does not wait."""
         place = self._waiting.pop(key, None)
         if place is None:
             return None
@@ -81,30 +88,33 @@
         return place.ticket
 
     def workspaces(self) -> list[str]:
-        """Return the workspaces that wait, the one to serve first in front."""
+        """Return the workspaces that wait, in the order in which they are served."""
         return sorted(self._lines, key=lambda name: (self.counter(name), name))
 
     def head(self, workspace: str) -> Ticket:
-        """Return the ticket to serve first of ``workspace``, which must wait; it is not taken."""
+        """Return the ticket of ``workspace`` to serve first, without removing it.
+
+        The workspace must have a waiting ticket.
+        """
         return self._lines[workspace][0].ticket
 
     def first_workspace(self) -> str:
-        """Return the workspace to serve first; some workspace must wait."""
+        """Return the workspace to serve first; at least one must wait."""
         return min(self._lines, key=lambda name: (self.counter(name), name))
 
     def tickets(self, workspace: str) -> list[Ticket]:
-        """Return the tickets of ``workspace``, the one to serve first in front."""
+        """Return the tickets of ``workspace``, in the order in which they are served."""
         return [place.ticket for place in self._lines.get(workspace, ())]
 
     def take(self, ticket: Ticket) -> None:
-        """Take a ``ticket`` that waits to serve it, and charge its estimate."""
+        """Remove a waiting ``ticket`` in order to serve it, and charge its estimate."""
         workspace = ticket.workspace
         self._virtual_time = max(self._virtual_time, self.counter(workspace))
         self.remove(ticket.key)
         self.charge(workspace, ticket.estimate)
 
     def pop_expired(self, now: float) -> list[Ticket]:
-        """Take out and return the tickets whose patience has ended at ``now``."""
+        """Remove and return the tickets that have waited longer than their maximum at ``now``."""
         expired = [ticket for ticket in self._all() if ticket.has_expired(now)]
         for ticket in expired:
             self.remove(ticket.key)
@@ -118,7 +128,7 @@
         return self._counters.get(workspace, self._virtual_time)
 
     def counters(self) -> dict[str, float]:
-        """Return all counters kept."""
+        """Return all counters that are kept."""
         return dict(self._counters)
 
     def weight(self, workspace: str) -> float:
@@ -126,17 +136,17 @@
         return self._weight_of(workspace)
 
     def lead(self, workspace: str) -> float:
-        """Return how far ``workspace`` is above the lowest counter that waits."""
+        """Return how far the counter of ``workspace`` is above the lowest one that waits."""
         return self.counter(workspace) - self._floor()
 
     def charge(self, workspace: str, cost: float) -> None:
-        """Add ``cost``, which is negative where an estimate was too high."""
+        """Add ``cost`` to the counter; it is negative where an estimate was too high."""
         self._largest_charge = max(self._largest_charge, cost)
         weight = self._weight_of(workspace) * self._factors.get(workspace, 1.0)
         self._counters[workspace] = self.counter(workspace) + cost / weight
 
     def tilt(self, factors: dict[str, float]) -> None:
-        """Multiply weights by ``factors`` from now on; see ``FleetBalance``."""
+        """Multiply the weights by ``factors`` from now on; see ``FleetBalance``."""
         self._factors = factors
 
     @property
@@ -147,18 +157,22 @@
     def advance(self, virtual_time: float) -> None:
         """Raise the virtual time to that of an earlier dispatcher of the cell.
 
-        A workspace whose counter was forgotten would begin below all others without it.
+        Without this, a workspace whose counter was dropped would start below all those that have
+        one.
         """
         self._virtual_time = max(self._virtual_time, virtual_time)
 
     def merge(self, counters: Iterable[tuple[str, float]]) -> None:
-        """Raise counters to what an earlier dispatcher of the cell had, within the bound."""
+        """Raise the counters to those of an earlier dispatcher of the cell.
+
+        No counter stays further below the highest one than the catch-up bound allows.
+        """
         for workspace, counter in counters:
             self._counters[workspace] = max(self._counters.get(workspace, counter), counter)
         self.bound_catch_up()
 
     def bound_catch_up(self) -> None:
-        """Lift whoever is further behind the furthest one than the bound allows."""
+        """Raise each counter that is further below the highest one than the bound allows."""
         if not self._lines:
             return
         top = max(self.counter(name) for name in self._lines)
@@ -169,12 +183,15 @@
 
     @property
     def catch_up_bound(self) -> float:
-        """Return the most that anyone may be behind after a merge, in cost units per weight."""
+        """Return how far a workspace may be behind after a merge, in cost units per weight."""
         lightest = min(self._weight_of(name) for name in self._lines)
         return CATCH_UP_CHARGES * self._largest_charge / lightest
 
     def forget_idle(self, busy: set[str]) -> None:
-        """Drop the counters that a return would lift anyway; ``busy`` have requests in flight."""
+        """Drop counters that would be raised anyway when their workspace waits again.
+
+        Workspaces in ``busy`` have requests in flight, and keep their counters.
+        """
         floor = self._floor()
         for name in list(self._counters):
             idle = name not in self._lines and name not in busy
--- a/railsail/scheduling/tickets.py
+++ b/railsail/scheduling/tickets.py
@@ -1,16 +1,17 @@
-"""The ticket: what a dispatcher knows of a request that waits."""
+"""The ticket: a waiting request, as the dispatcher of its cell sees it."""
 
 from dataclasses import dataclass
 
-# One unit of rank is worth this many seconds of waiting, so that low ranks age and finish.
+# One unit of rank counts as this many seconds of waiting, so that tickets of a low rank age and are
+# served in the end.
 SECONDS_PER_RANK = 30.0
-# The part of its objective that a request can wait for a place.
+# The part of its objective that a request can spend waiting for a slot.
 WAIT_SHARE = 0.2
-# A request whose caller was refused before is served after all others of its workspace, as if it
-# had come so many seconds later: longer than any of them waits. It is late from its first try on,
-# while theirs can still be in time; and a late answer is better than another refusal. Served before
-# them, of 7,729 requests of a flooded route 2,913 were in time, after them 4,516 (one play of 62
-# nodes each, the same seed).
+# A retry of a refused request is ordered as if it had arrived this many seconds later, which is
+# longer than any other ticket of its workspace waits: it is served after all of them. A retry has
+# missed its objective already, while the others can still meet theirs, and a late answer is better
+# than another refusal. In a load test with 62 nodes, of 7,729 requests to an overloaded route 2,913
+# were answered in time where retries were served first, and 4,516 where they were served last.
 RETURNED_SECONDS = 60.0
 
 TicketKey = tuple[str, int]
@@ -18,21 +19,29 @@
 
 @dataclass(frozen=True)
 class Ticket:
-    """A request that waits for room on a replica of one cell.
-
-    ``entry`` is the id of the node that holds the caller's connection; with ``number`` it makes the
-    key. ``attempt`` rises each time the entry places the ticket anew, so that a grant of an earlier
-    placing is told apart. ``estimate`` is in cost units, ``enqueued_at`` in seconds of the
-    dispatcher's clock. ``urgent`` work is answered at once or refused. ``prefix`` is a hash of the
-    prompt's beginning, 0 for none. ``avoid`` names a replica that just failed the request.
-    ``prompt_tokens`` must be read before the answer begins, of which other prompts share the first
-    ``shared_tokens``; it is due ``objective`` seconds after the request came. All are 0 where they
-    are not known. ``returned`` says that the caller was refused before; it is served late rather
-    than refused again, after all others. It may wait ``patience`` seconds for its place, 0 for as
-    long as its entry lets it; its caller would come back within ``returns_within`` seconds, 0 for
-    not at all. The request runs in one of ``regions``, in any where none are named. A repeat of it
-    has the same ``fingerprint``, 0 where there is none. Its entry may not send it to the replicas
-    ``excluded``. ``route`` is the fingerprint of its route, 0 where there is none.
+    """A request that waits for a free slot on a replica of one cell.
+
+    ``entry`` is the id of the node that holds the caller's connection; ``entry`` and ``number``
+    together are the key. ``attempt`` rises each time the entry places the ticket again, so that a
+    grant of an earlier placement can be recognized. ``rank`` orders the tickets of a workspace: a
+    higher one is served earlier. ``estimate`` is in cost units, ``enqueued_at`` in seconds of the
+    dispatcher's clock. An ``urgent`` request is granted at once or refused. ``avoid`` names a
+    replica that has just failed the request.
+
+    ``prompt_tokens`` is the length of the prompt and ``objective`` the time in seconds, from the
+    arrival of the request, within which its answer has to start. ``prefix`` is a hash of the prompt
+    prefix, and ``shared_tokens`` how many tokens of it other prompts share. All four are 0 where
+    they are not known.
+
+    ``patience`` is the maximum wait in seconds; 0 leaves the limit to the entry. ``returns_within``
+    is the time in seconds within which the caller would retry after a refusal, 0 if it would not.
+    ``returned`` marks the retry of a refused request: it is served after all others, but may wait
+    longer before it is refused again. ``fingerprint`` identifies equal requests, so that a retry
+    has the fingerprint of the first attempt, and ``route`` is the fingerprint of the route; both
+    are 0 where there is none.
+
+    The request may run only in ``regions``, or in any region if the tuple is empty, and not on the
+    replicas in ``excluded``.
     """
 
     entry: str
@@ -58,26 +67,27 @@
 
     @property
     def key(self) -> TicketKey:
-        """Return what names the ticket at its dispatcher."""
+        """Return the key that identifies the ticket at its dispatcher."""
         return (self.entry, self.number)
 
     def may_run_in(self, region: str) -> bool:
-        """Say whether the request may run in ``region``."""
+        """Return True if the request may run in ``region``."""
         return not self.regions or region in self.regions
 
     def may_run_on(self, replica: str, region: str) -> bool:
-        """Say whether the request may run on ``replica``, which is in ``region``."""
+        """Return True if the request may run on ``replica``, which is in ``region``."""
         return replica not in self.excluded and self.may_run_in(region)
 
     def has_expired(self, now: float) -> bool:
-        """Say whether the ticket has waited for longer than it may."""
+        """Return True if the ticket has waited longer than its maximum wait."""
         return 0 < self.patience < now - self.enqueued_at
 
     @property
     def order(self) -> float:
-        """Return the place inside the workspace; lower is served first.
+        """Return the sort key within the workspace; the lowest is served first.
 
-        Of two requests that came together, the one whose answer is due sooner goes first.
+        Of two requests that arrived together, the one with the earlier deadline for its answer goes
+        first.
         """
         due = self.enqueued_at + WAIT_SHARE * self.objective
         if self.returned:
