--- a/railsail/scheduling/health.py
+++ b/railsail/scheduling/health.py
@@ -1,9 +1,9 @@
-"""Whether a replica does well enough to be given calls.
+"""When a replica that fails calls is ejected, which means that it is given none for a while.
 
-A replica that cannot be reached is closed at once, for a time that doubles; then one call tries it
-again. A replica that answers with errors is closed only while it does worse than the others of its
-cell, and never so many that less than half of them are left: where all fail a part of their calls,
-closing them takes away what still works.
+A replica that cannot be reached is ejected whatever the others do, for a time that doubles; then a
+single call probes it. A replica that answers with errors is ejected only while its error rate is
+higher than that of the other replicas of its cell, and only while at least half of them stay in
+service: if all of them fail some of their calls, ejecting them removes capacity that still works.
 """
 
 import enum
@@ -15,17 +15,17 @@
 FIRST_CLOSED_SECONDS = 0.5
 MOST_CLOSED_SECONDS = 4.0
 FAILURES_TO_CLOSE = 2
-# How much each call that ended counts in the share of errors.
+# Smoothing factor of the error rate.
 ERROR_GAIN = 0.1
-# A replica is worse than the others if its share of errors exceeds this multiple of theirs by more
-# than the margin. Two failures in a row of a replica without errors before are above the margin.
+# A replica is worse than the others if its error rate exceeds theirs times this factor by more than
+# the margin. Two failures in a row exceed the margin on a replica that had no errors before.
 WORSE_FACTOR = 1.5
 WORSE_MARGIN = 0.1
 _SERVER_ERROR = 500
 
 
 class CallResult(enum.IntEnum):
-    """What the end of a call tells of its replica; daemons send these numbers."""
+    """What the end of a call says about its replica; daemons exchange these numbers."""
 
     NOTHING = 0
     GOOD = 1
@@ -36,11 +36,12 @@
 
     @classmethod
     def of(cls, outcome: Outcome) -> "CallResult":
-        """Return what the ``outcome`` of a call that was sent tells of its replica."""
+        """Return what the ``outcome`` of a call that was sent says about its replica."""
         if isinstance(outcome, Completed):
             return cls.GOOD if outcome.status < _SERVER_ERROR else cls.ERROR
         if outcome.asked_rest:
-            # Rest is asked of one node; to others the replica may be as good as before.
+            # The replica asked this node only to back off; it may serve the others as well as
+            # before.
             return cls.NOTHING
         if isinstance(outcome, NotRun):
             return _OF_REASONS.get(outcome.reason, cls.NOTHING)
@@ -48,7 +49,7 @@
 
     @property
     def failed(self) -> bool:
-        """Say whether the replica did not do what was asked of it."""
+        """Return True if the replica did not do what was requested of it."""
         return self in (CallResult.ERROR, CallResult.UNREACHABLE, CallResult.BROKE_OFF)
 
 
@@ -61,7 +62,8 @@
 class Peers(msgspec.Struct, frozen=True):
     """How the other replicas of a cell do.
 
-    ``error_share`` is the mean of theirs; ``may_close`` says that enough of them are open.
+    ``error_share`` is their mean error rate; ``may_close`` is True if enough of them are in service
+    for one more to be ejected.
     """
 
     error_share: float = 0.0
@@ -69,7 +71,7 @@
 
 
 class ReplicaHealth:
-    """Follow the calls of one replica; times are in seconds of the dispatcher's clock."""
+    """The health of one replica by its calls; times are in seconds of the dispatcher's clock."""
 
     def __init__(self) -> None:
         self.error_share = 0.0
@@ -81,17 +83,17 @@
         self._lost = False
 
     def closed(self, now: float) -> bool:
-        """Say whether the replica is given nothing at ``now``."""
+        """Return True if the replica is given no calls at ``now``."""
         return now < self._closed_until
 
     @property
     def tripped(self) -> bool:
-        """Say whether the replica was closed, and no call has done well since."""
+        """Return True if the replica was ejected and no call has succeeded since."""
         return self._tripped
 
     @property
     def lost(self) -> bool:
-        """Say whether the replica was closed because nobody could connect to it.
+        """Return True if the replica was ejected because nobody could connect to it.
 
         Its process may have ended, and what answers next may be a new one.
         """
@@ -99,30 +101,30 @@
 
     @property
     def wants_trial(self) -> bool:
-        """Say whether a replica that was closed may be given the one call that tries it."""
+        """Return True if an ejected replica may be given the single call that probes it."""
         return self._tripped and not self._trial_runs
 
     def started(self) -> None:
-        """Take note that a call was given to the replica."""
+        """Record that the replica was given a call."""
         self._trial_runs = self._tripped
 
     def ended(self) -> None:
-        """Take note that a call has ended, however."""
+        """Record the end of a call, whatever its result."""
         self._trial_runs = False
 
     def begun(self) -> None:
-        """Take note that a good answer has begun."""
+        """Record the start of a good answer."""
         self._failures = 0
         self._tripped = False
 
     def succeeded(self) -> None:
-        """Take note of a call that was answered well and whole."""
+        """Record a call with a complete, good answer."""
         self.error_share += ERROR_GAIN * (0.0 - self.error_share)
         self._closed_seconds = FIRST_CLOSED_SECONDS
         self.begun()
 
     def failed(self, now: float, result: CallResult, peers: Peers) -> None:
-        """Take note of a call that failed, and close the replica if that is due."""
+        """Record a failed call, and eject the replica if it has failed too often."""
         self.error_share += ERROR_GAIN * (1.0 - self.error_share)
         self._failures += 1
         if self._failures < FAILURES_TO_CLOSE:
--- a/railsail/scheduling/newversions.py
+++ b/railsail/scheduling/newversions.py
@@ -1,34 +1,35 @@
-"""How long a software version that appears in a pool beside another one is sent nothing.
+"""How long a software version that appears in a pool beside another one receives no calls.
 
-An operator's order may reach a node later than the entries of the replicas that were started for
-it. A replica that has just started is cold, so that a moment's hold costs little where replicas are
-replaced without an order.
+An operator's order may reach a node later than the records of the replicas that were started for
+it. Without this hold, the node would send them ordinary traffic. Where replicas are replaced
+without an order the hold costs little, because a replica that has just started is cold.
 """
 
 import math
 from collections.abc import Mapping
 
-# An order has reached the nodes in touch this many seconds after the first replica of its version.
+# An order reaches all connected nodes within this many seconds of the first replica of its version.
 HOLD_SECONDS = 1.0
-# Replicas that have run for longer are not those of an order that is still on its way.
+# Replicas that have run for longer do not belong to an order that is still on its way.
 RECENT_SECONDS = 10.0
-# Versions that are remembered of each pool.
+# Versions that are remembered of each pool; the oldest are dropped when there are more.
 MOST_VERSIONS = 1000
 
 
 class NewVersions:
-    """Follow which versions a pool has; times are in seconds of a monotonic clock."""
+    """The versions that each pool has; times are in seconds of a monotonic clock."""
 
     def __init__(self) -> None:
-        # Until when each version that was seen in a pool is held, and those that work there now.
+        # The time until which each version ever seen in a pool is held, and the versions of its
+        # current replicas.
         self._until: dict[str, dict[str, float]] = {}
         self._working: dict[str, frozenset[str]] = {}
 
     def observe(self, pool: str, ages: Mapping[str, float], now: float) -> None:
-        """Take note of the versions that work in ``pool``, and of how old each is, in seconds.
+        """Record the versions that run in ``pool``, and the age of each in seconds.
 
-        Versions that are seen first together are not held, since a process that starts learns of
-        orders before it dispatches, and neither is one whose replicas have run for a while.
+        The versions of the first call are not held, because a starting process learns of the orders
+        before it dispatches. Neither is a version whose replicas have run for a while.
         """
         known = self._until.setdefault(pool, {})
         first = not known
@@ -40,9 +41,9 @@
         self._working[pool] = frozenset(ages)
 
     def held(self, pool: str) -> Mapping[str, float]:
-        """Return until when each version of ``pool`` is sent nothing.
+        """Return the time until which each version of ``pool`` receives no calls.
 
-        One that alone works there now is not held.
+        No version is held while there is only one.
         """
         several = len(self._working.get(pool, ())) > 1
         return self._until[pool] if several else {}
--- a/railsail/scheduling/overflow.py
+++ b/railsail/scheduling/overflow.py
@@ -1,10 +1,10 @@
-"""When a region's cell has tickets carried out elsewhere, and when it asks others for theirs.
+"""When a region's cell moves tickets to other regions, and when it requests theirs.
 
-A cell is pressed while it cannot begin what waits, or refuses tickets of workspaces that had their
-share. It tells the cells of other regions so. One of them with replicas to spare asks for a few
-tickets, and what is left of that number stands for a moment: later tickets are passed on at once,
-since each message takes its time between regions. Nothing is passed on that would not be served
-there in time.
+A cell is overloaded while it cannot start what waits, or while it refuses tickets of workspaces
+that have had their share. It reports this to the cells of other regions. One of them with spare
+replicas requests a few tickets. What is left of that number is an offer that stands for a moment:
+later tickets are moved at once, because each message takes time between regions. A ticket is not
+moved if it would not be served there in time.
 """
 
 import math
@@ -15,32 +15,34 @@
 from railsail.scheduling.fairqueue import FairQueue
 from railsail.scheduling.tickets import Ticket
 
-# A ticket that is decided in another region than its entry's takes about so many seconds there and
-# back: links between the regions of one fleet take 5 to 25 ms one way.
+# Round trip between two regions, which a ticket spends when it is decided in another region than
+# its entry's: links between the regions of one fleet take 5 to 25 ms one way.
 WAY_SECONDS = 0.04
-# For so many seconds after it was pressed last, a cell is told to be. It says so again after so
-# many, and is forgotten after twice as many: the node that said it may be gone.
+# A cell counts as overloaded for this many seconds after the last sign of it.
 PRESSED_SECONDS = 0.5
+# An overload is reported again at this interval while it lasts. A report is discarded after two
+# intervals, because the node that sent it may be gone.
 REPEAT_SECONDS = 1.0
-# A cell with replicas to spare asks again after so many seconds, for so many tickets at most.
+# Minimum interval between two requests for tickets by a cell with spare replicas.
 ASK_PAUSE_SECONDS = 0.03
+# The largest number of tickets in one request.
 MOST_ASKED = 32
-# What was asked for may be passed on within so many seconds; by then it is asked for anew.
+# Time for which an offer is valid; the cell that made it requests tickets again by then.
 OFFER_SECONDS = 0.3
-# A ticket that waits less long than this is mostly served where it is before it would be elsewhere.
+# A ticket that has waited for less than this is mostly served sooner where it is than elsewhere.
 LEAST_WAITED_SECONDS = 0.01
 
 
 @dataclass
 class _Offer:
-    """How many tickets another cell takes, until a time."""
+    """How many more tickets another cell accepts, and until when."""
 
     left: int
     until: float
 
 
 class Overflow:
-    """What one cell has told cells of other regions, and knows of them.
+    """What one cell has reported to cells of other regions, and what they have reported.
 
     Every method takes ``now`` in seconds of a monotonic clock.
     """
@@ -55,11 +57,14 @@
         self._offers: dict[Cell, _Offer] = {}
 
     def pressed(self, now: float) -> None:
-        """Take note that the cell has more than it can begin."""
+        """Record that the cell has more tickets than it can start."""
         self._pressed_at = now
 
     def news(self, waiting: int, now: float) -> int | None:
-        """Return how many tickets other regions are to be told to wait, ``None`` if they know."""
+        """Return the number of waiting tickets to report to other regions, ``None`` for no report.
+
+        It is at least 1 while the cell is overloaded; 0 reports once that the overload has ended.
+        """
         if now - self._pressed_at > PRESSED_SECONDS:
             ended, self._told = self._told, False
             return 0 if ended else None
@@ -70,9 +75,9 @@
         return max(1, waiting)
 
     def wanted(self, waiting: int, spare: int, now: float) -> tuple[Cell, int] | None:
-        """Return which cell to ask for how many tickets, ``None`` for nothing.
+        """Return which cell to request how many tickets from, ``None`` for no request.
 
-        ``spare`` is how many calls the cell's replicas could begin at once.
+        ``spare`` is how many calls the cell's replicas could start at once.
         """
         pressed = self._pressed(now)
         number = min(spare - waiting, MOST_ASKED)
@@ -82,7 +87,10 @@
         return max(pressed, key=lambda cell: (pressed[cell], cell)), number
 
     def may_ask(self, now: float) -> bool:
-        """Say whether there is another cell to ask, and it was not asked just now."""
+        """Return True if another cell is overloaded and a request may be sent now.
+
+        No request is sent shortly after the previous one, or while this cell is overloaded itself.
+        """
         since = now - max(self._asked_at, self._pressed_at)
         return since >= ASK_PAUSE_SECONDS and bool(self._pressed(now))
 
@@ -94,18 +102,18 @@
         }
 
     def told(self, other: Cell, waiting: int, now: float) -> None:
-        """Take note that so many tickets wait in ``other``, which takes no more if some do."""
+        """Record that ``waiting`` tickets wait in ``other``; its offer ends if there are any."""
         if waiting:
             self._offers.pop(other, None)
         self._waiting[other] = waiting
         self._heard_at[other] = now
 
     def offered(self, other: Cell, number: int, now: float) -> None:
-        """Take note that ``other`` takes ``number`` tickets."""
+        """Record that ``other`` accepts ``number`` tickets."""
         self._offers[other] = _Offer(number, now + OFFER_SECONDS)
 
     def taker(self, ticket: Ticket, now: float) -> Cell | None:
-        """Return the cell that takes a ``ticket`` in time, and count it there."""
+        """Return a cell that can serve ``ticket`` in time, and use up one ticket of its offer."""
         waited = now - ticket.enqueued_at
         if ticket.patience and waited + WAY_SECONDS >= ticket.patience:
             return None
@@ -116,10 +124,10 @@
         return None
 
     def passed_on(self, queue: FairQueue, now: float) -> Iterable[tuple[Ticket, Cell]]:
-        """Take the tickets out of ``queue`` that go to other cells now, and give them."""
+        """Remove the tickets from ``queue`` that move to other cells now, and yield them."""
         if not any(offer.left and now <= offer.until for offer in self._offers.values()):
             return
-        # Whoever is served last here waits longest, and loses least by the way.
+        # The workspaces that are served last here wait longest, and lose least by the move.
         for workspace in reversed(queue.workspaces()):
             for ticket in queue.tickets(workspace):
                 stays = now - ticket.enqueued_at < LEAST_WAITED_SECONDS
--- a/railsail/scheduling/placing.py
+++ b/railsail/scheduling/placing.py
@@ -1,9 +1,9 @@
-"""Which replica of a cell a ticket is bound to.
+"""Which replica of a cell runs a ticket.
 
-A replica must have a free slot, and must be able to begin the answer in time. Among those, prompts
-that share a long beginning go to the replica that has it in memory: hashing names one for each
-beginning, so that every dispatcher names the same. Idea: the cache-aware load balancer of SGLang
-v0.4; ``docs/design/routing.md`` has the measurements.
+A replica must have a free slot, and must be able to start the answer in time. Among those, prompts
+that share a long prefix go to the replica that has it cached. Rendezvous hashing assigns each
+prefix an owner, so that every dispatcher chooses the same replica. Source: the cache-aware load
+balancer of SGLang v0.4. See ``docs/design/routing.md``.
 """
 
 import enum
@@ -20,24 +20,29 @@
 )
 from railsail.scheduling.tickets import Ticket
 
-# A replica with a cached prefix is preferred while it is at most this much fuller than others.
+# A replica with a cached prefix is preferred while its load per slot exceeds that of the least
+# loaded by at most this much.
 AFFINITY_SLACK = 0.25
-# A long beginning is waited for at its replica, for this part of the objective.
+# For this part of its objective, a ticket with a long prefix waits for the owner of the prefix, and
+# goes to other replicas only if they are nearly idle.
 PREFIX_WAIT = 1.0
-# A replica with less to read than this takes what is meant for others, before it falls idle; but
-# not what its own replica can take within this part of the objective. Without that wait 22% of the
-# long prompts of a loaded cell (572 of 2,600 counted) went to a replica that read them whole.
+# A replica with less pending prefill than this, in seconds, is nearly idle. It may run a ticket
+# whose prefix it does not own.
 HUNGRY_SECONDS = 0.03
+# But for this part of its objective, a ticket waits if the owner of its prefix can accept it by
+# then. Without this wait 572 of 2,600 long prompts (22%) of a loaded cell went to a replica that
+# had to prefill them whole.
 HOME_WAIT = 0.1
-# Beginnings whose replica is remembered; all are forgotten when there are more.
+# Prefixes whose owners are remembered; all of them are dropped when there are more.
 MOST_HOMES = 65_536
 
 
 class ShareState(enum.Enum):
-    """How a workspace stands among the others of a cell.
+    """How the service of a workspace compares with its share of a cell.
 
-    While all can be served, ``FIRST`` has no other prompt unread, and ``EVEN`` has. In an overload
-    ``OWED`` was served less than its share of the window, and ``OVER`` its share or more.
+    While all can be served, ``FIRST`` means that no other prompt of the workspace is pending
+    prefill, and ``EVEN`` that there is one. In an overload ``OWED`` means that the workspace was
+    served less than its share of the window, and ``OVER`` that it was served its share or more.
     """
 
     FIRST = enum.auto()
@@ -46,7 +51,8 @@
     OVER = enum.auto()
 
 
-# The part of its objective that unread prompts may take before a ticket, where not the usual one.
+# The part of its objective that pending prefill may take before a ticket, where it is not the usual
+# part.
 _READ_SHARES = {
     ShareState.FIRST: MORE_READ_SHARE,
     ShareState.OWED: MORE_READ_SHARE,
@@ -56,27 +62,28 @@
 
 @dataclass(frozen=True)
 class Openings:
-    """The replicas that may be given calls at all, and those of them that have room now."""
+    """The replicas that may be given calls, and those of them that have a free slot now."""
 
     serving: list[ReplicaRoom]
     free: list[ReplicaRoom]
 
 
 def look(rooms: Iterable[ReplicaRoom], now: float, urgent: bool = False) -> Openings:
-    """Return which of ``rooms`` serve and have room at ``now``."""
+    """Return which of ``rooms`` may be given calls and which have a free slot at ``now``."""
     serving = [room for room in rooms if room.serves(now)]
-    # The engine orders its own queue by priority, so urgent work may join it twice as deep.
+    # The engine orders its own queue by priority, so that twice as many urgent calls may wait in
+    # it.
     depth = 2 if urgent else 1
     return Openings(serving, [r for r in serving if r.room(now, r.overlap() * depth) > 0])
 
 
 class Placing:
-    """Choose replicas; ``use_prefixes`` prefers those that have a prompt's beginning."""
+    """The choice of replicas; ``use_prefixes`` prefers those that have a prompt prefix cached."""
 
     def __init__(self, rng: random.Random, use_prefixes: bool) -> None:
         self._rng = rng
         self._use_prefixes = use_prefixes
-        # The replica that should have each beginning, among those of ``_homes_among``.
+        # The owner of each prefix among the replicas in ``_homes_among``.
         self._homes: dict[int, str] = {}
         self._homes_among: frozenset[str] = frozenset()
 
@@ -87,9 +94,9 @@
         now: float,
         standing: ShareState = ShareState.EVEN,
     ) -> ReplicaRoom | None:
-        """Return the replica that ``ticket`` is bound to now, or ``None`` if it has to wait.
+        """Return the replica that runs ``ticket`` now, or ``None`` if the ticket has to wait.
 
-        ``standing`` is its workspace's.
+        ``standing`` is the share state of its workspace.
         """
         candidates = self._candidates(ticket, openings, now, standing)
         if not candidates:
@@ -128,7 +135,7 @@
     def _keeper(
         self, ticket: Ticket, candidates: list[ReplicaRoom], home: ReplicaRoom | None
     ) -> ReplicaRoom | None:
-        """Return a candidate that has a long beginning in memory, or should have it."""
+        """Return the owner of a long prefix, or a candidate that has the prefix cached."""
         if home in candidates:
             return home
         holders = [room for room in candidates if room.has_prefix(ticket.prefix)]
@@ -141,9 +148,7 @@
         home: ReplicaRoom | None,
         now: float,
     ) -> ReplicaRoom | None:
-        """Return a candidate that would read a long beginning anew, if that is better than to wait.
-
-        Waiting is for the replica that should have it.
+        """Return a candidate that would prefill a long prefix, or ``None`` to wait for its owner.
         """
         waited = now - ticket.enqueued_at
         longer = HOME_WAIT * ticket.objective - waited
@@ -154,12 +159,12 @@
         return self._emptiest(candidates) if candidates else None
 
     def _home(self, ticket: Ticket, openings: Openings, now: float) -> ReplicaRoom | None:
-        """Return the replica that should have the ticket's beginning."""
+        """Return the owner of the ticket's prefix."""
         able = [r for r in openings.serving if ticket.may_run_on(r.name, r.region)]
         serving = [room for room in able if room.name != ticket.avoid]
         if not serving:
             return None
-        # A cold replica has no beginnings in memory, and bears too little to be waited for.
+        # A cold replica has no prefixes cached, and can sustain too few calls to be waited for.
         serving = [room for room in serving if not room.warmup.cold(now)] or serving
         if ticket.avoid:
             return _preferred(ticket, serving)
--- a/railsail/scheduling/retries.py
+++ b/railsail/scheduling/retries.py
@@ -1,4 +1,4 @@
-"""A budget that keeps retries from multiplying the load of a fleet in trouble."""
+"""A budget that keeps retries from multiplying the load of a fleet that fails."""
 
 RATIO = 0.1
 MOST_TOKENS = 10.0
@@ -11,11 +11,11 @@
         self._tokens = MOST_TOKENS
 
     def request(self) -> None:
-        """Take note of a first try."""
+        """Record the first attempt of a request."""
         self._tokens = min(MOST_TOKENS, self._tokens + RATIO)
 
     def allow(self) -> bool:
-        """Say whether a retry may be made, and take it out of the budget."""
+        """Return True if a retry may be made, and take it out of the budget."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/railsail/scheduling/returns.py
+++ b/railsail/scheduling/returns.py
@@ -1,43 +1,44 @@
-"""When callers that are refused should come back.
+"""When the callers of refused requests should retry.
 
-Callers that are refused together must not come back together, or they are refused again. So the
-dispatcher of a cell writes down what it has told callers to bring back and when, and sends each to
-the earliest time at which the replicas have reading to spare. Where they have none to spare within
-the time that the caller would wait, it is sent to the emptiest part of it.
+Callers that are refused together must not retry together, or they are refused again. The dispatcher
+of a cell therefore records the prompt tokens of the retries that it has asked for, by time, and
+gives each caller the earliest time at which the replicas have prefill capacity to spare. If they
+have none within the time that the caller would wait, the caller gets the time with the fewest
+tokens.
 """
 
 import math
 import random
 from collections import deque
 
-# Returns are planned in steps of this many seconds: shorter than what a burst lasts, longer than
-# the spread of the way back to the fleet.
+# Retries are planned in steps of this many seconds: shorter than an overload, longer than the
+# differences between the times that retries take to reach the fleet.
 STEP_SECONDS = 0.25
-# Nobody is sent back sooner than this, in seconds: what waits now is begun by then.
+# No caller retries sooner than this, in seconds: what waits now has started by then.
 SOONEST_SECONDS = 0.5
-# The part of what the replicas read that is planned for returns; the rest is for those that come
-# for the first time. With twice as much, callers came back into the overload that had refused them.
+# The part of the replicas' prefill capacity that is planned for retries; the rest is for first
+# attempts. With twice as much, callers retried during the overload in which they were refused.
 RETURN_SHARE = 0.1
-# An overload that paused for longer than this, in seconds, has ended.
+# An overload has ended when no caller was refused for this many seconds.
 PAUSE_SECONDS = 1.0
-# Nobody is sent back later than this part of the time that it would wait because of how long an
-# overload has lasted.
+# However long an overload has lasted, the minimum delay that follows from it is at most this part
+# of the time within which the caller would retry.
 MOST_SOONEST_SHARE = 0.5
 
 
 class ReturnPlan:
-    """What callers were told to bring back to one cell, in tokens to read, by step of time."""
+    """The retries that callers of one cell were asked for, in prompt tokens by step of time."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self._first = 0
         self._steps: deque[float] = deque()
-        # When a caller was refused last, and since when callers have been without a pause.
+        # When a caller was last refused, and since when refusals have come without a pause.
         self._refused_at = -math.inf
         self._since = 0.0
 
     def _soonest(self, within: float, now: float) -> float:
-        """Return the least time to come back after, in seconds.
+        """Return the minimum time before the retry, in seconds.
 
         An overload that has lasted for a while is expected to last as long again.
         """
@@ -48,10 +49,10 @@
         return min(max(SOONEST_SECONDS, lasted), within)
 
     def promise(self, tokens: int, within: float, rate: float, now: float) -> float:
-        """Return after how many seconds a caller with ``tokens`` to read should come back.
+        """Return after how many seconds a caller with a prompt of ``tokens`` should retry.
 
-        It comes back ``within`` so many seconds or not at all; the replicas read ``rate`` tokens a
-        second; ``now`` is in seconds of the dispatcher's clock.
+        The caller would retry ``within`` this many seconds or not at all. The replicas prefill
+        ``rate`` tokens a second. ``now`` is in seconds of the dispatcher's clock.
         """
         self._advance(now)
         latest = max(1, int(within / STEP_SECONDS))
