--- a/railsail/scheduling/dispatcher.py
+++ b/railsail/scheduling/dispatcher.py
@@ -23,19 +23,20 @@
 from railsail.scheduling.versions import VersionPlacing
 from railsail.scheduling.warmup import WarmupBound
 
-# So many workspaces are looked at for a ticket that can be granted now. To look at more, or at more
-# tickets of each, let more in and fewer of them in time (docs/topics/decisions-under-load.md).
+# Only the first tickets of this many workspaces are tried for a grant. Trying more workspaces, or
+# more tickets of each, granted more requests and answered fewer of them in time
+# (docs/topics/decisions-under-load.md).
 MOST_HEADS = 4
-# For so many seconds after a ticket has expired, those of workspaces that had their share are
-# refused at once: a quarter of a second is longer than the usual waits for a place.
+# For this many seconds after a ticket has expired, tickets of workspaces that have had their share
+# are refused at once. Tickets usually wait for less than this.
 OVERLOAD_SECONDS = 0.25
 
 
 class CellDispatcher:
-    """Order the tickets of one cell fairly, and bind each late to a replica with room.
+    """Orders the tickets of one cell fairly, and binds each to a replica when it has a free slot.
 
-    ``overflow`` is given where cells of other regions may take tickets. Every method takes ``now``
-    in seconds of a monotonic clock and does no input or output.
+    ``overflow`` is given if cells of other regions may take tickets. Every method takes ``now`` in
+    seconds of a monotonic clock, and none does I/O.
     """
 
     def __init__(
@@ -52,7 +53,7 @@
         self.served: dict[str, float] = {}
         self.overflow = overflow
         self.versions = VersionPlacing(rng, use_prefixes)
-        # What became of calls since the order that runs was given, ``None`` while none does.
+        # The results of calls since the active order was given, ``None`` if there is no order.
         self.tallies: CellTallies | None = None
         self._returns = ReturnPlan(rng)
         self._refused = RefusedCallers()
@@ -60,9 +61,9 @@
         self._expired_at = -math.inf
         self._bound = WarmupBound()
         self._fleet_share = 1.0
-        # When each replica started, where it says so: the start tells its lives apart.
+        # The start of each replica, where it is known: it identifies the process behind the name.
         self._lives: dict[str, int] = {}
-        # How many calls of each workspace have not begun to be answered.
+        # The number of calls of each workspace whose answers have not started.
         self._unread: Counter[str] = Counter()
 
     def set_replicas(
@@ -71,9 +72,10 @@
         leaving: Iterable[str] = (),
         lives: Mapping[str, int] | None = None,
     ) -> None:
-        """Serve exactly the replicas in ``slots``; a slot number of 0 is learnt.
+        """Use exactly the replicas in ``slots``; a number of slots of 0 is learnt.
 
-        ``lives`` tells when each replica started, 0 or nothing where that is not known.
+        ``leaving`` names those that are draining before they stop. ``lives`` maps replicas to the
+        time of their start, 0 or missing where it is not known.
         """
         for name in set(self.replicas) - set(slots):
             del self.replicas[name]
@@ -91,8 +93,8 @@
         self._lives[name] = life or before
         if not life or not before or life == before:
             return
-        # The replica started again under its name. It is empty: its room is made anew, and what
-        # ran there belongs to nothing any more.
+        # The replica was restarted under its name. It is empty: its record is created again, and
+        # the calls that ran there belong to no replica any more.
         self.replicas.pop(name, None)
         for flight in self.flights.values():
             if flight.replica == name:
@@ -104,14 +106,17 @@
             room.region = regions.get(name, "")
 
     def set_versions(self, versions: dict[str, str], held_until: Mapping[str, float]) -> None:
-        """Set the software version of each replica, and until when each version is held."""
+        """Set the software version of each replica, and the time until which each version is held."""
         self.versions.set_versions(versions)
         for name, room in self.replicas.items():
             held = held_until.get(versions.get(name, ""), -math.inf)
             room.held_until = -math.inf if self.versions.is_target(name) else held
 
     def set_order(self, order: Order | None, start: int) -> None:
-        """Follow the rollout of ``order``, ``None`` for none; ``start`` names sums begun now."""
+        """Set the ``order`` of the active rollout, ``None`` for none.
+
+        ``start`` identifies tallies that are started now.
+        """
         self.versions.set_order(order)
         if order is None:
             self.tallies = None
@@ -119,7 +124,7 @@
             self.tallies = CellTallies(order.version, order.target_version, start)
 
     def set_bound(self, bound: WarmupBound, fleet_share: float = 1.0) -> None:
-        """Set what a cold replica bears, and the part of the fleet that is dispatched here."""
+        """Set the load that a cold replica sustains, and this dispatcher's part of the fleet."""
         self._bound = bound
         self._fleet_share = fleet_share
         for room in self.replicas.values():
@@ -130,7 +135,7 @@
         room.warmup.share = self._fleet_share
 
     def set_cold(self, replica: str, seconds: float, now: float) -> None:
-        """Take note that ``replica`` is cold for ``seconds`` from ``now`` on."""
+        """Record that ``replica`` is cold for ``seconds`` from ``now`` on."""
         room = self.replicas.get(replica)
         if room is not None:
             room.warmup.cold_for(seconds, now)
@@ -149,7 +154,7 @@
             room.expect(key, flight.unread, flight.started_at)
 
     def answered(self, key: TicketKey, now: float) -> None:
-        """Take note that the answer to a request in flight has begun."""
+        """Record that the answer to a call in flight has started."""
         flight = self.flights.get(key)
         if flight is None:
             return
@@ -160,12 +165,16 @@
             room.answered(key, now)
 
     def offer(self, ticket: Ticket, now: float) -> list[Decision]:
-        """Take a ticket in, and grant what can be granted now."""
+        """Add a ticket, and return all decisions that can be made now."""
         decisions = self.put(ticket, now)
         return decisions + self.pump(now)
 
     def put(self, ticket: Ticket, now: float) -> list[Decision]:
-        """Take a ticket in; only urgent ones are decided."""
+        """Add a ticket without granting any that wait; an urgent one is decided at once.
+
+        If the workspace of the ticket has had its share of an overloaded cell, the ticket is moved
+        to another cell or refused. A retry of a refused request gets more time to wait.
+        """
         flight = self.flights.get(ticket.key)
         if flight is not None and flight.attempt >= ticket.attempt:
             return []
@@ -174,7 +183,7 @@
         if ticket.urgent:
             return [self._decide_urgent(ticket, now)]
         self.queue.credit = self._usage.credit(now)
-        # One that waits already is told again when its entry tells everything anew.
+        # A waiting ticket arrives again when its entry sends all of its tickets again.
         if ticket.key in self.queue:
             self.queue.push(ticket)
             return []
@@ -188,10 +197,10 @@
         return [Hold(ticket)] if came_back else []
 
     def _is_excess(self, ticket: Ticket, now: float) -> bool:
-        """Say whether a ticket would wait in place of others though its workspace had its share."""
+        """Return True if a ticket would displace others although its workspace has had its share."""
         if ticket.returned or not self.overloaded(now):
             return False
-        # Where a replica has room now, nobody else is served instead of the one that is refused.
+        # While a replica has a free slot, refusing the ticket would help nobody else.
         return self._usage.over_share(ticket.workspace, now) and not self._fits(ticket, now)
 
     def _move_excess(self, ticket: Ticket, now: float) -> Move | None:
@@ -202,7 +211,7 @@
         return Move(ticket, cell) if cell is not None else None
 
     def _move_waiting(self, now: float) -> list[Decision]:
-        """Take out the tickets that cells of other regions begin sooner."""
+        """Remove the tickets that cells of other regions can start sooner."""
         if self.overflow is None or not len(self.queue):
             return []
         if self.spare(now) and not self.overloaded(now):
@@ -211,15 +220,16 @@
         return [Move(ticket, cell) for ticket, cell in self.overflow.passed_on(self.queue, now)]
 
     def overloaded(self, now: float) -> bool:
-        """Say whether a ticket expired so lately that not all can be served."""
+        """Return True if a ticket expired a moment ago, so that not all can be served."""
         return now - self._expired_at <= OVERLOAD_SECONDS
 
     def level(self, now: float) -> float:
-        """Return what each workspace may be served in a window, in cost units per weight."""
+        """Return what each workspace may be served in the window, in cost units per weight."""
         return self._usage.level(now)
 
     def largest_shares(self, most: int, now: float) -> list[Share]:
-        """Return what those that asked for most were served lately, the largest demand first."""
+        """Return the shares of the ``most`` workspaces with the largest recent demands, in that order.
+        """
         return self._usage.largest(most, now)
 
     def _fits(self, ticket: Ticket, now: float) -> bool:
@@ -227,13 +237,13 @@
         return self.versions.choose(ticket, openings, now) is not None
 
     def open_rooms(self, now: float) -> Collection[ReplicaRoom]:
-        """Return the rooms of replicas whose software version is sent requests."""
+        """Return the replicas whose software version may run requests."""
         return self.versions.open_rooms(self.replicas.values(), now)
 
     def _read_rate(self, now: float) -> float:
-        """Return the tokens a second that the replicas read which serve callers that come back.
+        """Return the prompt tokens per second that the replicas prefill which will serve retries.
 
-        Cold ones bear too few calls to be counted beside warm ones.
+        Cold replicas sustain too few calls to be counted beside warm ones.
         """
         serving = [room for room in self.open_rooms(now) if room.serves(now)]
         warm = [room for room in serving if not room.warmup.cold(now)]
@@ -255,11 +265,11 @@
         return [self._refuse(ticket, Reason.EXPIRED, now) for ticket in expired]
 
     def cancel(self, key: TicketKey) -> None:
-        """Forget a ticket that waits."""
+        """Remove a waiting ticket."""
         self.queue.remove(key)
 
     def progress(self, key: TicketKey, charged: float) -> None:
-        """Raise the charge of a request in flight to ``charged`` in all."""
+        """Raise the total charge of a call in flight to ``charged``."""
         flight = self.flights.get(key)
         if flight is None or charged <= flight.charged:
             return
@@ -269,7 +279,7 @@
     def release_attempt(
         self, key: TicketKey, attempt: int, cost: float, now: float, result: CallResult
     ) -> None:
-        """End a request in flight, unless its ticket was granted anew since ``attempt``."""
+        """End a call in flight, unless its ticket was granted again after ``attempt``."""
         flight = self.flights.get(key)
         if flight is not None and flight.attempt <= attempt:
             self.release(key, cost, now, result)
@@ -277,9 +287,10 @@
     def release(
         self, key: TicketKey, cost: float, now: float, result: CallResult = CallResult.NOTHING
     ) -> bool:
-        """End a request in flight and settle its charge against its ``cost``.
+        """End a call in flight and replace its charge by its actual ``cost``.
 
-        ``result`` is what was learnt of the replica. Return whether the request was known.
+        ``result`` is what the end of the call says about the replica. Return True if the call was
+        in flight.
         """
         flight = self.flights.pop(key, None)
         if flight is None:
@@ -309,14 +320,14 @@
     def _peers_of(self, room: ReplicaRoom, now: float) -> Peers:
         """Return how the replicas do that ``room`` is compared with.
 
-        Those that leave are no part of the cell any more, and those that cannot be reached tell
-        nothing of how others answer: beside a lost failure domain a sick replica is still the worst
-        of those that answer.
+        Replicas that are draining no longer belong to the cell. Those that cannot be reached say
+        nothing about error rates: when a failure domain is lost, a faulty replica is still the
+        worst of those that answer.
         """
         rooms = [other for other in self.replicas.values() if not other.leaving]
         group = self.versions.group(room.name, rooms)
         others = [other for other in group if other is not room]
-        # What fails on trial is the version, which is judged as a whole.
+        # Failures on trial are those of the version, which is judged as a whole.
         if not others or self.versions.on_trial(room.name, now):
             return Peers(may_close=False)
         closed = sum(not other.serves(now) or other.health.tripped for other in others)
@@ -325,13 +336,13 @@
         return Peers(mean, closed + 1 <= len(group) // 2)
 
     def report(self, replica: str, report: LoadReport, now: float) -> None:
-        """Take in a load report of ``replica``."""
+        """Apply a load report of ``replica``."""
         room = self.replicas.get(replica)
         if room is not None:
             room.reported(now, report)
 
     def resume_flight(self, key: TicketKey, flight: Flight) -> None:
-        """Take over a request in flight that an earlier dispatcher granted."""
+        """Record a call in flight that an earlier dispatcher granted."""
         if key in self.flights:
             return
         self.flights[key] = flight
@@ -344,11 +355,11 @@
             self._expect(room, key, flight)
 
     def drop_entry(self, entry: str, now: float) -> None:
-        """Forget all tickets and requests of an ``entry`` that is gone."""
+        """Drop all tickets and calls of an ``entry`` that is gone."""
         self.keep_only(entry, set(), now)
 
     def keep_only(self, entry: str, keys: set[TicketKey], now: float) -> None:
-        """Forget what ``entry`` has here and does not name in ``keys``."""
+        """Drop the tickets and calls of ``entry`` that are not in ``keys``."""
         for key in [key for key in self.flights if key[0] == entry and key not in keys]:
             self.release(key, self.flights[key].charged, now)
         for name in self.queue.workspaces():
@@ -360,7 +371,10 @@
                 self.queue.remove(ticket.key)
 
     def pump(self, now: float) -> list[Decision]:
-        """Grant tickets while there are some and a replica has room, and refuse expired ones."""
+        """Grant tickets while replicas have free slots, and decide which others have to leave.
+
+        Tickets that can start sooner in another region are moved, and expired ones are refused.
+        """
         decisions: list[Decision] = []
         if len(self.queue):
             decisions += self._grant_waiting(now)
@@ -381,8 +395,8 @@
         openings = self.versions.look(self.replicas.values(), now)
         if not openings.free:
             return None
-        # Whoever is first may wait for a replica that has its prompt's beginning; others go ahead
-        # meanwhile, where replicas would be idle otherwise.
+        # The first ticket may wait for a replica that has its prompt prefix cached. Others are
+        # granted in the meantime, so that replicas are not idle.
         for workspace in self.queue.workspaces()[:MOST_HEADS]:
             ticket = self.queue.head(workspace)
             room = self.versions.choose(ticket, openings, now, self._standing(workspace, now))
@@ -399,8 +413,8 @@
         return ShareState.EVEN if self._unread.get(workspace) else ShareState.FIRST
 
     def _decide_urgent(self, ticket: Ticket, now: float) -> Decision:
-        # Urgent work goes ahead of waiting work, but only while its workspace is not far above the
-        # others: else one workspace could starve the rest by calling everything urgent.
+        # An urgent ticket goes ahead of waiting ones only while its workspace is not far above the
+        # others. Otherwise one workspace could starve the rest by marking all its requests urgent.
         bound = CATCH_UP_CHARGES * ticket.estimate / self.queue.weight(ticket.workspace)
         if len(self.queue) and self.queue.lead(ticket.workspace) > bound:
             return Refusal(ticket, Reason.NO_ROOM)
@@ -413,7 +427,7 @@
         return self._bind(ticket, room, now)
 
     def _bind(self, ticket: Ticket, room: ReplicaRoom, now: float) -> Grant:
-        # A call without a prompt still owes the beginning of an answer.
+        # A call without a prompt counts as one token, because its answer has yet to start.
         unread = max(1, room.to_read(ticket))
         room.keep_prefix(ticket)
         flight = Flight(
@@ -445,7 +459,7 @@
         self.served[workspace] = self.served.get(workspace, 0.0) + cost
 
     def holds(self, fingerprint: int) -> bool:
-        """Say whether a request of ``fingerprint`` waits here, or runs."""
+        """Return True if a request with ``fingerprint`` is waiting or running here."""
         return any(flight.fingerprint == fingerprint for flight in self.flights.values()) or any(
             ticket.fingerprint == fingerprint
             for workspace in self.queue.workspaces()
@@ -453,17 +467,17 @@
         )
 
     def room(self, now: float) -> int:
-        """Return how many more calls fit into the slots of the cell, without overlap."""
+        """Return how many more calls fit into the slots of the cell, without queueing at replicas."""
         return sum(room.can_begin(now) for room in self.open_rooms(now))
 
     def wanted(self, now: float) -> tuple[Cell, int] | None:
-        """Return which cell of another region to ask for how many tickets, or ``None``."""
+        """Return which cell of another region to request how many tickets from, or ``None``."""
         if self.overflow is None or not self.overflow.may_ask(now):
             return None
         return self.overflow.wanted(len(self.queue), self.spare(now), now)
 
     def spare(self, now: float) -> int:
-        """Return how many more calls the replicas with little to read could begin now."""
+        """Return how many more calls the replicas that are nearly idle could start now."""
         return sum(
             room.can_begin(now)
             for room in self.open_rooms(now)
@@ -472,6 +486,6 @@
 
 
 def _returned(ticket: Ticket) -> Ticket:
-    """Return the ticket of a caller that was refused before."""
+    """Return the ticket of a retry, with its place in the queue and its longer maximum wait."""
     longest = min(RETURN_WAIT_OBJECTIVES * ticket.objective, ticket.returns_within)
     return replace(ticket, returned=True, patience=max(ticket.patience, longest))
--- a/railsail/scheduling/room.py
+++ b/railsail/scheduling/room.py
@@ -1,8 +1,9 @@
 """How many more calls a replica can take now.
 
-Room is the reported limit less this dispatcher's own calls in flight and less the load of others.
-Where a replica reports nothing, the limit is learnt by additive increase and multiplicative
-decrease. A replica that does badly is closed for a while (see ``railsail.scheduling.health``).
+The free slots of a replica are its reported limit less the calls of this dispatcher in flight and
+less the calls of others. If a replica reports nothing, its limit is learnt by additive increase and
+multiplicative decrease. A replica that fails calls is ejected for a while (see
+``railsail.scheduling.health``).
 """
 
 import math
@@ -15,54 +16,66 @@
 from railsail.scheduling.warmup import Warmup
 
 LEAST_LIMIT = 1.0
+# A replica is given one call beyond its slots for each of this many slots, and at least one. These
+# calls wait in its queue, so that no slot is idle for a round trip.
 OVERLAP_SHARE = 24
-# In an overload one slot of so many is left to workspaces below their share, whose requests come
-# seldom and can wait for a moment only. Without, a workspace that asked for a third of a cell was
-# served an eighth of its requests beside a flood, with it over 95% (simulated cell of 48 slots).
+# In an overload, one of this many slots is reserved for workspaces below their share, whose
+# requests are rare and can wait only for a moment. Without the reserve, a workspace that requested
+# a third of a cell was served an eighth of its requests beside one that overloaded the cell, with
+# it over 95% (simulated cell of 48 slots).
 SLOTS_A_RESERVED_ONE = 12
+# The limit on calls of a replica that does not report its slots: its initial value, its maximum,
+# and its factor after a slow or failed call.
 FIRST_LIMIT = 4.0
 MOST_LIMIT = 4096.0
 DECREASE = 0.7
-# A call that takes this many times the usual time says that the replica is too full.
+# A call that takes this many times the mean duration shows that the replica is overloaded.
 SLOW_FACTOR = 3.0
-# Own calls are remembered this long, to tell them from foreign ones in a report that lags.
+# The numbers of own calls in flight are remembered for this many seconds, to distinguish them from
+# the calls of others in a report that lags.
 REPORT_LAG_SECONDS = 2.0
+# Smoothing factor of the mean duration of a call.
 USUAL_TIME_GAIN = 0.1
-# Prompt tokens that a replica reads in a second, until it was seen to read some; never less.
+# Prompt tokens that a replica prefills per second: the assumed rate before any answer, and the
+# lowest rate that is assumed later.
 FIRST_READ_RATE = 120_000.0
 LEAST_READ_RATE = 10_000.0
-# How much of what was seen of reading is kept at each new answer.
+# The part of the earlier prefill observations that is kept at each new answer.
 READ_MEMORY = 0.98
-# The shortest wait for an answer seen is taken to grow by this share with each one.
+# The base latency is the shortest time to the start of an answer. It grows by this factor with each
+# answer, so that it follows a replica that becomes slower.
 BASE_GROWTH = 1.002
-# The prompts that a replica has yet to read may take this part of a request's objective, and all
-# that passes before the answer begins this part of it.
+# The pending prefill of a replica, together with the prompt of a new request, may take this part of
+# the request's objective.
 READ_SHARE = 0.4
-# A workspace that has no other prompt unread may use this part instead, and in an overload one that
-# is below its share: what others have brought before it must not be why it is refused. A prompt
-# whose long beginning is in memory may as well: it adds little to what is unread, and read
-# elsewhere it would add all. The shortest answers still begin within four fifths of their
-# objective.
+# A workspace without other prompts pending prefill may use this part instead, and so may one that
+# is below its share in an overload: it must not be refused because of what others sent before it. A
+# prompt whose long prefix is cached may as well, because it adds little to the pending prefill
+# here, and would add all of its tokens elsewhere.
 MORE_READ_SHARE = 0.6
+# Everything that passes before the answer starts may take this part of the objective.
 ANSWER_SHARE = 0.8
-# In an overload a workspace that had its share may use only this part, which leaves the rest to
-# others and keeps a replica reading: 40 ms of the shortest objectives, where a round trip takes 10.
+# In an overload, a workspace that has had its share may use only this part. That leaves the rest to
+# others and keeps a replica busy: it is 40 ms of the shortest objectives, and a round trip takes 10
+# ms.
 LESS_READ_SHARE = 0.15
-# A prompt that takes longer to read than this part of the objective would never find a replica
-# that reads it in time; it is let in as if it took no longer, and is late, but served.
+# A prompt whose own prefill takes longer than this part of the objective would never find a replica
+# that can start its answer in time. It counts as this part only, so that it is answered, although
+# late.
 LARGEST_SHARE = 0.25
-# A beginning of so many tokens is worth waiting for the replica that has it in memory.
+# A prompt prefix of this many tokens is worth waiting for the replica that has it cached.
 LONG_PREFIX_TOKENS = 1000
-# Prompt beginnings remembered as kept in a replica's memory.
+# Prompt prefixes that are remembered as cached on a replica; the oldest are dropped.
 MOST_PREFIXES = 4096
-# A replica that owes first answers, and gave none for so long, gets nothing more.
+# A replica with pending answers that has started none for this many seconds is given no calls.
 SILENT_SECONDS = 0.8
 
 
 class Unread(msgspec.Struct, frozen=True):
-    """A call whose answer has not begun: its prompt tokens, and those read before it and with it.
+    """A call whose answer has not started, with its prompt tokens.
 
-    ``since`` is in seconds of the dispatcher's clock.
+    ``ahead`` is the number of tokens that were pending prefill with this prompt included. ``since``
+    is in seconds of the dispatcher's clock.
     """
 
     tokens: int
@@ -71,10 +84,11 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True):
-    """What a replica says of itself.
+    """What a replica reports about itself.
 
-    ``slots`` is how many calls it works on at once, ``running`` and ``waiting`` are the calls it
-    has; ``age`` is how old the figures are, in seconds.
+    ``slots`` is how many calls it can run at once; ``running`` and ``waiting`` count the calls that
+    it has. ``age`` is the age of these numbers in seconds. ``leaving`` means that it is draining
+    before it stops.
     """
 
     slots: int
@@ -85,13 +99,16 @@
 
 
 class ReplicaRoom:
-    """The room of one replica, as one dispatcher sees it; ``slots`` of 0 means to learn it."""
+    """The load, limit and health of one replica, as one dispatcher sees them.
+
+    The limit is learnt if ``slots`` is 0.
+    """
 
     def __init__(self, name: str, slots: int) -> None:
         self.name = name
         self.in_flight = 0
         self.leaving = False
-        # Until when it is given nothing, because its software version is new in its pool.
+        # Until when it is given no calls because its software version is new in its pool.
         self.held_until = -math.inf
         self.region = ""
         self.foreign = 0
@@ -111,26 +128,26 @@
 
     @property
     def limit(self) -> float:
-        """Return how many calls the replica works on at once."""
+        """Return how many calls the replica can run at once."""
         return float(self._slots) if self._slots else self._limit
 
     def overlap(self) -> int:
-        """Return the calls queued at the replica, so that a round trip leaves no slot idle."""
+        """Return how many calls may be queued at the replica to keep its slots busy."""
         return max(1, int(self.limit) // OVERLAP_SHARE)
 
     def reserve(self) -> int:
-        """Return the slots left to workspaces below their share while not all can be served."""
+        """Return the slots reserved in an overload for workspaces below their share."""
         return int(self.limit) // SLOTS_A_RESERVED_ONE
 
     def serves(self, now: float) -> bool:
-        """Say whether the replica may be given calls at all."""
+        """Return True if the replica may be given calls at all."""
         if self.leaving or now < self.held_until:
             return False
         return not (self.health.closed(now) or self._silent(now))
 
     @property
     def unread_seconds(self) -> float:
-        """Return how long the replica will read the prompts that it has."""
+        """Return how long the replica needs for its pending prefill."""
         return self._unread_tokens / self.read_rate
 
     def room(self, now: float, extra: int = 0) -> int:
@@ -138,24 +155,24 @@
         if not self.serves(now):
             return 0
         if self.health.tripped:
-            # The replica was closed and is tried again, with one call at a time.
+            # An ejected replica is probed with a single call.
             return int(self.health.wants_trial)
         if not self.warmup.allows(now):
             return 0
         return max(0, int(self.limit) + extra - self.in_flight - self.foreign)
 
     def can_begin(self, now: float) -> int:
-        """Return how many calls can begin at ``now``: a cold replica is given one after another."""
+        """Return how many calls can start at ``now``; a cold replica is given one at a time."""
         free = self.room(now)
         return min(free, 1) if self.warmup.cold(now) else free
 
     @property
     def read_rate(self) -> float:
-        """Return the prompt tokens that the replica reads in a second."""
+        """Return the prompt tokens that the replica prefills per second."""
         return max(LEAST_READ_RATE, self._read_tokens / self._read_seconds)
 
     def to_read(self, ticket: Ticket) -> int:
-        """Return the tokens of a prompt that the replica probably does not have in memory."""
+        """Return the tokens of a prompt that the replica probably does not have cached."""
         if ticket.prefix and ticket.prefix in self._prefixes:
             return max(1, ticket.prompt_tokens - ticket.shared_tokens)
         return ticket.prompt_tokens
@@ -163,11 +180,11 @@
     def reads_in_time(
         self, ticket: Ticket, now: float, share: float = 0.0, after: float = 0.0
     ) -> bool:
-        """Say whether the answer to ``ticket`` would begin well within its objective.
+        """Return True if the answer to ``ticket`` would start well within its objective.
 
-        What is unread may take ``share`` of the objective, 0 for the usual part. The replica would
-        be given it ``after`` so many seconds, in which it reads on. A replica with nothing to read
-        takes any prompt.
+        ``share`` is the part of the objective that pending prefill may take, 0 for the usual part.
+        ``after`` is a delay in seconds before the replica is given the call, in which it continues
+        its prefill. A replica without pending prefill takes any prompt.
         """
         if not ticket.prompt_tokens or not ticket.objective or not self._unread_tokens:
             return True
@@ -183,7 +200,7 @@
         return MORE_READ_SHARE if keeps else READ_SHARE
 
     def keep_prefix(self, ticket: Ticket) -> None:
-        """Take note that the replica will have the beginning of a prompt in memory."""
+        """Record that the replica will have the prefix of a prompt cached."""
         if not ticket.prefix:
             return
         self._prefixes[ticket.prefix] = None
@@ -192,19 +209,19 @@
             self._prefixes.popitem(last=False)
 
     def has_prefix(self, prefix: int) -> bool:
-        """Say whether the replica probably has the beginning of a prompt in memory."""
+        """Return True if the replica probably has a prompt prefix cached."""
         return prefix in self._prefixes
 
     def expect(self, key: TicketKey, tokens: int, now: float) -> None:
-        """Take note that the answer to a call with a prompt of ``tokens`` has yet to begin."""
+        """Record a call with a prompt of ``tokens`` whose answer has yet to start."""
         self.forget(key)
         self._unread_tokens += tokens
         self._unread[key] = Unread(tokens, self._unread_tokens, now)
 
     def answered(self, key: TicketKey, now: float) -> None:
-        """Take note that a good answer has begun, so that its prompt was read."""
+        """Record the start of a good answer, which shows that its prompt was prefilled."""
         if self.health.lost:
-            # It may be a new process under the old name, of which the platform has not told yet.
+            # It may be a new process under the old name that the platform has not reported yet.
             self.warmup.cold_for(self.warmup.bound.seconds, now)
         self.health.begun()
         unread = self._unread.get(key)
@@ -220,7 +237,7 @@
         self._read_seconds += max(0.0, seconds - self._base_seconds)
 
     def forget(self, key: TicketKey) -> None:
-        """Take note that the answer to a call is not expected any more."""
+        """Record that no answer to a call is expected any more."""
         unread = self._unread.pop(key, None)
         if unread is not None:
             self._unread_tokens -= unread.tokens
@@ -232,24 +249,24 @@
         return now - max(oldest, self._answered_at) > SILENT_SECONDS
 
     def fullness(self) -> float:
-        """Return calls per slot, own and foreign; 1.0 is full."""
+        """Return the calls per slot, own and those of others; 1.0 is full."""
         return (self.in_flight + self.foreign) / max(self.limit, LEAST_LIMIT)
 
     def started(self, now: float) -> None:
-        """Take note of a call granted."""
+        """Record a granted call."""
         self.in_flight += 1
         self.health.started()
         self.warmup.started(now)
         self._remember(now)
 
     def ended(self, now: float) -> None:
-        """Take note of the end of a call, however it ended."""
+        """Record the end of a call, whatever its result."""
         self._remember(now)
         self.health.ended()
         self.in_flight = max(0, self.in_flight - 1)
 
     def succeeded(self, now: float, seconds: float) -> None:
-        """Take note that a call was answered whole after ``seconds``."""
+        """Record a call that was answered completely after ``seconds``."""
         self.health.succeeded()
         if self._usual_time == 0.0:
             self._usual_time = seconds
@@ -260,14 +277,14 @@
         self._usual_time += USUAL_TIME_GAIN * (seconds - self._usual_time)
 
     def failed(self, now: float, result: CallResult, peers: Peers) -> None:
-        """Take note that a call failed or was refused; enough of them close the replica."""
+        """Record a call that failed or was refused; enough of them eject the replica."""
         self._limit = max(LEAST_LIMIT, self._limit * DECREASE)
         self.health.failed(now, result, peers)
 
     def reported(self, now: float, report: LoadReport) -> None:
-        """Take in a load report, which lags by its age.
+        """Apply a load report, which lags by its age.
 
-        Whether the replica leaves is decided from all signs, not here: see ``leaving``.
+        Whether the replica is draining is decided from all signals, not here: see ``leaving``.
         """
         if report.slots:
             self._slots = report.slots
--- a/railsail/scheduling/totals.py
+++ b/railsail/scheduling/totals.py
@@ -1,12 +1,14 @@
 """Service summed over the fleet, up and down a tree, for pools of several cells.
 
-Every node sums what its own cells served and what its children in the tree told. Sums only grow
-and merge by maximum, so that repeats and reorderings do no harm. A node that gets another parent
-starts a new epoch there from zero, so that nothing is told twice; what the old parent had not yet
-passed on is lost, at most one period's service a hop. The root's sums come down again.
-
-Workspaces are named by a digest of 32 bits, which is a third of a name's bytes on the wire. Two of
-300 workspaces share one with a chance of one in 100,000; they would then be steered alike.
+Every node adds up what its own cells served and what its children in the tree sent. Sums only grow
+and are merged by maximum, so that repeated and reordered messages do no harm. A node that gets
+another parent starts a new epoch with it from zero, so that nothing is counted twice. What the old
+parent had not yet forwarded is lost: the service of one period per hop at most. The sums of the
+root travel down the tree again.
+
+Workspaces are identified by a digest of 32 bits, a third of the bytes of a name. Among 300
+workspaces the chance that two have the same digest is one in 100,000; they would then get the same
+factors on their weights.
 """
 
 import zlib
@@ -17,7 +19,7 @@
 
 
 def digest_of(workspace: str) -> int:
-    """Return the digest by which sums name a workspace."""
+    """Return the digest that identifies a workspace in the sums."""
     return zlib.crc32(workspace.encode())
 
 
@@ -44,20 +46,20 @@
 
     @property
     def epoch(self) -> int:
-        """Return the epoch of what is told to the parent."""
+        """Return the epoch of the sums that are sent to the parent."""
         return self._epoch
 
     @property
     def root(self) -> tuple[str, int] | None:
-        """Return node and epoch of the root whose sums are known."""
+        """Return the node and epoch of the root whose sums are known."""
         return self._root
 
     def serve(self, workspace: int, cost: float) -> None:
-        """Add ``cost`` that a cell of this node served."""
+        """Add the ``cost`` of service by a cell of this node."""
         self._under[workspace] = self._under.get(workspace, 0.0) + cost
 
     def told_by_child(self, child: str, epoch: int, sums: Mapping[int, float]) -> None:
-        """Take in the sums of a child."""
+        """Merge the sums that a child sent."""
         known = self._children.get(child)
         if known is not None and epoch < known.epoch:
             return
@@ -70,7 +72,7 @@
                 self._under[workspace] = self._under.get(workspace, 0.0) + gain
 
     def set_parent(self, parent: str | None, epoch: int) -> None:
-        """Take note of the parent, ``None`` at the root; a new one starts a new epoch."""
+        """Set the parent, ``None`` at the root; a new one starts a new epoch."""
         if parent == self._parent and self._epoch:
             return
         self._parent = parent
@@ -80,12 +82,12 @@
         self._fleet_told = {}
 
     def news_for_parent(self) -> Sums:
-        """Return the sums that have changed since they were told last."""
+        """Return the sums that have changed since they were last sent to the parent."""
         sums = {name: value - self._base.get(name, 0.0) for name, value in self._under.items()}
         return _changed(sums, self._told)
 
     def told_by_root(self, root: tuple[str, int], sums: Mapping[int, float]) -> None:
-        """Take in the sums of the whole pool; ``root`` is the root's node and epoch."""
+        """Merge the sums of the whole pool; ``root`` is the root's node and epoch."""
         if root != self._root:
             self._root = root
             self._fleet = {}
@@ -95,22 +97,22 @@
             self._fleet[workspace] = max(self._fleet.get(workspace, 0.0), value)
 
     def root_sums(self) -> Sums:
-        """Return what the root tells: all that was served under it, since it is the root."""
+        """Return the sums that this node sends as the root: all service under it."""
         return {name: value - self._base.get(name, 0.0) for name, value in self._under.items()}
 
     def news_for_children(self) -> Sums:
-        """Return the pool's sums that have changed since they were told last."""
+        """Return the sums of the pool that have changed since they were last sent to the children."""
         return _changed(self._fleet, self._fleet_told)
 
     def forget_told(self) -> None:
-        """Tell children everything again, because there are new ones."""
+        """Send all sums to the children again, because there are new ones."""
         self._fleet_told = {}
 
     def fleet_gains(self) -> Sums:
         """Return the service of the whole pool that has become known since the last call."""
         gains = {}
         for workspace, value in self._fleet.items():
-            # The first value from a root counts from some other start; only its growth tells.
+            # The first value of a root covers an unknown period; only its growth counts.
             gain = value - self._known.get(workspace, value)
             self._known[workspace] = value
             if gain > 0:
--- a/railsail/scheduling/usage.py
+++ b/railsail/scheduling/usage.py
@@ -1,10 +1,12 @@
-"""What each workspace asked for and was served lately, over a window of time.
+"""What each workspace requested and was served during the last seconds.
 
-Who stayed below its share for a while is owed the difference when it comes again: to start it level
-with those that were served all along would give the steady ones more over any window. The credit is
-the mean service, per weight, of the workspaces that were served in the window.
+A workspace that stayed below its share for a while is owed the difference when it sends requests
+again: if it started level with those that were served in the meantime, they would get more than it
+over any window. Its credit is the mean service, per weight, of the workspaces that were served in
+the window.
 
-While there is not enough for all, whoever had its max-min share of the window stands back.
+While not all can be served, requests of a workspace that has had its max-min share of the window
+are refused first.
 """
 
 import math
@@ -14,16 +16,16 @@
 
 import msgspec
 
-# The level of shares is computed anew after so many seconds: it changes by a few hundredths of the
-# window in that time, and to compute it for each ticket takes 30 microseconds of 30 workspaces.
+# The level of shares is computed again after this many seconds. It changes by a few hundredths of
+# the window in that time; computing it for each ticket takes 30 microseconds with 30 workspaces.
 LEVEL_SECONDS = 0.05
-# The window is followed in two halves: the older one is dropped when the newer one is full.
+# The window is kept in two halves; the older one is dropped when the newer one is full.
 HALVES = 2
 
 
 @dataclass
 class Half:
-    """One half of the window: when it began, and cost units by workspace."""
+    """One half of the window: its start, and cost units by workspace."""
 
     since: float = 0.0
     asked: Counter[str] = field(default_factory=Counter)
@@ -31,7 +33,7 @@
 
 
 class Share(msgspec.Struct, frozen=True):
-    """What a workspace asked for in the window, and what it was served, in cost units."""
+    """What a workspace requested and was served in the window, in cost units."""
 
     workspace: str
     asked: float
@@ -39,7 +41,7 @@
 
 
 class RecentUsage:
-    """Follow the service of the last ``window`` seconds, in cost units; 0 follows nothing."""
+    """The service of the last ``window`` seconds, in cost units; a window of 0 records nothing."""
 
     def __init__(self, window: float, weight_of: Callable[[str], float]) -> None:
         self._window = window
@@ -51,25 +53,25 @@
 
     @property
     def follows(self) -> bool:
-        """Say whether there is a window, and so a share of it."""
+        """Return True if there is a window, and with it a share for each workspace."""
         return self._window > 0
 
     def charge(self, workspace: str, cost: float, now: float) -> None:
-        """Take in ``cost`` charged to ``workspace``; it is negative where an estimate was high."""
+        """Record ``cost`` charged to ``workspace``; it is negative where an estimate was too high."""
         if self._window:
             self._turn(now)
             self._now.served[workspace] += cost
 
     def asked(self, workspace: str, cost: float, now: float) -> None:
-        """Take note that ``workspace`` asked for service of ``cost``."""
+        """Record that ``workspace`` requested service of ``cost``."""
         if self._window:
             self._turn(now)
             self._now.asked[workspace] += cost
 
     def over_share(self, workspace: str, now: float) -> bool:
-        """Say whether ``workspace`` was served its max-min share of the window or more.
+        """Return True if ``workspace`` was served its max-min share of the window or more.
 
-        What was served in the window is what there is to share.
+        The capacity that is shared is what was served in the window.
         """
         if not self._window:
             return False
@@ -86,7 +88,7 @@
         return self._level
 
     def largest(self, most: int, now: float) -> list[Share]:
-        """Return the shares of the ``most`` workspaces that asked for most, in that order."""
+        """Return the shares of the ``most`` workspaces with the largest demands, the largest first."""
         self._turn(now)
         return sorted(self._shares(), key=lambda share: share.asked, reverse=True)[:most]
 
@@ -101,7 +103,7 @@
         return self._now.served[workspace] + self._before.served[workspace]
 
     def credit(self, now: float) -> float:
-        """Return what a workspace that was not served in the window may be behind the others."""
+        """Return how far a workspace that was not served in the window may be ahead of the others."""
         if not self._window:
             return 0.0
         self._turn(now)
@@ -113,15 +115,15 @@
         passed = now - self._now.since
         if passed < self._window / HALVES:
             return
-        # After a pause of a whole window nothing of it is recent.
+        # After a pause of a whole window, nothing is recent.
         self._before = self._now if passed < self._window else Half(now)
         self._now = Half(now)
 
 
 def max_min_level(wanted: Iterable[tuple[float, float]], capacity: float) -> float:
-    """Return the level per weight to which demands are met when ``capacity`` is shared max-min.
+    """Return the level per weight up to which demands are met when ``capacity`` is shared max-min.
 
-    ``wanted`` are demands with their weights. The level is infinite where all can be met.
+    ``wanted`` holds the demands with their weights. The level is infinite if all can be met.
     """
     demands = sorted(wanted, key=lambda demand: demand[0] / demand[1])
     left = capacity
--- a/railsail/scheduling/versions.py
+++ b/railsail/scheduling/versions.py
@@ -1,4 +1,4 @@
-"""Which replica a ticket is bound to while a service moves to another software version."""
+"""Which replica runs a ticket while a service moves to another software version."""
 
 import random
 from collections import Counter
@@ -13,23 +13,23 @@
 
 
 class VersionPlacing:
-    """Choose replicas as ``Placing`` does, of the version that a ticket may run on.
+    """The choice of replicas, as ``Placing`` makes it, of a version that the ticket may run on.
 
-    Homes of prompts' beginnings are chosen among the replicas of one side, the target version or
-    the others, so that those of the others stay while the target version is tried. Each side has a
-    ``Placing`` of its own, which remembers homes among one set of replicas only.
+    A rollout divides the replicas into two sides: those of the target version, and the others. Each
+    side has its own ``Placing``, which remembers the owners of prompt prefixes among one set of
+    replicas. So the owners among the others stay the same while the target version is on trial.
     """
 
     def __init__(self, rng: random.Random, use_prefixes: bool) -> None:
         self._others = Placing(rng, use_prefixes)
         self._target = Placing(rng, use_prefixes)
         self.exposure: Exposure | None = None
-        # Calls that each replica of the target version was given.
+        # The number of calls given to each replica of the target version.
         self._calls: Counter[str] = Counter()
         self._versions: dict[str, str] = {}
 
     def set_order(self, order: Order | None) -> None:
-        """Follow the order that runs, ``None`` for none."""
+        """Set the active order, ``None`` for none."""
         if order is None:
             self.exposure = None
         elif self.exposure is None or self.exposure.order.version != order.version:
@@ -41,11 +41,11 @@
         self._versions = versions
 
     def version_of(self, replica: str) -> str:
-        """Return the version that ``replica`` runs, empty where that is not known."""
+        """Return the version that ``replica`` runs, empty if it is not known."""
         return self._versions.get(replica, "")
 
     def is_target(self, replica: str) -> bool:
-        """Say whether ``replica`` runs the version that the service moves to."""
+        """Return True if ``replica`` runs the version that the service moves to."""
         if self.exposure is None:
             return False
         return self._versions.get(replica, "") == self.exposure.target_version
@@ -58,16 +58,16 @@
         return [room for room in rooms if self.is_target(room.name) is side]
 
     def on_trial(self, replica: str, now: float) -> bool:
-        """Say whether the version of ``replica`` is still being tried."""
+        """Return True if ``replica`` runs the target version and the version is still on trial."""
         if self.exposure is None or not self.is_target(replica):
             return False
         return self.exposure.stage(now) in (Stage.HOLD, Stage.CANARY)
 
     def open_rooms(self, rooms: Collection[ReplicaRoom], now: float) -> Collection[ReplicaRoom]:
-        """Return those of ``rooms`` that requests may run on at the present stage.
+        """Return those of ``rooms`` that requests may run on at the current stage.
 
-        Where no replica of the target version serves, callers of a drain run on the others: the
-        coordinator may learn later than this dispatcher that a failure domain was lost.
+        If no replica of the target version is in service, requests run on the others even in a
+        drain: the coordinator may notice later than this dispatcher that a failure domain was lost.
         """
         if self.exposure is None:
             return rooms
@@ -86,16 +86,18 @@
         return sides
 
     def look(self, rooms: Collection[ReplicaRoom], now: float, urgent: bool = False) -> Openings:
-        """Return which of ``rooms`` may be given calls, and have room, at ``now``."""
+        """Return which of ``rooms`` may be given calls, and which have a free slot, at ``now``."""
         if self.exposure is None:
             return look(rooms, now, urgent)
         canaries = self._canaries(rooms, now) if self.exposure.due(now) else []
         return look([*self.open_rooms(rooms, now), *canaries], now, urgent)
 
     def _canaries(self, rooms: Iterable[ReplicaRoom], now: float) -> list[ReplicaRoom]:
-        """Return the replicas that canary calls go to, others where none of those named serves.
+        """Return the replicas for canary calls.
 
-        Those named may be lost, evacuated or taken away since. Cold ones are slow and show nothing.
+        These are the ones that the allowance names, or others if none of them is in service: the
+        named ones may have been lost, evacuated or removed since. Cold replicas are left out: they
+        are slow, and show nothing about their version.
         """
         target, _ = self._sides(rooms)
         able = [room for room in target if room.serves(now) and not room.warmup.cold(now)]
@@ -109,7 +111,7 @@
         now: float,
         standing: ShareState = ShareState.EVEN,
     ) -> ReplicaRoom | None:
-        """Return the replica that ``ticket`` is bound to now, or ``None`` if it has to wait."""
+        """Return the replica that runs ``ticket`` now, or ``None`` if the ticket has to wait."""
         if self.exposure is None:
             return self._others.choose(ticket, openings, now, standing)
         target, others = self._split(openings)
@@ -133,7 +135,7 @@
         return bool(ticket.avoid) and self.is_target(ticket.avoid)
 
     def granted(self, replica: str, now: float) -> Stage | None:
-        """Take note of a call that was granted to ``replica``, and return at which stage."""
+        """Record a call granted to ``replica``, and return the stage of the rollout."""
         if self.exposure is None:
             return None
         stage = self.exposure.stage(now)
@@ -143,10 +145,11 @@
         return stage
 
     def _canary(self, ticket: Ticket, openings: Openings, now: float) -> ReplicaRoom | None:
-        """Return a replica that takes ``ticket``: the fullest, so that it runs several at once.
+        """Return the replica that runs ``ticket`` as a canary call, ``None`` if there is none.
 
-        Of idle ones it is the one that was given the fewest calls, since one sick replica alone
-        tells little of its version.
+        It is the one with the most calls in flight, so that it runs several at once. Among idle
+        ones it is the one that was given the fewest calls, because a single faulty replica says
+        little about its version.
         """
         able = [
             room
