--- a/railsail/scheduling/dispatcher.py
+++ b/railsail/scheduling/dispatcher.py
@@ -106,7 +106,7 @@
             room.region = regions.get(name, "")
 
     def set_versions(self, versions: dict[str, str], held_until: Mapping[str, float]) -> None:
-        """Set the software version of each replica, and the time until which each version is held."""
+        """Set the software version of each replica, and the time until which versions are held."""
         self.versions.set_versions(versions)
         for name, room in self.replicas.items():
             held = held_until.get(versions.get(name, ""), -math.inf)
@@ -197,7 +197,7 @@
         return [Hold(ticket)] if came_back else []
 
     def _is_excess(self, ticket: Ticket, now: float) -> bool:
-        """Return True if a ticket would displace others although its workspace has had its share."""
+        """Return True if a ticket would displace others though its workspace has had its share."""
         if ticket.returned or not self.overloaded(now):
             return False
         # While a replica has a free slot, refusing the ticket would help nobody else.
@@ -228,8 +228,7 @@
         return self._usage.level(now)
 
     def largest_shares(self, most: int, now: float) -> list[Share]:
-        """Return the shares of the ``most`` workspaces with the largest recent demands, in that order.
-        """
+        """Return the shares of the ``most`` workspaces with the largest recent demands, sorted."""
         return self._usage.largest(most, now)
 
     def _fits(self, ticket: Ticket, now: float) -> bool:
@@ -467,7 +466,7 @@
         )
 
     def room(self, now: float) -> int:
-        """Return how many more calls fit into the slots of the cell, without queueing at replicas."""
+        """Return how many more calls fit into the slots of the cell, without any queueing."""
         return sum(room.can_begin(now) for room in self.open_rooms(now))
 
     def wanted(self, now: float) -> tuple[Cell, int] | None:
--- a/railsail/scheduling/placing.py
+++ b/railsail/scheduling/placing.py
@@ -148,8 +148,7 @@
         home: ReplicaRoom | None,
         now: float,
     ) -> ReplicaRoom | None:
-        """Return a candidate that would prefill a long prefix, or ``None`` to wait for its owner.
-        """
+        """Return a candidate that would prefill a long prefix, ``None`` to wait for the owner."""
         waited = now - ticket.enqueued_at
         longer = HOME_WAIT * ticket.objective - waited
         if longer > 0 and home is not None and home.reads_in_time(ticket, now, after=longer):
--- a/railsail/scheduling/totals.py
+++ b/railsail/scheduling/totals.py
@@ -101,7 +101,7 @@
         return {name: value - self._base.get(name, 0.0) for name, value in self._under.items()}
 
     def news_for_children(self) -> Sums:
-        """Return the sums of the pool that have changed since they were last sent to the children."""
+        """Return the sums of the pool that have changed since they were last sent down."""
         return _changed(self._fleet, self._fleet_told)
 
     def forget_told(self) -> None:
--- a/railsail/scheduling/usage.py
+++ b/railsail/scheduling/usage.py
@@ -57,7 +57,7 @@
         return self._window > 0
 
     def charge(self, workspace: str, cost: float, now: float) -> None:
-        """Record ``cost`` charged to ``workspace``; it is negative where an estimate was too high."""
+        """Record ``cost`` charged to ``workspace``, negative where an estimate was too high."""
         if self._window:
             self._turn(now)
             self._now.served[workspace] += cost
@@ -88,7 +88,7 @@
         return self._level
 
     def largest(self, most: int, now: float) -> list[Share]:
-        """Return the shares of the ``most`` workspaces with the largest demands, the largest first."""
+        """Return the shares of the ``most`` workspaces with the largest demands, sorted."""
         self._turn(now)
         return sorted(self._shares(), key=lambda share: share.asked, reverse=True)[:most]
 
@@ -103,7 +103,7 @@
         return self._now.served[workspace] + self._before.served[workspace]
 
     def credit(self, now: float) -> float:
-        """Return how far a workspace that was not served in the window may be ahead of the others."""
+        """Return how far a workspace without service in the window may be ahead of the others."""
         if not self._window:
             return 0.0
         self._turn(now)
--- a/tests/scheduling/test_cells.py
+++ b/tests/scheduling/test_cells.py
@@ -1,4 +1,4 @@
-"""Cells, the service tree and the balance between cells."""
+"""The division of pools into cells, the tree of service sums and the balance between cells."""
 
 import random
 import unittest
@@ -18,7 +18,7 @@
         cells = cut("model", [f"r{n}" for n in range(16)], 16)
         self.assertEqual([cell.count for cell in cells], [1])
 
-    def test_replicas_that_are_added_are_spread_and_move_no_other(self):
+    def test_added_replicas_are_spread_and_no_other_one_moves(self):
         cells = cut("model", [f"old{n:02}" for n in range(40)], 16)
         names = [f"old{n:02}" for n in range(40)] + [f"new{n:02}" for n in range(20)]
         found = spread(cells, dict.fromkeys(names, "west"))
@@ -27,12 +27,12 @@
             self.assertEqual(found[cell][: len(held)], held)
             self.assertIn(len(found[cell]) - len(held), (6, 7))
 
-    def test_nothing_added_changes_nothing(self):
+    def test_cells_are_unchanged_without_added_replicas(self):
         cells = cut("model", [f"r{n}" for n in range(40)], 16)
         self.assertEqual(spread(cells, {f"r{n}": "west" for n in range(40)}), cells)
         self.assertEqual(spread(cut("model", [], 16), {}), cut("model", [], 16))
 
-    def test_replicas_join_a_cell_of_their_region(self):
+    def test_added_replica_joins_a_cell_of_its_region(self):
         regions = {f"r{n}": ("east", "west")[n % 2] for n in range(40)}
         settled = {name: region for name, region in regions.items() if int(name[1:]) < 20}
         cells = cut_by_region("model", settled, 16, {"east", "west"})
@@ -63,11 +63,11 @@
         self.assertEqual([(c.number, c.count, c.region) for c in cells], _numbered(REGIONS, 3))
         self.assertEqual(list(cells.values()), [["r0", "r3"], ["r1", "r4"], ["r2", "r5"]])
 
-    def test_region_without_replicas_leaves_the_cells_of_others_as_they_are(self):
+    def test_region_without_replicas_does_not_change_other_cells(self):
         without = {name: region for name, region in TWO_EACH.items() if region != "coast"}
         self.assertEqual(list(self.cut(without)), list(self.cut(TWO_EACH))[1:])
 
-    def test_large_region_is_several_cells_and_the_others_keep_their_numbers(self):
+    def test_large_region_has_several_cells_and_others_keep_their_numbers(self):
         large = TWO_EACH | {f"s{number:02}": "east" for number in range(20)}
         cells = self.cut(large)
         self.assertEqual([c.number for c in cells], [0, 1, 2, 4])
@@ -76,14 +76,14 @@
 
     @settings(deadline=None, derandomize=True)
     @given(st.integers(0, 300), st.integers(1, 20), st.sampled_from([(), ("one",)]))
-    def test_one_region_is_cut_as_if_there_were_none(self, count, limit, named):
+    def test_single_region_is_divided_like_a_pool_without_regions(self, count, limit, named):
         names = [f"r{number}" for number in range(count)]
         regions = dict.fromkeys(names, named[0] if named else "")
         found = cut_by_region("model", regions, limit, named)
         self.assertEqual(found, cut("model", names, limit))
         self.assertEqual({cell.region for cell in found}, {""})
 
-    def test_replica_of_an_unknown_region_does_not_cut_a_fleet_of_one(self):
+    def test_unknown_region_does_not_divide_a_fleet_of_one_region(self):
         regions = {"r0": "one", "r1": "one", "r2": ""}
         found = cut_by_region("model", regions, 16, {"one"})
         self.assertEqual(found, cut("model", list(regions), 16))
@@ -104,7 +104,7 @@
 
 
 class PlacementTests(unittest.TestCase):
-    def test_loss_of_a_node_moves_only_its_jobs(self):
+    def test_loss_of_a_node_moves_only_the_jobs_of_that_node(self):
         nodes = [f"n{n}" for n in range(20)]
         jobs = [f"job {n}" for n in range(200)]
         before = {job: choose(job, nodes) for job in jobs}
@@ -137,7 +137,7 @@
             hops += 1
         return hops
 
-    def test_tree_is_shallow_and_whole(self):
+    def test_tree_is_shallow_and_connected(self):
         nodes = tree.order("x", [f"n{n}" for n in range(390)])
         self.assertEqual(tree.depth(390), 5)
         for node in nodes[1:]:
@@ -145,7 +145,7 @@
 
 
 class Fleet:
-    """A tree of totals in memory, whose messages repeat and come out of order."""
+    """A tree of totals in memory whose messages are repeated and reordered."""
 
     def __init__(self, size: int, rng: random.Random) -> None:
         self.rng = rng
@@ -189,7 +189,7 @@
 
 
 class TotalsTests(unittest.TestCase):
-    def test_all_learn_what_all_served_through_repeats_and_reordering(self):
+    def test_all_nodes_learn_all_service_despite_repeats_and_reordering(self):
         fleet = Fleet(20, random.Random(3))
         fleet.round()
         for node in fleet.nodes:
@@ -205,7 +205,7 @@
         sums = [totals.fleet_gains().get(1, 0.0) for totals in fleet.totals.values()]
         self.assertEqual(sums, [100.0] * 20)
 
-    def test_lost_inner_node_and_root_count_nothing_twice(self):
+    def test_no_service_is_counted_twice_after_loss_of_inner_node_or_root(self):
         for victim in (0, 1):
             fleet = Fleet(20, random.Random(3))
             served = 0.0
@@ -219,12 +219,13 @@
                 fleet.round()
                 gained += fleet.totals[watcher].fleet_gains().get(1, 0.0)
             self.assertLessEqual(gained, served)
-            # What was on its way is lost: a few hops' service at the start and at the loss.
+            # Messages on their way are lost: the service of a few hops at the start and at the
+            # loss.
             self.assertGreaterEqual(gained, served - 10.0 * 4 * (2 * tree.depth(20) + 2))
 
 
 class BalanceTests(unittest.TestCase):
-    def test_whoever_is_behind_weighs_more_and_nobody_without_bound(self):
+    def test_workspace_behind_weighs_more_within_a_bound(self):
         balance = FleetBalance(lambda name: 1.0)
         waiting = ["ahead", "behind"]
         balance.update({}, waiting, 0.5, 1.0)
@@ -233,7 +234,7 @@
             factors = balance.update({"ahead": 100.0}, waiting, 0.5, 1.0)
         self.assertEqual((factors["behind"], factors["ahead"]), (8.0, 0.125))
 
-    def test_service_before_the_wait_began_does_not_count(self):
+    def test_service_before_the_wait_does_not_count(self):
         balance = FleetBalance(lambda name: 1.0)
         balance.update({}, ["a", "b"], 0.5, 1.0)
         factors = balance.update({"new": 1e6, "a": 5.0, "b": 5.0}, ["a", "b", "new"], 0.5, 1.0)
--- a/tests/scheduling/test_exposure.py
+++ b/tests/scheduling/test_exposure.py
@@ -1,4 +1,4 @@
-"""A cell sends the target version of a rollout no more than its newest allowance lets it."""
+"""A cell sends the target version of a rollout no more calls than its allowance permits."""
 
 import itertools
 import unittest
@@ -19,7 +19,7 @@
         self.exposure = Exposure(ORDER)
 
     def send(self, begin: float, end: float, step: float = 0.002) -> list[float]:
-        """Send a call whenever one is due, and return when."""
+        """Send a call whenever one is due, and return the times of the calls."""
         times = []
         for number in range(round((end - begin) / step)):
             now = begin + number * step
@@ -28,7 +28,7 @@
                 times.append(now)
         return times
 
-    def test_new_process_has_no_allowance(self):
+    def test_stage_is_hold_without_an_allowance(self):
         self.assertIs(self.exposure.stage(0.0), Stage.HOLD)
         self.assertEqual(self.send(0.0, 5.0), [])
 
@@ -36,18 +36,18 @@
         self.exposure.allow(canary(1, 30), 0.0)
         self.assertEqual(len(self.send(0.0, 20.0)), 30)
 
-    def test_few_calls_are_all_sent(self):
+    def test_single_allowed_call_is_sent(self):
         self.exposure.allow(canary(1, 1), 0.0)
         self.assertEqual(len(self.send(0.0, 20.0)), 1)
 
-    def test_allowance_lapses(self):
+    def test_no_calls_are_sent_after_an_allowance_expires(self):
         self.exposure.allow(canary(1, 1000, until=0.5), 0.0)
         times = self.send(0.0, 5.0)
         self.assertTrue(times)
         self.assertLess(max(times), 0.5)
         self.assertIs(self.exposure.stage(0.5), Stage.HOLD)
 
-    def test_shift_lapses_to_hold(self):
+    def test_stage_is_hold_after_a_shift_expires(self):
         self.exposure.allow(Allowance(1, 1, Stage.SHIFT, 1 << 40, 2.0), 0.0)
         self.assertIs(self.exposure.stage(1.9), Stage.SHIFT)
         self.assertIs(self.exposure.stage(2.0), Stage.HOLD)
@@ -63,7 +63,7 @@
         self.assertFalse(self.exposure.allow(canary(900, 50, term=1), 0.1))
         self.assertEqual(self.send(0.1, 5.0), [])
 
-    def test_calls_count_anew_in_a_new_term_only(self):
+    def test_count_of_calls_restarts_only_in_a_new_term(self):
         self.exposure.allow(canary(1, 10), 0.0)
         self.send(0.0, 5.0)
         self.exposure.allow(canary(2, 10), 5.0)
@@ -72,20 +72,20 @@
         self.assertEqual(self.exposure.exposed, 0)
         self.assertEqual(len(self.send(10.0, 20.0)), 10)
 
-    def test_calls_resumed_before_the_first_allowance_count(self):
+    def test_calls_resumed_before_the_first_allowance_are_counted(self):
         self.exposure.sent(0.0)
         self.exposure.sent(0.0)
         self.exposure.allow(canary(1, 10), 1.0)
         self.assertEqual(len(self.send(1.0, 20.0)), 8)
 
-    def test_calls_are_spread_and_not_taken_by_a_flood(self):
+    def test_calls_are_spread_over_time_in_an_overload(self):
         self.exposure.allow(canary(1, 40), 0.0)
         times = self.send(0.0, PACE_SECONDS)
         in_a_tenth = max(sum(t <= u < t + 0.1 for u in times) for t in times)
         self.assertLessEqual(in_a_tenth, 3 * GROUP_CALLS)
         self.assertGreaterEqual(len(times), 30)
 
-    def test_calls_go_out_in_groups(self):
+    def test_calls_are_sent_in_groups(self):
         self.exposure.allow(canary(1, 40), 0.0)
         times = self.send(0.0, PACE_SECONDS)
         gaps = [after - before for before, after in itertools.pairwise(times)]
@@ -93,7 +93,7 @@
         self.assertGreater(groups, 4)
         self.assertGreaterEqual(len(times) / groups, GROUP_CALLS)
 
-    def test_call_resumed_from_earlier_earns_nothing(self):
+    def test_earlier_resumed_call_earns_no_credit(self):
         self.exposure.allow(canary(1, 40), 50.0)
         self.assertEqual(len(self.send(50.0, 50.01)), GROUP_CALLS)
         for _ in range(3):
@@ -101,7 +101,7 @@
             self.exposure.due(50.012)
         self.assertEqual(self.send(50.012, 50.03), [])
 
-    def test_time_without_calls_saves_up_one_group_at_most(self):
+    def test_idle_time_earns_credit_for_one_group_at_most(self):
         self.exposure.allow(canary(1, 40), 0.0)
         self.send(0.0, 0.01)
         times = self.send(50.0, 50.02)
--- a/tests/scheduling/test_fairqueue.py
+++ b/tests/scheduling/test_fairqueue.py
@@ -1,4 +1,4 @@
-"""The bound on the gap, and what must not widen it."""
+"""The fairness bound of the queue, and cases that must not exceed it."""
 
 import random
 import unittest
@@ -22,7 +22,7 @@
 
 
 class Simulation:
-    """Run a dispatcher with workspaces that always wait, one event at a time."""
+    """A dispatcher whose workspaces always have waiting tickets, run event by event."""
 
     def __init__(self, weights: dict[str, float], seed: int, replicas: int = 2) -> None:
         self.rng = random.Random(seed)
@@ -55,7 +55,7 @@
         number = self.rng.choice(sorted(self.running))
         workspace, cost = self.running.pop(number)
         if self.rng.random() < 0.1:
-            # The request is cancelled part of the way.
+            # The request is cancelled before it is complete.
             cost *= self.rng.random()
         self.served[workspace] += cost
         self.dispatcher.release(("entry", number), cost, self.now, CallResult.GOOD)
@@ -85,8 +85,8 @@
             simulation.step()
             self.assertLessEqual(simulation.gap(), simulation.bound())
 
-    def test_without_counters_the_bound_is_broken(self):
-        # The proof of the test above: in order of arrival, the same arrivals break the bound.
+    def test_gap_exceeds_the_bound_without_counters(self):
+        # Checks the test above: without counters, the same arrivals exceed the bound.
         simulation = Simulation({"w0": 4.0, "w1": 0.5}, seed=3)
         simulation.dispatcher.queue.charge = lambda workspace, cost: None
         simulation.fill()
@@ -96,7 +96,7 @@
 
     @settings(max_examples=20, deadline=None, derandomize=True)
     @given(st.integers(0, 10_000))
-    def test_nobody_starves(self, seed):
+    def test_workspace_with_a_small_weight_is_served(self, seed):
         simulation = Simulation({"heavy": 100.0, "light": 0.5}, seed)
         simulation.fill()
         for _ in range(1500):
@@ -116,7 +116,7 @@
         self.queue.take(ticket)
         return ticket
 
-    def test_idling_saves_nothing_up(self):
+    def test_idle_workspace_gains_no_credit(self):
         for number in range(20):
             self.queue.push(ticket(number, "busy"))
         self.serve(10)
@@ -125,7 +125,7 @@
         served = self.serve(10)
         self.assertEqual(served.count("returns"), 5)
 
-    def test_higher_rank_goes_first_and_low_rank_ages(self):
+    def test_higher_rank_is_served_first_and_low_rank_ages(self):
         self.queue.push(ticket(1, rank=0.0, enqueued_at=0.0))
         self.queue.push(ticket(2, rank=1.0, enqueued_at=10.0))
         self.queue.push(ticket(3, rank=1.0, enqueued_at=40.0))
@@ -139,7 +139,7 @@
         self.assertEqual(self.take("a").number, 2)
         self.assertEqual(len(self.queue), 0)
 
-    def test_merge_bounds_the_catch_up(self):
+    def test_merge_bounds_how_far_a_workspace_is_behind(self):
         self.queue.push(ticket(1, "ahead"))
         self.queue.push(ticket(2, "behind"))
         self.queue.charge("ahead", 10.0)
@@ -160,7 +160,7 @@
         for number in range(100, 120):
             self.offer(number, workspace="filler")
 
-    def test_same_ticket_is_granted_once(self):
+    def test_repeated_ticket_is_granted_once(self):
         self.assertEqual(len(self.offer(1)), 1)
         self.assertEqual(self.offer(1), [])
         self.assertEqual(self.dispatcher.replicas["r0"].in_flight, 1 - self.other_in_flight())
@@ -168,7 +168,7 @@
     def other_in_flight(self) -> int:
         return self.dispatcher.replicas["r1"].in_flight
 
-    def test_release_of_an_earlier_attempt_does_not_end_the_present_one(self):
+    def test_release_of_an_earlier_attempt_does_not_end_the_current_one(self):
         self.offer(1)
         again = ticket(1)
         again = Ticket(**{**vars(again), "attempt": 2})
@@ -176,18 +176,18 @@
         self.dispatcher.release_attempt(("entry", 1), 1, 0.0, 0.0, CallResult.NOTHING)
         self.assertIn(("entry", 1), self.dispatcher.flights)
 
-    def test_leaving_replica_gets_nothing_new(self):
+    def test_draining_replica_is_given_no_calls(self):
         self.dispatcher.set_replicas({"r0": 2, "r1": 2}, leaving=["r0"])
         grants = [decision for number in range(6) for decision in self.offer(number)]
         self.assertEqual({grant.replica for grant in grants}, {"r1"})
 
-    def test_urgent_ticket_goes_ahead_of_waiting_ones_or_is_refused(self):
+    def test_urgent_ticket_is_granted_before_waiting_ones_or_refused(self):
         self.fill()
         decisions = [self.offer(number, workspace="u", urgent=True)[0] for number in range(6)]
         kinds = [type(decision) for decision in decisions]
         self.assertEqual(kinds, [Grant, Grant, Refusal, Refusal, Refusal, Refusal])
 
-    def test_urgent_flood_does_not_starve_others(self):
+    def test_many_urgent_tickets_do_not_starve_other_workspaces(self):
         self.dispatcher.set_replicas({"r0": 1000})
         self.dispatcher.replicas["r1"] = self.dispatcher.replicas["r0"]
         self.fill()
@@ -198,7 +198,7 @@
         refused = [decision for decision in decisions if isinstance(decision, Refusal)]
         self.assertTrue(refused)
 
-    def test_lost_entry_frees_its_room(self):
+    def test_dropped_entry_frees_its_slots(self):
         self.fill()
         waiting = len(self.dispatcher.queue)
         self.assertTrue(waiting)
--- a/tests/scheduling/test_health.py
+++ b/tests/scheduling/test_health.py
@@ -1,4 +1,4 @@
-"""Which replicas are closed, alone and beside others that do as badly."""
+"""Which replicas are ejected, alone and beside others with similar error rates."""
 
 import random
 import unittest
@@ -17,23 +17,23 @@
         for _ in range(times):
             self.health.failed(0.0, result, peers)
 
-    def test_errors_close_a_replica_that_does_worse_than_the_others(self):
+    def test_errors_eject_a_replica_that_is_worse_than_the_others(self):
         self.fail(CallResult.ERROR, Peers(0.0))
         self.assertTrue(self.health.closed(0.1))
 
-    def test_errors_do_not_close_a_replica_among_others_that_fail_as_often(self):
+    def test_errors_do_not_eject_a_replica_whose_others_fail_as_often(self):
         self.fail(CallResult.ERROR, Peers(0.4), times=3)
         self.assertFalse(self.health.closed(0.1))
 
-    def test_errors_close_nothing_where_too_few_others_are_open(self):
+    def test_errors_eject_no_replica_where_too_few_are_in_service(self):
         self.fail(CallResult.ERROR, Peers(0.0, may_close=False), times=9)
         self.assertFalse(self.health.closed(0.1))
 
-    def test_replica_out_of_reach_is_closed_whatever_the_others_do(self):
+    def test_unreachable_replica_is_ejected_whatever_the_others_do(self):
         self.fail(CallResult.UNREACHABLE, Peers(1.0, may_close=False))
         self.assertTrue(self.health.closed(0.1))
 
-    def test_answer_that_begins_well_opens_a_replica_before_it_ends(self):
+    def test_start_of_a_good_answer_ends_the_ejection(self):
         self.fail(CallResult.ERROR, Peers())
         self.assertTrue(self.health.wants_trial)
         self.health.started()
@@ -41,7 +41,7 @@
         self.health.begun()
         self.assertFalse(self.health.tripped)
 
-    def test_calls_from_before_do_not_keep_a_closed_replica_from_being_tried(self):
+    def test_earlier_calls_do_not_keep_an_ejected_replica_from_a_probe(self):
         for _ in range(30):
             self.health.started()
         self.fail(CallResult.ERROR, Peers())
@@ -49,7 +49,7 @@
 
 
 class CellTests(unittest.TestCase):
-    """A cell whose replicas fail a part of their calls."""
+    """A cell in which some of the calls of some replicas fail."""
 
     def setUp(self):
         self.rng = random.Random(5)
@@ -58,7 +58,7 @@
         self.number = 0
 
     def play(self, failing: set[str], share: float, seconds: float) -> dict[str, int]:
-        """Offer 200 calls a second of 50 ms each, and return how many each replica got."""
+        """Offer 200 calls of 50 ms per second, and return how many each replica was given."""
         got = dict.fromkeys("abcdef", 0)
         ends: list[tuple[float, int, str]] = []
         for step in range(int(seconds * 200)):
@@ -76,11 +76,11 @@
                     ends.append((now + 0.05, self.number, decision.replica))
         return got
 
-    def test_cell_whose_replicas_all_fail_at_times_goes_on_serving(self):
+    def test_cell_whose_replicas_all_fail_some_calls_continues_to_serve(self):
         got = self.play(set("abcdef"), 0.45, 10.0)
         self.assertGreater(sum(got.values()), 0.95 * 2000)
 
-    def test_one_replica_that_fails_at_times_gets_far_less_than_the_others(self):
+    def test_single_failing_replica_is_given_far_fewer_calls(self):
         got = self.play({"a"}, 0.45, 10.0)
         self.assertLess(got["a"], 0.5 * got["b"])
         self.assertGreater(sum(got.values()), 0.95 * 2000)
--- a/tests/scheduling/test_losses.py
+++ b/tests/scheduling/test_losses.py
@@ -11,7 +11,7 @@
 
 
 class PeersTests(unittest.TestCase):
-    """One replica of a cell fails part of its calls while a failure domain is gone."""
+    """One replica of a cell fails some of its calls while a failure domain is unavailable."""
 
     def setUp(self):
         self.dispatcher = CellDispatcher(lambda w: 1.0, random.Random(4), use_prefixes=False)
@@ -32,7 +32,7 @@
             self.call("i", CallResult.ERROR, now + step * 0.01)
         return self.dispatcher.replicas["i"].health.closed(now + 0.06)
 
-    def test_sick_replica_is_closed_beside_a_lost_domain(self):
+    def test_faulty_replica_is_ejected_beside_a_lost_domain(self):
         for step in range(400):
             for lost in "abc":
                 self.call(lost, CallResult.UNREACHABLE, step * 0.5)
@@ -43,11 +43,11 @@
             closed |= self.dispatcher.replicas["i"].health.closed(200 + step * 0.01)
         self.assertTrue(closed)
 
-    def test_sick_replica_is_closed_beside_evacuated_domains(self):
+    def test_faulty_replica_is_ejected_beside_evacuated_domains(self):
         self.dispatcher.set_replicas(dict.fromkeys(self.names, 8), leaving="abcde")
         self.assertTrue(self.closed_when_grey(0.0))
 
-    def test_half_of_those_that_may_serve_stay_open(self):
+    def test_half_of_the_replicas_stay_in_service(self):
         self.dispatcher.set_replicas(dict.fromkeys(self.names, 8), leaving="abcde")
         for name in "fgh":
             for step in range(6):
@@ -56,10 +56,10 @@
 
 
 class ReturnTests(unittest.TestCase):
-    """Callers that are refused come back at the rate of the replicas that will serve them."""
+    """Callers of refused requests retry at the rate of the replicas that will serve them."""
 
     def read_rate(self, leaving: str = "", cold: str = "") -> float:
-        """Return how many tokens a second callers are sent back for."""
+        """Return for how many prompt tokens per second retries are planned."""
         dispatcher = CellDispatcher(lambda w: 1.0, random.Random(4), use_prefixes=False)
         dispatcher.set_replicas(dict.fromkeys("abcd", 1), leaving=leaving)
         dispatcher.set_bound(WarmupBound(per_second=5.0, seconds=60.0))
@@ -67,7 +67,7 @@
             dispatcher.set_cold(name, 60.0, 0.0)
         return dispatcher._read_rate(0.0)
 
-    def test_replicas_that_take_no_work_are_not_counted(self):
+    def test_draining_replicas_are_not_counted(self):
         self.assertAlmostEqual(self.read_rate(leaving="abc"), self.read_rate() / 4)
 
     def test_cold_replicas_are_not_counted_beside_warm_ones(self):
@@ -76,20 +76,20 @@
 
 
 class ColdRoomTests(unittest.TestCase):
-    """What a cell says that it can begin, while a failure domain of it comes back cold."""
+    """How many calls a cell can start while the replicas of a failure domain are cold."""
 
     def setUp(self):
         self.dispatcher = CellDispatcher(lambda w: 1.0, random.Random(4), use_prefixes=False)
         self.dispatcher.set_replicas(dict.fromkeys("abcd", 8))
         self.dispatcher.set_bound(WarmupBound(per_second=5.0, seconds=60.0))
 
-    def test_cold_replica_can_begin_one_call(self):
+    def test_cold_replica_can_start_one_call(self):
         for name in "abc":
             self.dispatcher.set_cold(name, 60.0, 0.0)
         self.assertEqual(self.dispatcher.room(0.0), 8 + 3)
         self.assertEqual(self.dispatcher.spare(0.0), 8 + 3)
 
-    def test_warm_replicas_can_begin_as_many_as_they_have_slots(self):
+    def test_warm_replica_can_start_a_call_in_each_slot(self):
         self.assertEqual(self.dispatcher.room(0.0), 32)
         self.assertEqual(self.dispatcher.spare(0.0), 32)
 
--- a/tests/scheduling/test_overflow.py
+++ b/tests/scheduling/test_overflow.py
@@ -1,4 +1,4 @@
-"""What a region's cell passes on to others, and when it asks for theirs."""
+"""When a region's cell moves tickets to other regions, and when it requests theirs."""
 
 import random
 import unittest
@@ -43,21 +43,21 @@
     def setUp(self):
         self.overflow = Overflow()
 
-    def test_cell_that_was_never_pressed_tells_nothing(self):
+    def test_cell_that_was_never_overloaded_reports_nothing(self):
         self.assertIsNone(self.overflow.news(5, NOW))
 
-    def test_pressure_is_told_once_and_again_while_it_lasts(self):
+    def test_overload_is_reported_and_repeated_while_it_lasts(self):
         self.overflow.pressed(NOW)
         self.assertEqual(self.overflow.news(5, NOW), 5)
         self.assertIsNone(self.overflow.news(7, NOW + 0.1))
         self.overflow.pressed(NOW + REPEAT_SECONDS)
         self.assertEqual(self.overflow.news(7, NOW + 1.1 * REPEAT_SECONDS), 7)
 
-    def test_it_is_told_also_where_all_is_refused_and_nothing_waits(self):
+    def test_overload_is_reported_where_all_is_refused_and_nothing_waits(self):
         self.overflow.pressed(NOW)
         self.assertEqual(self.overflow.news(0, NOW), 1)
 
-    def test_its_end_is_told_when_it_has_lasted(self):
+    def test_end_of_an_overload_is_reported_once(self):
         self.overflow.pressed(NOW)
         self.overflow.news(5, NOW)
         self.assertIsNone(self.overflow.news(0, NOW + 0.5 * PRESSED_SECONDS))
@@ -72,33 +72,33 @@
     def asked(self, waiting: int, spare: int, now: float = NOW) -> tuple[Cell, int] | None:
         return self.overflow.wanted(waiting, spare, now) if self.overflow.may_ask(now) else None
 
-    def test_nobody_is_asked_who_is_not_pressed(self):
+    def test_cell_that_is_not_overloaded_is_sent_no_request(self):
         self.assertIsNone(self.asked(0, 50))
         self.overflow.told(SOUTH, 0, NOW)
         self.assertIsNone(self.asked(0, 50))
 
-    def test_longest_queue_is_asked_for_what_is_spare(self):
+    def test_longest_queue_is_sent_a_request_for_the_spare_capacity(self):
         self.overflow.told(SOUTH, 3, NOW)
         self.overflow.told(WEST, 9, NOW)
         self.assertEqual(self.asked(0, 8), (WEST, 8))
 
-    def test_own_tickets_go_first(self):
+    def test_own_waiting_tickets_reduce_the_request(self):
         self.overflow.told(SOUTH, 3, NOW)
         self.assertEqual(self.asked(5, 8), (SOUTH, 3))
         self.assertIsNone(self.asked(8, 8))
 
-    def test_asking_is_bounded_in_number_and_time(self):
+    def test_requests_are_bounded_in_size_and_rate(self):
         self.overflow.told(SOUTH, 3, NOW)
         self.assertEqual(self.asked(0, 500), (SOUTH, MOST_ASKED))
         self.assertIsNone(self.asked(0, 500, NOW + 0.5 * ASK_PAUSE_SECONDS))
         self.assertIsNotNone(self.asked(0, 500, NOW + 1.1 * ASK_PAUSE_SECONDS))
 
-    def test_cell_that_is_pressed_itself_does_not_ask(self):
+    def test_overloaded_cell_sends_no_request(self):
         self.overflow.told(SOUTH, 3, NOW)
         self.overflow.pressed(NOW)
         self.assertIsNone(self.asked(0, 500))
 
-    def test_cell_that_says_nothing_more_is_not_asked_for_ever(self):
+    def test_report_that_is_not_repeated_expires(self):
         self.overflow.told(SOUTH, 3, NOW)
         self.assertIsNone(self.asked(0, 500, NOW + 2.1 * REPEAT_SECONDS))
 
@@ -110,47 +110,47 @@
     def passed(self, waiting: FairQueue, now: float = NOW) -> list[int]:
         return [ticket.number for ticket, _ in self.overflow.passed_on(waiting, now)]
 
-    def test_nothing_goes_where_nobody_asked(self):
+    def test_no_ticket_moves_without_an_offer(self):
         self.assertEqual(self.passed(queue(ticket(1))), [])
 
-    def test_no_more_go_than_were_asked_for(self):
+    def test_no_more_tickets_move_than_were_requested(self):
         waiting = queue(*(ticket(number) for number in range(5)))
         self.overflow.offered(SOUTH, 2, NOW)
         self.assertEqual(len(self.passed(waiting)), 2)
         self.assertEqual(len(waiting), 3)
         self.assertEqual(self.passed(waiting), [])
 
-    def test_cell_that_is_pressed_takes_nothing_until_it_asks_again(self):
+    def test_offer_of_an_overloaded_cell_ends_until_it_offers_again(self):
         self.overflow.offered(SOUTH, 9, NOW)
         self.overflow.told(SOUTH, 3, NOW)
         self.assertIsNone(self.overflow.taker(ticket(1), NOW))
         self.overflow.offered(SOUTH, 9, NOW)
         self.assertEqual(self.overflow.taker(ticket(1), NOW), SOUTH)
 
-    def test_what_was_asked_for_stands_for_a_moment(self):
+    def test_offer_expires(self):
         self.overflow.offered(SOUTH, 2, NOW - 0.5 * OFFER_SECONDS)
         self.assertEqual(self.passed(queue(ticket(1))), [1])
         self.assertEqual(self.passed(queue(ticket(2)), now=NOW + OFFER_SECONDS), [])
 
-    def test_ticket_whose_time_would_end_on_its_way_stays(self):
+    def test_ticket_that_would_expire_during_the_move_stays(self):
         self.overflow.offered(SOUTH, 2, NOW)
         late = ticket(1, waited=0.2 - 0.9 * WAY_SECONDS)
         self.assertEqual(self.passed(queue(late, ticket(2, waited=0.1))), [2])
 
-    def test_ticket_without_a_bound_goes(self):
+    def test_ticket_without_a_maximum_wait_moves(self):
         self.overflow.offered(SOUTH, 2, NOW)
         self.assertEqual(self.passed(queue(ticket(1, waited=9.0, patience=0.0))), [1])
 
-    def test_ticket_that_just_came_stays(self):
+    def test_ticket_that_has_just_arrived_stays(self):
         self.overflow.offered(SOUTH, 2, NOW)
         self.assertEqual(self.passed(queue(ticket(1, waited=0.5 * LEAST_WAITED_SECONDS))), [])
 
-    def test_tickets_stay_in_their_regions(self):
+    def test_ticket_moves_only_to_its_allowed_regions(self):
         self.overflow.offered(SOUTH, 9, NOW)
         waiting = queue(ticket(1, regions=("west",)), ticket(2, regions=("west", "south")))
         self.assertEqual(self.passed(waiting), [2])
 
-    def test_workspace_that_is_served_last_goes_first(self):
+    def test_tickets_of_the_workspace_served_last_move_first(self):
         waiting = queue(ticket(1, workspace="small"), ticket(2, workspace="large"))
         waiting.charge("large", 100.0)
         self.overflow.offered(SOUTH, 1, NOW)
@@ -158,7 +158,7 @@
 
 
 class ReturnTests(unittest.TestCase):
-    """Two full cells of which each asked the other for tickets just before."""
+    """Two full cells, each of which has just requested tickets from the other."""
 
     def setUp(self):
         self.cells = {NORTH: self.full(), SOUTH: self.full()}
@@ -166,7 +166,7 @@
         self.cells[SOUTH].overflow.offered(NORTH, MOST_ASKED, NOW)
 
     def full(self) -> CellDispatcher:
-        """Return a cell that serves nobody of workspace ``one`` any more."""
+        """Return a cell that grants no more tickets of workspace ``one``."""
         cell = CellDispatcher(
             lambda workspace: 1.0, random.Random(1), fair_window=4.0, overflow=Overflow()
         )
@@ -177,7 +177,7 @@
         return cell
 
     def moves(self, placed: Ticket) -> int:
-        """Return how often ``placed``, whose entry is in the north, is passed on from there."""
+        """Return how many times ``placed``, whose entry is in the north, is moved from there."""
         at, other, now = NORTH, SOUTH, NOW
         for count in range(MOST_ASKED):
             (decision,) = self.cells[at].put(placed, now)
@@ -191,13 +191,13 @@
         return MOST_ASKED
 
     def tell(self, source: Cell, target: Cell, now: float) -> None:
-        """Tell ``target`` how ``source`` is; the news comes behind a ticket of the same time."""
+        """Report the overload of ``source`` to ``target``, behind any ticket of the same time."""
         waiting = self.cells[source].overflow.news(0, now)
         if waiting is not None:
             self.cells[target].overflow.told(source, waiting, now)
 
-    def test_ticket_does_not_go_to_and_fro(self):
-        # The first time it comes back it meets the news that this cell is full.
+    def test_ticket_does_not_move_back_and_forth(self):
+        # On its first return it meets the report that this cell is full.
         self.assertLessEqual(self.moves(ticket(9, waited=0.0)), 3)
 
 
@@ -214,28 +214,28 @@
         return [d.ticket.number for d in decisions if isinstance(d, Move)]
 
     def fill(self) -> None:
-        """Grant what the replica takes: its slot, and one call queued there."""
+        """Grant what the replica takes: a call in its slot, and one in its queue."""
         for number in (1, 2):
             (grant,) = self.cell.offer(ticket(number), NOW)
             self.assertIsInstance(grant, Grant)
 
-    def test_nothing_is_passed_on_that_can_begin_here(self):
+    def test_ticket_that_can_start_here_stays(self):
         self.cell.overflow.offered(SOUTH, 9, NOW)
         self.fill()
 
-    def test_ticket_that_cannot_begin_here_is_passed_on(self):
+    def test_ticket_that_cannot_start_here_moves(self):
         self.fill()
         self.cell.overflow.offered(SOUTH, 9, NOW)
         self.assertEqual(self.moved(self.cell.offer(ticket(3), NOW)), [3])
         self.assertEqual(len(self.cell.queue), 0)
 
-    def test_it_waits_where_nobody_takes_it_and_others_are_told(self):
+    def test_ticket_without_an_offer_waits_and_the_overload_is_reported(self):
         self.fill()
         self.assertEqual(self.cell.offer(ticket(3), NOW), [])
         self.assertEqual(self.cell.overflow.news(len(self.cell.queue), NOW), 1)
 
-    def test_excess_is_passed_on_before_it_is_refused(self):
-        """A workspace that had its share here was refused while replicas elsewhere were idle."""
+    def test_excess_ticket_is_moved_rather_than_refused(self):
+        """Guards against refusals of excess tickets while replicas elsewhere are idle."""
         self.fill()
         self.cell.offer(ticket(3, workspace="other"), NOW)
         (expired,) = self.cell.pump(NOW + 0.3)
@@ -245,11 +245,11 @@
         self.cell.overflow.offered(SOUTH, 1, NOW + 0.3)
         self.assertEqual(self.moved(self.cell.put(late, NOW + 0.3)), [4])
 
-    def test_cell_with_spare_replicas_asks_a_pressed_one(self):
+    def test_cell_with_spare_replicas_requests_tickets(self):
         self.cell.overflow.told(SOUTH, 3, NOW)
         self.assertEqual(self.cell.wanted(NOW), (SOUTH, 1))
 
-    def test_cell_of_a_fleet_of_one_region_passes_nothing_on(self):
+    def test_fleet_of_one_region_moves_no_tickets(self):
         plain = CellDispatcher(lambda workspace: 1.0, random.Random(1))
         plain.set_replicas({"r": 1})
         decisions = [d for number in range(9) for d in plain.offer(ticket(number), NOW)]
--- a/tests/scheduling/test_overlaps.py
+++ b/tests/scheduling/test_overlaps.py
@@ -1,4 +1,4 @@
-"""A rollout, evacuations, losses and cold replicas meet in one cell."""
+"""A rollout, evacuations, losses and cold replicas in one cell at the same time."""
 
 from collections import Counter
 
@@ -16,18 +16,18 @@
         allowance = Allowance(1, 1, Stage.CANARY, calls, 100.0, frozenset(named))
         self.dispatcher.versions.exposure.allow(allowance, 0.0)
 
-    def test_another_replica_is_tried_where_those_named_are_evacuated(self):
+    def test_another_replica_gets_canary_calls_if_the_named_one_is_evacuated(self):
         self.allow_canary(20, "new0")
         self.dispatcher.set_replicas(ALL, leaving=["new0"])
         self.assertEqual(self.serve(200, 0.0, gap=0.02)["v2"], 20)
 
-    def test_another_replica_is_tried_where_those_named_are_lost(self):
+    def test_another_replica_gets_canary_calls_if_the_named_ones_are_lost(self):
         self.allow_canary(20, "new0", "new1")
         for name in ("new0", "new1"):
             self.dispatcher.replicas[name].health._closed_until = 100.0
         self.assertEqual(self.serve(200, 0.0, gap=0.02)["v2"], 20)
 
-    def test_cold_replica_is_tried_in_place_of_no_other(self):
+    def test_cold_replica_does_not_replace_a_named_one(self):
         self.allow_canary(20, "new0")
         self.dispatcher.set_replicas(ALL, leaving=["new0"])
         self.dispatcher.set_bound(WarmupBound(per_second=50.0, seconds=60.0))
@@ -35,14 +35,14 @@
             self.dispatcher.set_cold(name, 60.0, 0.0)
         self.assertEqual(self.serve(200, 0.0, gap=0.02)["v2"], 0)
 
-    def test_cold_replica_is_not_tried_where_none_is_named(self):
+    def test_cold_replica_gets_no_canary_calls_if_none_is_named(self):
         self.allow_canary(20)
         self.dispatcher.set_bound(WarmupBound(per_second=50.0, seconds=60.0))
         for name in NEW:
             self.dispatcher.set_cold(name, 60.0, 0.0)
         self.assertEqual(self.serve(200, 0.0, gap=0.02)["v2"], 0)
 
-    def test_those_named_are_tried_alone_while_one_serves(self):
+    def test_only_named_replicas_get_canary_calls_while_one_is_in_service(self):
         self.allow_canary(20, "new0", "new1")
         self.dispatcher.set_replicas(ALL, leaving=["new0"])
         bound = Counter()
@@ -53,23 +53,23 @@
 
 
 class DrainTests(RolloutTestCase):
-    def test_others_serve_where_the_whole_target_is_evacuated(self):
+    def test_others_serve_if_the_whole_target_is_evacuated(self):
         self.allow(Stage.DRAIN)
         self.dispatcher.set_replicas(ALL, leaving=NEW)
         self.assertEqual(self.serve(50, 0.0), {"v1": 50})
 
-    def test_others_serve_where_the_whole_target_is_lost(self):
+    def test_others_serve_if_the_whole_target_is_lost(self):
         self.allow(Stage.DRAIN)
         for name in NEW:
             self.dispatcher.replicas[name].health._closed_until = 100.0
         self.assertEqual(self.serve(50, 0.0), {"v1": 50})
 
-    def test_room_is_that_of_the_others_where_the_target_is_evacuated(self):
+    def test_free_slots_are_those_of_the_others_if_the_target_is_evacuated(self):
         self.allow(Stage.DRAIN)
         self.dispatcher.set_replicas(ALL, leaving=NEW)
         self.assertEqual(self.dispatcher.room(0.0), 8 * len(OLD))
 
-    def test_target_alone_serves_while_one_replica_of_it_does(self):
+    def test_only_the_target_serves_while_one_of_its_replicas_does(self):
         self.allow(Stage.DRAIN)
         self.dispatcher.set_replicas(ALL, leaving=NEW[1:])
         bound = Counter(VERSIONS.get(self.offer(0.0), "none") for _ in range(30))
@@ -77,10 +77,10 @@
 
 
 class ColdEvidenceTests(RolloutTestCase):
-    """Replicas come back cold while traffic is moved; cold ones are slow whatever they run."""
+    """Cold replicas during a shift: they are slow, whichever version they run."""
 
     def answers(self, result: CallResult, *cold: str) -> dict[str, int]:
-        """Return how many answers are known of each version after 60 that took a second."""
+        """Return the counted answers of each version after 60 calls of one second."""
         self.allow(Stage.SHIFT)
         self.dispatcher.set_bound(WarmupBound(per_second=1000.0, seconds=60.0))
         for name in cold:
@@ -94,7 +94,7 @@
             known[key.software_version] += tally.answers
         return known
 
-    def test_times_of_cold_replicas_tell_of_no_version(self):
+    def test_answers_of_cold_replicas_are_not_counted(self):
         warm = self.answers(CallResult.GOOD)
         self.setUp()
         cold = self.answers(CallResult.GOOD, "new0", "old0")
@@ -102,7 +102,7 @@
             self.assertLess(cold[version], warm[version])
             self.assertGreater(cold[version], 0)
 
-    def test_failures_of_cold_replicas_count(self):
+    def test_failures_of_cold_replicas_are_counted(self):
         warm = self.answers(CallResult.ERROR)
         self.setUp()
         self.assertEqual(self.answers(CallResult.ERROR, *NEW), warm)
--- a/tests/scheduling/test_placing.py
+++ b/tests/scheduling/test_placing.py
@@ -1,4 +1,4 @@
-"""Which replica a prompt that shares its beginning goes to."""
+"""Which replica a prompt with a shared prefix goes to."""
 
 import random
 import unittest
@@ -9,13 +9,13 @@
 from railsail.scheduling.tickets import Ticket
 
 OBJECTIVE = 0.4
-# What a replica may have unread before it is given one of the prompts below, which count as if they
-# took no longer than a part of their objective.
+# The largest pending prefill, in tokens, with which a replica is still given one of the prompts
+# below. The prefill of such a prompt counts only as ``LARGEST_SHARE`` of its objective.
 MOST_UNREAD = round((READ_SHARE - LARGEST_SHARE) * OBJECTIVE * FIRST_READ_RATE)
 
 
 def draft(number: int, prefix: int, now: float = 0.0) -> Ticket:
-    """Return a ticket whose prompt shares a long beginning with others of the same ``prefix``."""
+    """Return a ticket whose prompt shares a long prefix with others of the same ``prefix``."""
     return Ticket(
         "e",
         number,
@@ -39,22 +39,22 @@
     def choose(self, ticket: Ticket, now: float = 0.0) -> ReplicaRoom | None:
         return self.placing.choose(ticket, look(self.rooms, now), now)
 
-    def test_same_beginning_goes_to_the_same_replica(self):
+    def test_same_prefix_goes_to_the_same_replica(self):
         chosen = {self.choose(draft(number, 7)).name for number in range(20)}
         self.assertEqual(len(chosen), 1)
 
-    def test_beginnings_are_spread_over_the_replicas(self):
+    def test_prefixes_are_spread_over_the_replicas(self):
         chosen = {self.choose(draft(prefix, prefix)).name for prefix in range(100)}
         self.assertEqual(chosen, set("abcdef"))
 
-    def test_home_with_too_much_to_read_is_waited_for_while_others_read(self):
+    def test_ticket_waits_for_a_busy_owner_while_others_are_busy(self):
         for room in self.rooms:
             room.expect(("x", 1), 10_000, 0.0)
         home = _preferred(draft(1, 7), self.rooms)
         home.expect(("x", 2), 30_000, 0.0)
         self.assertIsNone(self.choose(draft(1, 7)))
 
-    def test_prompts_that_cannot_wait_for_their_home_go_where_little_is_read(self):
+    def test_ticket_that_cannot_wait_for_the_owner_goes_to_a_nearly_idle_replica(self):
         home = _preferred(draft(1, 7), self.rooms)
         home.expect(("x", 1), 60_000, 0.0)
         busy = next(room for room in self.rooms if room is not home)
@@ -63,33 +63,36 @@
         self.assertFalse({home.name, busy.name} & chosen)
 
     def fill_home(self, tokens: int) -> ReplicaRoom:
-        """Let the replica of prefix 7 have a prompt of ``tokens`` to read, and return it."""
+        """Add a prompt of ``tokens`` to the pending prefill of the owner of prefix 7.
+
+        Return the owner.
+        """
         home = _preferred(draft(1, 7), self.rooms)
         home.expect(("x", 1), tokens, 0.0)
         return home
 
-    def test_home_that_lacks_little_time_is_waited_for_though_others_are_idle(self):
-        # It reads 120,000 tokens a second: 2,400 more than it may have are gone after 20 ms.
+    def test_ticket_waits_for_an_owner_that_is_free_soon_though_others_are_idle(self):
+        # It prefills 120,000 tokens a second: the 2,400 too many are done after 20 ms.
         self.fill_home(MOST_UNREAD + 2_400)
         self.assertIsNone(self.choose(draft(1, 7)))
 
-    def test_home_is_waited_for_a_tenth_of_the_objective_at_most(self):
+    def test_ticket_waits_for_the_owner_a_tenth_of_its_objective_at_most(self):
         home = self.fill_home(MOST_UNREAD + 2_400)
         self.assertIsNone(self.choose(draft(1, 7), HOME_WAIT * OBJECTIVE - 0.021))
         self.assertIsNot(self.choose(draft(1, 7), HOME_WAIT * OBJECTIVE), home)
 
-    def test_home_without_a_free_slot_is_waited_for_as_long(self):
+    def test_ticket_waits_as_long_for_an_owner_without_a_free_slot(self):
         home = _preferred(draft(1, 7), self.rooms)
         home.in_flight = 9
         self.assertIsNone(self.choose(draft(1, 7)))
         self.assertIsNot(self.choose(draft(1, 7), HOME_WAIT * OBJECTIVE), None)
 
-    def test_beginning_in_memory_may_join_a_longer_queue(self):
+    def test_cached_prefix_may_join_a_longer_queue(self):
         home = self.fill_home(MOST_UNREAD + 5_000)
         home.keep_prefix(draft(1, 7))
         self.assertIs(self.choose(draft(1, 7)), home)
 
-    def test_home_that_just_failed_the_request_is_not_waited_for(self):
+    def test_ticket_does_not_wait_for_an_owner_that_just_failed_it(self):
         for room in self.rooms:
             room.expect(("x", 1), 4_000, 0.0)
         home = _preferred(draft(1, 7), self.rooms)
@@ -97,14 +100,14 @@
         self.assertIsNotNone(chosen)
         self.assertIsNot(chosen, home)
 
-    def test_leaving_home_is_not_waited_for(self):
+    def test_ticket_does_not_wait_for_a_draining_owner(self):
         home = _preferred(draft(1, 7), self.rooms)
         home.leaving = True
         self.assertIsNot(self.choose(draft(1, 7)), home)
 
 
 class RegionTests(unittest.TestCase):
-    """Requests that may run in some regions only are placed in no other."""
+    """Requests that may run only in some regions are placed in no other."""
 
     def setUp(self):
         self.placing = Placing(random.Random(3), True)
@@ -122,19 +125,19 @@
             chosen.add(room.region if room else "")
         return chosen
 
-    def test_allowed_region_only(self):
+    def test_ticket_goes_to_its_allowed_region_only(self):
         self.assertEqual(self.regions(regions=("south",)), {"south"})
 
-    def test_also_where_its_own_replicas_are_full_or_just_failed_it(self):
+    def test_ticket_leaves_its_region_neither_when_full_nor_after_a_failure(self):
         for room in self.rooms[3:]:
             room.started(0.0)
             room.expect(("x", 1), 10 * MOST_UNREAD, 0.0)
         self.assertEqual(self.regions(regions=("south",), avoid="d"), {""})
 
-    def test_any_region_where_none_is_named(self):
+    def test_ticket_without_regions_goes_to_any_region(self):
         self.assertEqual(self.regions(), {"north", "south"})
 
-    def test_region_that_no_replica_has(self):
+    def test_ticket_of_a_region_without_replicas_goes_nowhere(self):
         self.assertEqual(self.regions(regions=("-",)), {""})
 
 
--- a/tests/scheduling/test_returning.py
+++ b/tests/scheduling/test_returning.py
@@ -1,4 +1,4 @@
-"""Who came back is known from what was refused, and replayed with a flood that is refused once."""
+"""Retries are recognized by the refusals before them, alone and in a simulated overload."""
 
 import random
 import unittest
@@ -18,29 +18,29 @@
     def setUp(self):
         self.refused = RefusedCallers()
 
-    def test_request_that_was_refused_comes_back_once(self):
+    def test_refused_request_is_recognized_once(self):
         self.refused.refused(7, 2.0, 0.0)
         self.assertTrue(self.refused.comes_back(7, 2.1))
         self.assertFalse(self.refused.comes_back(7, 2.1))
 
-    def test_first_try_of_another_is_none(self):
+    def test_first_attempt_of_another_request_is_no_retry(self):
         self.refused.refused(7, 2.0, 0.0)
         self.assertFalse(self.refused.comes_back(8, 2.1))
 
-    def test_refusal_is_forgotten_when_its_caller_stays_away(self):
+    def test_refusal_is_dropped_when_the_retry_is_too_late(self):
         self.refused.refused(7, 2.0, 0.0)
         self.assertFalse(self.refused.comes_back(7, 2.1 + COME_BACK_SLACK_SECONDS))
 
-    def test_equal_requests_come_back_as_often_as_they_were_refused(self):
+    def test_equal_requests_are_recognized_as_often_as_they_were_refused(self):
         for _ in range(3):
             self.refused.refused(7, 2.0, 0.0)
         self.assertEqual([self.refused.comes_back(7, 1.0) for _ in range(4)], [True] * 3 + [False])
 
-    def test_request_without_a_fingerprint_is_never_known(self):
+    def test_request_without_a_fingerprint_is_never_recognized(self):
         self.refused.refused(0, 2.0, 0.0)
         self.assertFalse(self.refused.comes_back(0, 1.0))
 
-    def test_memory_is_bounded(self):
+    def test_number_of_remembered_refusals_is_bounded(self):
         for number in range(MOST_REMEMBERED + 10):
             self.refused.refused(number + 1, 2.0, 0.0)
         self.assertFalse(self.refused.comes_back(1, 1.0))
@@ -48,7 +48,7 @@
 
 
 class FloodTests(unittest.TestCase):
-    """Twice what a cell can serve, each caller with a deadline of its own and one repeat."""
+    """Twice what a cell can serve; each caller has a deadline of its own and retries once."""
 
     OBJECTIVE = 0.4
     SECONDS = 0.2
@@ -75,7 +75,7 @@
         )
 
     def play(self, seconds: float, per_second: int) -> tuple[list[float], list[float], int]:
-        """Return how long first tries and repeats waited before a refusal, and those held."""
+        """Return the waits of refused first attempts and of refused retries, and the holds."""
         coming = [(n / per_second, n + 1, False) for n in range(int(seconds * per_second))]
         ending: list[tuple[float, Ticket]] = []
         waits: dict[bool, list[float]] = {False: [], True: []}
@@ -110,28 +110,28 @@
                     held += repeat
         return waits[False], waits[True], held
 
-    def test_first_tries_are_refused_soon_and_repeats_are_known(self):
+    def test_first_attempts_are_refused_soon_and_retries_are_recognized(self):
         first, again, held = self.play(6.0, 80)
         self.assertTrue(first and again)
-        # A first try is told within its patience and a look at the queue.
+        # A first attempt is refused within its maximum wait and one step of the queue.
         self.assertLess(max(first), self.OBJECTIVE / 5 + 0.011)
         self.assertLess(max(again), RETURN_WAIT_OBJECTIVES * self.OBJECTIVE + 0.011)
-        # Each refused first try came back and was known.
+        # Each refused first attempt was retried, and the retry was recognized.
         self.assertEqual(held, len(first))
 
-    def test_repeats_take_nothing_from_those_that_can_be_in_time(self):
+    def test_retries_displace_no_tickets_that_can_be_in_time(self):
         alone = self.play(4.0, 80)
         self.setUp()
         self.dispatcher._refused.comes_back = lambda fingerprint, now: False
         alike = self.play(4.0, 80)
-        # Fewer first tries are refused than where repeats wait among them.
+        # Fewer first attempts are refused than where retries wait among them.
         self.assertLess(len(alone[0]), len(alike[0]))
 
-    def test_nobody_is_taken_for_returned_where_nobody_was_refused(self):
+    def test_no_request_is_taken_for_a_retry_where_none_was_refused(self):
         first, again, held = self.play(4.0, 30)
         self.assertEqual((first, again, held), ([], [], 0))
 
-    def test_entry_is_told_that_the_ticket_may_wait_longer(self):
+    def test_retry_is_given_a_longer_maximum_wait(self):
         for _ in range(9):
             self.dispatcher.offer(self.ticket(0, 0.0), 0.0)
         self.dispatcher.offer(self.ticket(77, 0.0), 0.0)
--- a/tests/scheduling/test_returns.py
+++ b/tests/scheduling/test_returns.py
@@ -1,4 +1,4 @@
-"""When refused callers are told to come back."""
+"""When callers of refused requests are asked to retry."""
 
 import random
 import unittest
@@ -15,46 +15,47 @@
     def promise(self, tokens: int = 1_000, within: float = 5.0, now: float = 0.0) -> float:
         return self.plan.promise(tokens, within, RATE, now)
 
-    def test_first_one_comes_back_soon(self):
+    def test_first_caller_retries_soon(self):
         self.assertLess(self.promise(), SOONEST_SECONDS + STEP_SECONDS)
 
-    def test_nobody_comes_back_at_once_or_later_than_it_would(self):
+    def test_delay_is_within_the_minimum_and_the_time_of_the_caller(self):
         for number in range(400):
             within = 0.5 + number % 10
             after = self.promise(within=within)
             self.assertLessEqual(after, within)
             self.assertGreaterEqual(after, SOONEST_SECONDS)
 
-    def test_caller_with_little_time_left_is_told_all_of_it(self):
+    def test_caller_with_little_time_left_gets_all_of_it(self):
         self.assertEqual(self.promise(within=0.1), 0.1)
 
-    def test_those_refused_together_are_spread_by_what_the_replicas_read(self):
+    def test_callers_refused_together_are_spread_by_the_prefill_rate(self):
         moments = sorted(self.promise(tokens=5_000) for _ in range(20))
-        # A second has room for RATE * RETURN_SHARE tokens: these need ten seconds, and have five.
+        # A second has capacity for RATE * RETURN_SHARE tokens: these need ten seconds, and have
+        # five.
         self.assertEqual(RATE * RETURN_SHARE, 10_000)
         self.assertGreater(moments[-1], 4.0)
         for first, second in zip(moments[::4], moments[4::4], strict=False):
             self.assertGreater(second - first, STEP_SECONDS)
 
-    def test_where_all_is_taken_the_emptiest_part_is_chosen(self):
+    def test_least_planned_step_is_chosen_where_all_are_full(self):
         for _ in range(200):
             self.promise(tokens=20_000, within=2.0)
         late = [self.promise(within=4.0) for _ in range(8)]
         self.assertGreater(min(late), 2.0 - STEP_SECONDS)
 
-    def test_longer_overload_is_expected_to_last_longer(self):
+    def test_delay_grows_with_the_length_of_the_overload(self):
         short = self.promise(tokens=1, within=9.0)
         for step in range(1, 13):
             long = self.promise(tokens=1, within=9.0, now=0.25 * step)
         self.assertLess(short, 1.0)
         self.assertGreaterEqual(long, 3.0)
 
-    def test_overload_that_has_ended_counts_no_more(self):
+    def test_overload_that_has_ended_is_not_counted(self):
         for step in range(13):
             self.promise(tokens=1, now=0.25 * step)
         self.assertLess(self.promise(tokens=1, now=5.0), 1.0)
 
-    def test_past_promises_are_forgotten(self):
+    def test_past_steps_are_dropped(self):
         for _ in range(200):
             self.promise(tokens=20_000)
         self.assertLess(self.promise(now=60.0), SOONEST_SECONDS + STEP_SECONDS)
--- a/tests/scheduling/test_room.py
+++ b/tests/scheduling/test_room.py
@@ -1,4 +1,4 @@
-"""Room: reports that lag, failures, learnt limits."""
+"""The free slots of a replica: reports that lag, failures and learnt limits."""
 
 import unittest
 
@@ -13,26 +13,26 @@
 
 
 class ReadingTests(unittest.TestCase):
-    """How fast a replica reads prompts, and whether it would begin another answer in time."""
+    """How fast a replica prefills prompts, and whether it would start another answer in time."""
 
     def setUp(self):
         self.room = ReplicaRoom("r", 48)
 
     def learn(self) -> None:
-        """Answer after 30 ms in any case, and read 100,000 tokens a second beyond."""
+        """Answer with 30 ms of base latency and a prefill rate of 100,000 tokens a second."""
         for number in range(600):
             tokens = 100 if number % 2 else 10_000
             self.room.expect(("e", number), tokens, float(number))
             self.room.answered(("e", number), number + 0.03 + tokens / 100_000)
 
-    def test_rate_is_learnt_less_the_time_that_any_answer_takes(self):
+    def test_prefill_rate_is_learnt_without_the_base_latency(self):
         self.learn()
         self.assertAlmostEqual(self.room.read_rate, 100_000, delta=10_000)
 
-    def test_prompts_ahead_count(self):
+    def test_pending_prefill_and_waited_time_count(self):
         self.learn()
         self.room.expect(("e", 0), 100, 1000.0)
-        # This one has waited for far longer than its objective.
+        # This ticket has waited far longer than its objective.
         self.assertFalse(self.room.reads_in_time(ticket(), 1000.0))
         fresh = ticket(enqueued_at=1000.0)
         self.assertTrue(self.room.reads_in_time(fresh, 1000.0))
@@ -41,7 +41,7 @@
         self.room.forget(("e", 1))
         self.assertTrue(self.room.reads_in_time(fresh, 1000.0))
 
-    def test_prompt_too_large_for_its_objective_is_let_in_beside_others(self):
+    def test_prompt_too_large_for_its_objective_is_accepted_beside_others(self):
         self.learn()
         self.room.expect(("e", 1), 5_000, 1000.0)
         large = ticket(tokens=60_000, enqueued_at=1000.0)
@@ -52,18 +52,18 @@
     def test_idle_replica_takes_any_prompt(self):
         self.assertTrue(self.room.reads_in_time(ticket(tokens=10_000_000), 1000.0))
 
-    def test_request_without_prompt_or_objective_is_not_held_back(self):
+    def test_request_without_prompt_or_objective_is_always_accepted(self):
         self.room.expect(("e", 1), 10_000_000, 0.0)
         self.assertTrue(self.room.reads_in_time(ticket(tokens=0), 0.0))
         self.assertTrue(self.room.reads_in_time(ticket(objective=0.0), 0.0))
 
-    def test_beginning_in_memory_is_not_read_again(self):
+    def test_cached_prefix_is_not_prefilled_again(self):
         shared = ticket(tokens=10_000, prefix=7, shared_tokens=9_000)
         self.assertEqual(self.room.to_read(shared), 10_000)
         self.room.keep_prefix(shared)
         self.assertEqual(self.room.to_read(shared), 1_000)
 
-    def test_silent_replica_gets_nothing_until_it_answers(self):
+    def test_silent_replica_is_given_no_calls_until_it_answers(self):
         keys: list[TicketKey] = [("e", 1), ("e", 2)]
         for key in keys:
             self.room.expect(key, 100, 0.0)
@@ -75,22 +75,22 @@
 
 
 class RoomTests(unittest.TestCase):
-    def test_own_calls_are_not_taken_for_foreign_ones(self):
+    def test_own_calls_in_a_late_report_are_not_counted_as_those_of_others(self):
         room = ReplicaRoom("r", 8)
         for _ in range(6):
             room.started(10.0)
         for _ in range(6):
             room.ended(10.5)
-        # The report is as old as the time when the six calls ran.
+        # The report dates from the time when the six calls were running.
         room.reported(11.0, LoadReport(8, 6, 0, age=0.8))
         self.assertEqual(room.room(11.0), 8)
 
-    def test_foreign_calls_take_room(self):
+    def test_calls_of_others_use_slots(self):
         room = ReplicaRoom("r", 8)
         room.reported(5.0, LoadReport(8, 6, 1))
         self.assertEqual(room.room(5.0), 1)
 
-    def test_failures_close_and_one_call_tries_again(self):
+    def test_failures_eject_a_replica_and_a_single_call_probes_it(self):
         room = ReplicaRoom("r", 8)
         room.failed(0.0, CallResult.ERROR, Peers())
         room.failed(0.0, CallResult.ERROR, Peers())
@@ -102,14 +102,14 @@
         room.succeeded(0.7, 0.1)
         self.assertEqual(room.room(0.7), 8)
 
-    def test_closing_time_doubles(self):
+    def test_ejection_time_doubles(self):
         room = ReplicaRoom("r", 8)
         for moment in (0.0, 0.0, 1.0):
             room.failed(moment, CallResult.ERROR, Peers())
         self.assertEqual(room.room(1.9), 0)
         self.assertEqual(room.room(2.1), 1)
 
-    def test_limit_is_learnt_where_nothing_is_reported(self):
+    def test_limit_is_learnt_without_reports(self):
         room = ReplicaRoom("r", 0)
         for _ in range(200):
             while room.room(0.0):
--- a/tests/scheduling/test_speeds.py
+++ b/tests/scheduling/test_speeds.py
@@ -1,4 +1,4 @@
-"""Replicas of one pool that differ in speed, as a dispatcher finds out by their answers."""
+"""The dispatcher learns from the answers that the replicas of a pool differ in speed."""
 
 import random
 import unittest
@@ -12,16 +12,17 @@
 
 SPEEDS = {"usual": 1.0, "fast": 1.3}
 READ_RATE = 60_000.0
-# Prompts of three lengths come by turns.
+# The prompts have these three lengths in turn.
 LENGTHS = (800, 2400, 5800)
 TOKENS = sum(LENGTHS) / len(LENGTHS)
-# Any answer takes so many seconds beyond reading, and as many more until it is whole.
+# An answer starts this many seconds after its prefill, and is complete at the same time.
 BASE_SECONDS = 0.03
+# Length of a step of the simulation.
 STEP_SECONDS = 0.005
 
 
 class Pool:
-    """Two engines that read one prompt after the other, and their dispatcher."""
+    """Two engines that prefill one prompt after the other, and their dispatcher."""
 
     def __init__(self) -> None:
         self.cell = CellDispatcher(lambda workspace: 1.0, random.Random(5))
@@ -31,7 +32,7 @@
         self._begins: list[tuple[float, TicketKey]] = []
 
     def play(self, seconds: float, every: float) -> None:
-        """Offer a ticket ``every`` so many seconds."""
+        """Offer a ticket ``every`` this many seconds."""
         steps = round(seconds / STEP_SECONDS)
         number, due = 0, 0.0
         for step in range(steps):
@@ -80,24 +81,24 @@
 class SpeedTests(unittest.TestCase):
     def setUp(self):
         self.pool = Pool()
-        # Nine tenths of what both can read.
+        # Nine tenths of what both can prefill.
         self.pool.play(40.0, TOKENS / (0.9 * READ_RATE * sum(SPEEDS.values())))
         self.rooms = self.pool.cell.replicas
 
-    def test_speed_of_each_replica_is_learnt(self):
+    def test_prefill_rate_of_each_replica_is_learnt(self):
         usual, fast = (self.rooms[name].read_rate for name in ("usual", "fast"))
         self.assertAlmostEqual(fast / usual, 1.3, delta=0.2)
 
-    def test_faster_one_is_given_more(self):
+    def test_faster_replica_is_given_more_calls(self):
         granted = self.pool.granted
         self.assertGreater(granted["fast"], 1.15 * granted["usual"])
 
-    def test_faster_one_may_have_more_to_read(self):
+    def test_faster_replica_accepts_more_pending_prefill(self):
         admitted = {name: self.admitted(room) for name, room in self.rooms.items()}
         self.assertGreater(admitted["fast"], 1.15 * admitted["usual"])
 
     def admitted(self, room: ReplicaRoom) -> int:
-        """Return how many tokens ``room`` takes until another prompt would be late there."""
+        """Return how many tokens ``room`` accepts before another prompt would be late there."""
         now, number = 1000.0, 0
         tokens = LENGTHS[0]
         while room.reads_in_time(_ticket(0, now), now):
--- a/tests/scheduling/test_standing.py
+++ b/tests/scheduling/test_standing.py
@@ -1,16 +1,14 @@
-"""A workspace that asks for less than its share is served beside one that asks for far more.
+"""A workspace that requests less than its share is served beside one that requests far more.
 
-Symptom: a workspace that asked for 0.5 million tokens a second got 0.23 over six seconds, while one
-that asked for several times as much got 1.29. On a like day 114 of its 350 requests were refused
-after they had waited for as long as they could, 77 as excess.
+Guards against refusals of the smaller workspace. In one case it requested 0.5 million tokens a
+second over six seconds and was served 0.23, beside a workspace that requested several times as much
+and was served 1.29; in another 114 of its 350 requests were refused after their maximum wait, and
+77 as excess.
 
-Sequence: all slots of a cell were taken, and one was free again every 15 ms or so. A request waits
-for a fifth of its objective, 50 to 80 ms, for a slot of the replica that has its beginning. The
-flood had dozens of tickets waiting at any moment, so that it took whichever slot was free.
-
-Cause: the fair queue decides among those that wait, and who can wait for a moment only is seldom
-among them when a slot is free. Settled by the log's line of the cell, ``ravo630 1321806 of 6074972,
-lelo631 554763 of 731111``, with 173 to 192 of 180 slots and an overlap of 15 in use.
+All slots of the cell were in use (173 to 192 of 180, with an overlap of 15), and one became free
+every 15 ms or so. A request waits for a slot for a fifth of its objective, 50 to 80 ms. The fair
+queue decides only among waiting tickets. The larger workspace had dozens of them at any moment,
+while the smaller one seldom had a waiting ticket when a slot became free.
 """
 
 import random
@@ -21,19 +19,19 @@
 from tests.scheduling.test_fairqueue import ticket
 
 STEP_SECONDS = 0.005
-# Each call has its slot for so long, and its answer begins after so long.
+# Each call uses its slot for this time, and its answer starts after the second one.
 CALL_SECONDS = 2.0
 ANSWER_SECONDS = 0.05
 REPLICAS = 4
 SLOTS = 12
 PATIENCE_SECONDS = 0.06
 SECONDS = 20.0
-# From then on it is counted.
+# Requests are counted from this time.
 SETTLED_SECONDS = 6.0
 
 
 class Cell:
-    """A cell with calls of fixed length, and callers that ask at fixed rates."""
+    """A cell with calls of fixed length, and callers that send requests at fixed rates."""
 
     def __init__(self, slots: int = SLOTS, window: float = 4.0) -> None:
         self.dispatcher = CellDispatcher(lambda name: 1.0, random.Random(1), fair_window=window)
@@ -46,7 +44,7 @@
         self._due: dict[str, float] = {}
 
     def run(self, rates: dict[str, float]) -> None:
-        """Let each workspace ask at its rate, in requests a second."""
+        """Send the requests of each workspace at its rate, in requests per second."""
         now = 0.0
         while now < SECONDS:
             now += STEP_SECONDS
@@ -89,36 +87,36 @@
         cell.run(rates)
         return cell.served[workspace] / cell.asked[workspace]
 
-    def test_light_workspace_is_served_beside_a_flood(self):
-        # The cell serves 24 requests a second: 8 are a third of it.
+    def test_small_workspace_is_served_beside_an_overloading_one(self):
+        # The cell serves 24 requests per second: 8 are a third of them.
         self.assertGreater(self.served_share({"flood": 300.0, "light": 8.0}, "light"), 0.95)
 
-    def test_light_workspaces_are_served_beside_two_floods(self):
+    def test_small_workspaces_are_served_beside_two_overloading_ones(self):
         rates = {"one": 200.0, "two": 100.0, "light": 4.0, "lighter": 2.0}
         for workspace in ("light", "lighter"):
             with self.subTest(workspace=workspace):
                 self.assertGreater(self.served_share(rates, workspace), 0.95)
 
-    def test_flood_still_uses_what_others_leave(self):
+    def test_overloading_workspace_uses_what_others_leave(self):
         cell = Cell()
         cell.run({"flood": 300.0, "light": 2.0})
         seconds = SECONDS - SETTLED_SECONDS
         capacity = REPLICAS * SLOTS / CALL_SECONDS
         self.assertGreater(sum(cell.served.values()) / seconds, 0.85 * capacity)
 
-    def test_flood_alone_has_all(self):
+    def test_single_workspace_uses_the_whole_cell(self):
         cell = Cell()
         cell.run({"flood": 300.0})
         capacity = REPLICAS * SLOTS / CALL_SECONDS
         self.assertGreater(cell.served["flood"] / (SECONDS - SETTLED_SECONDS), 0.9 * capacity)
 
-    def test_without_a_window_nobody_stands_back(self):
+    def test_no_workspace_is_limited_without_a_window(self):
         cell = Cell(window=0.0)
         cell.run({"flood": 300.0})
         capacity = REPLICAS * SLOTS / CALL_SECONDS
         self.assertGreater(cell.served["flood"] / (SECONDS - SETTLED_SECONDS), 0.95 * capacity)
 
-    def test_replicas_with_few_slots_are_used_whole(self):
+    def test_all_slots_of_small_replicas_are_used(self):
         for slots in (1, 2, 6):
             with self.subTest(slots=slots):
                 cell = Cell(slots)
--- a/tests/scheduling/test_usage.py
+++ b/tests/scheduling/test_usage.py
@@ -1,4 +1,4 @@
-"""What a workspace that was not served lately may be ahead of the others."""
+"""Credit and share of a workspace by its usage in the fairness window."""
 
 import math
 import random
@@ -19,12 +19,12 @@
         self.usage.charge("b", 300.0, 1.0)
         self.assertEqual(self.usage.credit(1.5), 200.0)
 
-    def test_service_before_the_window_is_forgotten(self):
+    def test_service_before_the_window_does_not_count(self):
         self.usage.charge("a", 100.0, 10.0)
         self.assertEqual(self.usage.credit(12.5), 100.0)
         self.assertEqual(self.usage.credit(30.0), 0.0)
 
-    def test_what_was_given_back_does_not_count(self):
+    def test_charge_that_was_taken_back_does_not_count(self):
         self.usage.charge("a", 100.0, 0.0)
         self.usage.charge("a", -100.0, 0.5)
         self.assertEqual(self.usage.credit(0.6), 0.0)
@@ -43,16 +43,16 @@
         self.usage.asked(workspace, asked, 0.0)
         self.usage.charge(workspace, served, 0.0)
 
-    def test_level_meets_small_demands_whole_and_shares_the_rest(self):
+    def test_level_meets_small_demands_and_shares_the_rest(self):
         self.assertEqual(max_min_level([(10.0, 1.0), (100.0, 1.0), (100.0, 1.0)], 110.0), 50.0)
         self.assertEqual(max_min_level([(10.0, 1.0), (20.0, 1.0)], 30.0), math.inf)
         self.assertEqual(max_min_level([], 0.0), math.inf)
 
-    def test_weights_count(self):
+    def test_level_is_per_weight(self):
         level = max_min_level([(100.0, 3.0), (100.0, 1.0)], 80.0)
         self.assertEqual(level, 20.0)
 
-    def test_level_shares_all_there_is(self):
+    def test_level_shares_the_whole_capacity(self):
         rng = random.Random(3)
         for _ in range(300):
             asked = [(rng.uniform(0, 100), rng.choice((0.5, 1.0, 4.0))) for _ in range(9)]
@@ -61,7 +61,7 @@
             met = sum(min(cost, level * weight) for cost, weight in asked)
             self.assertAlmostEqual(met, capacity, places=6)
 
-    def test_only_who_had_more_than_its_share_is_over_it(self):
+    def test_only_a_workspace_above_its_share_is_over_it(self):
         self.use("flood", 900.0, 120.0)
         self.use("light", 40.0, 30.0)
         self.use("middle", 100.0, 50.0)
@@ -70,14 +70,14 @@
         self.assertFalse(self.usage.over_share("light", 1.0))
         self.assertFalse(self.usage.over_share("new", 1.0))
 
-    def test_nobody_is_over_where_all_is_served(self):
+    def test_no_workspace_is_over_its_share_where_all_are_served(self):
         self.use("flood", 900.0, 900.0)
         self.use("light", 40.0, 40.0)
         self.assertFalse(self.usage.over_share("flood", 1.0))
 
 
 class ExcessTests(unittest.TestCase):
-    """A flood beside a light workspace, at one replica whose places are taken."""
+    """A workspace that overloads a replica without a free slot, beside a small one."""
 
     def setUp(self):
         self.dispatcher = CellDispatcher(lambda name: 1.0, random.Random(1), fair_window=4.0)
@@ -96,19 +96,19 @@
         self.assertEqual([type(d) for d in self.offer(60, "flood", 0.21)], [Refusal])
         self.assertEqual(self.offer(61, "light", 0.21), [])
 
-    def test_excess_is_served_while_a_replica_has_room(self):
+    def test_excess_is_served_while_a_replica_has_a_free_slot(self):
         self.offer(50, "light", 0.0)
         self.dispatcher.pump(0.2)
         for key in list(self.dispatcher.flights):
             self.dispatcher.release(key, 10.0, 0.21)
         self.assertEqual([type(d) for d in self.offer(60, "flood", 0.21)], [Grant])
 
-    def test_who_came_back_is_not_refused_at_once(self):
+    def test_retry_is_not_refused_at_once(self):
         self.offer(50, "light", 0.0)
         self.dispatcher.pump(0.2)
         self.assertEqual(self.offer(60, "flood", 0.21, returned=True, objective=1.0), [])
 
-    def test_ticket_that_waits_already_is_not_judged_anew_when_it_is_told_again(self):
+    def test_waiting_ticket_that_is_sent_again_is_not_refused_as_excess(self):
         self.offer(50, "light", 0.0)
         self.dispatcher.offer(ticket(60, "flood", patience=1.0), 0.0)
         self.dispatcher.pump(0.2)
@@ -116,16 +116,16 @@
         self.assertEqual(self.dispatcher.offer(again, 0.21), [])
         self.assertIn(again.key, self.dispatcher.queue)
 
-    def test_nobody_is_refused_at_once_while_nothing_expires(self):
+    def test_excess_is_not_refused_while_no_ticket_expires(self):
         self.offer(50, "light", 0.0)
         self.assertEqual(self.offer(60, "flood", 0.05), [])
 
 
 class ReturnFromIdleTests(unittest.TestCase):
-    """One workspace is served all along, and another one comes after a while."""
+    """One workspace is served all the time, and another one starts after a while."""
 
     def served_of_the_light_one(self, window: float) -> int:
-        """Return how many of the first 20 grants it gets when both have many waiting."""
+        """Return how many of the first 20 grants it gets when both have many waiting tickets."""
         dispatcher = CellDispatcher(lambda name: 1.0, random.Random(1), fair_window=window)
         dispatcher.set_replicas({"r0": 1})
         for number in range(100):
@@ -145,11 +145,12 @@
         (grant,) = [d for d in dispatcher.pump(now) if isinstance(d, Grant)]
         return grant.ticket.workspace
 
-    def test_it_is_owed_what_it_was_below_its_share_and_no_more(self):
-        # The steady one was given 12 of 10 units each; the mean service of the window is theirs.
+    def test_idle_workspace_is_owed_what_it_was_below_its_share(self):
+        # The steady workspace was granted 12 calls of 10 units each. This is the mean service of
+        # the window, because no other workspace was served in it.
         self.assertEqual(self.served_of_the_light_one(4.0), 16)
 
-    def test_without_a_window_both_get_the_same(self):
+    def test_both_get_the_same_without_a_window(self):
         self.assertEqual(self.served_of_the_light_one(0.0), 10)
 
 
--- a/tests/scheduling/test_versions.py
+++ b/tests/scheduling/test_versions.py
@@ -1,4 +1,4 @@
-"""While a service moves to another software version, calls run on the version that they may."""
+"""While a service moves to another software version, calls run only on permitted versions."""
 
 import random
 import unittest
@@ -71,7 +71,7 @@
 
 
 class StageTests(RolloutTestCase):
-    def test_nothing_goes_to_the_target_without_an_allowance(self):
+    def test_target_is_given_no_calls_without_an_allowance(self):
         self.assertEqual(self.serve(200, 0.0), {"v1": 200})
 
     def test_all_versions_serve_without_an_order(self):
@@ -79,7 +79,7 @@
         served = self.serve(200, 0.0)
         self.assertGreater(min(served["v1"], served["v2"]), 50)
 
-    def test_canary_gets_what_is_allowed_on_named_replicas(self):
+    def test_named_canary_is_given_the_allowed_calls(self):
         self.allow(Stage.CANARY, 20)
         served: Counter[str] = Counter()
         for step in range(200):
@@ -99,7 +99,7 @@
             self.dispatcher.release(("e", self.number - 3), 10.0, step * 0.004, CallResult.GOOD)
         self.assertGreaterEqual(most, 2)
 
-    def test_calls_of_a_group_go_to_one_of_several_canaries(self):
+    def test_calls_of_a_group_go_to_a_single_canary(self):
         allowance = Allowance(1, 1, Stage.CANARY, 8, 100.0, frozenset(NEW))
         self.dispatcher.versions.exposure.allow(allowance, 0.0)
         bound = [self.offer(step * 0.001) for step in range(4)]
@@ -115,38 +115,38 @@
         for key, tally in self.dispatcher.tallies.items():
             self.assertTrue(not key.replica or tally.answers == 10, key)
 
-    def test_calls_of_an_allowance_bound_the_shift_as_well(self):
+    def test_shift_sends_no_more_calls_than_allowed(self):
         self.allow(Stage.SHIFT, 5)
         self.assertEqual(self.serve(50, 0.0), {"v2": 5, "v1": 45})
 
-    def test_callers_are_served_where_the_drain_has_no_calls_left(self):
+    def test_others_serve_after_the_allowed_calls_of_a_drain(self):
         self.allow(Stage.DRAIN, 5)
         self.assertEqual(self.serve(50, 0.0), {"v2": 5, "v1": 45})
 
-    def test_lapsed_allowance_sends_the_target_nothing(self):
+    def test_target_is_given_no_calls_after_the_allowance_expires(self):
         self.allow(Stage.SHIFT, valid=1.0)
         self.assertEqual(set(self.serve(50, 0.0)), {"v2"})
         self.assertEqual(self.serve(50, 1.0), {"v1": 50})
 
-    def test_shift_fills_the_target_and_leaves_the_rest_to_others(self):
+    def test_shift_fills_the_target_first(self):
         self.allow(Stage.SHIFT)
         bound = [VERSIONS.get(self.offer(0.0), "none") for _ in range(5 * self.slots)]
         target = len(NEW) * (self.slots + 1)
         self.assertEqual(bound[:target], ["v2"] * target)
         self.assertEqual(set(bound[target:]), {"v1"})
 
-    def test_drain_sends_the_others_nothing(self):
+    def test_drain_sends_no_calls_to_the_others(self):
         self.allow(Stage.DRAIN)
         bound = Counter(VERSIONS.get(self.offer(0.0), "none") for _ in range(60))
         self.assertEqual(bound["v1"], 0)
         self.assertEqual(bound["v2"], len(NEW) * (self.slots + 1))
 
-    def test_end_of_the_order_lifts_all_limits(self):
+    def test_end_of_the_order_removes_all_limits(self):
         self.dispatcher.set_order(None, start=2)
         self.assertIsNone(self.dispatcher.tallies)
         self.assertGreater(self.serve(100, 0.0)["v2"], 20)
 
-    def test_two_dispatchers_need_an_allowance_each(self):
+    def test_each_dispatcher_needs_its_own_allowance(self):
         self.allow(Stage.CANARY, 20)
         first, self.dispatcher = self.dispatcher, self.cell()
         self.assertEqual(self.serve(100, 0.0), {"v1": 100})
@@ -166,11 +166,11 @@
         self.allow(Stage.SHIFT)
         self.assertEqual(self.serve(30, 0.0, avoid="new1"), {"v1": 30})
 
-    def test_returned_caller_is_no_canary(self):
+    def test_retry_of_a_refused_request_is_no_canary_call(self):
         self.allow(Stage.CANARY, 100)
         self.assertEqual(self.serve(30, 0.0, returned=True), {"v1": 30})
 
-    def test_flood_of_one_workspace_does_not_take_all_canary_calls(self):
+    def test_overloading_workspace_does_not_use_all_canary_calls(self):
         self.allow(Stage.CANARY, 40)
         exposed: Counter[str] = Counter()
         for step in range(1000):
@@ -183,14 +183,14 @@
         self.assertGreater(exposed["quiet"], 0)
         self.assertGreater(exposed["flood"], 0)
 
-    def test_excluded_canary_is_not_sent_to(self):
+    def test_excluded_canary_is_given_no_calls(self):
         self.allow(Stage.CANARY, 100)
         self.assertEqual(self.serve(30, 0.0, excluded=("new0",)), {"v1": 30})
 
 
 class HomesTests(RolloutTestCase):
     def homes(self, begin: float) -> dict[int, str]:
-        """Return where a prompt with each of some long beginnings goes."""
+        """Return the replica that a prompt with each of some long prefixes goes to."""
         found = {}
         for prefix in range(1, 40):
             now = begin + prefix
@@ -200,7 +200,7 @@
             self.end(now + 0.1)
         return found
 
-    def test_homes_of_the_others_stay_until_the_shift(self):
+    def test_prefix_owners_among_the_others_stay_until_the_shift(self):
         only_old = CellDispatcher(lambda workspace: 1.0, random.Random(3))
         only_old.set_replicas(dict.fromkeys(OLD, self.slots))
         dispatcher, self.dispatcher = self.dispatcher, only_old
@@ -223,38 +223,38 @@
                 flight = Flight(1, "one", name, 10.0, 0.0)
                 self.dispatcher.resume_flight(("e", self.number), flight)
 
-    def test_urgent_ticket_is_refused_at_once_where_only_held_replicas_have_room(self):
+    def test_urgent_ticket_is_refused_where_only_held_replicas_are_free(self):
         self.fill_others()
-        # Urgent work may be queued twice as deep.
+        # Twice as many urgent tickets may be queued at a replica.
         self.fill_others()
         decisions = self.dispatcher.offer(self.ticket(0.0, urgent=True), 0.0)
         self.assertIsInstance(decisions[0], Refusal)
         self.assertIs(decisions[0].reason, Reason.NO_ROOM)
 
-    def test_held_replicas_are_no_room(self):
+    def test_slots_of_held_replicas_are_not_free(self):
         self.assertEqual(self.dispatcher.room(0.0), len(OLD) * self.slots)
         self.fill_others()
         self.assertEqual(self.dispatcher.room(0.0), 0)
         self.assertEqual(self.offer(0.0), "")
 
-    def test_room_of_the_shift_is_all(self):
+    def test_shift_counts_the_free_slots_of_both_versions(self):
         self.allow(Stage.SHIFT)
         self.assertEqual(self.dispatcher.room(0.0), len(VERSIONS) * self.slots)
 
-    def test_new_version_is_held_for_a_time_without_an_order(self):
+    def test_new_version_is_held_without_an_order(self):
         self.dispatcher = self.cell(order=None)
         self.dispatcher.set_versions(VERSIONS, {"v2": 1.0})
         self.assertEqual(self.serve(50, 0.0), {"v1": 50})
         self.assertGreater(self.serve(50, 1.0)["v2"], 5)
 
-    def test_order_of_a_version_ends_its_hold(self):
+    def test_order_ends_the_hold_of_its_version(self):
         self.dispatcher.set_versions(VERSIONS, {"v2": 1.0})
         self.allow(Stage.SHIFT)
         self.assertEqual(self.serve(5, 0.0), {"v2": 5})
 
 
 class HealthTests(RolloutTestCase):
-    def test_failures_on_trial_do_not_close_the_canary(self):
+    def test_failures_on_trial_do_not_eject_the_canary(self):
         self.allow(Stage.CANARY, 100)
         failed = 0
         for step in range(400):
@@ -265,7 +265,7 @@
         self.assertGreater(failed, 30)
         self.assertFalse(self.dispatcher.replicas["new0"].health.tripped)
 
-    def test_failures_of_the_target_do_not_cover_a_sick_replica_of_the_others(self):
+    def test_failures_of_the_target_do_not_hide_a_faulty_other_replica(self):
         self.allow(Stage.SHIFT)
         for step in range(60):
             self.offer(step * 0.01)
@@ -279,7 +279,7 @@
             closed |= self.dispatcher.replicas["old0"].health.tripped
         self.assertTrue(closed)
 
-    def test_unreachable_canary_is_closed(self):
+    def test_unreachable_canary_is_ejected(self):
         self.allow(Stage.CANARY, 100)
         for step in range(100):
             replica = self.offer(step * 0.01)
@@ -313,24 +313,24 @@
         others = [found[(route, "v1", "")] for route in (5, 6)]
         self.assertEqual(sum(tally.answers for tally in others), 16)
         self.assertEqual(sum(tally.failed for tally in others), 0)
-        # Ten milliseconds lie in class 6, a tenth of a second in class 13.
+        # 10 ms lie in class 6, 100 ms in class 13.
         self.assertEqual(sum(tally.first[6] for tally in others), 16)
         self.assertEqual(sum(tally.whole[13] for tally in others), 16)
 
-    def test_rest_and_lost_connections_are_no_answers(self):
+    def test_backoff_and_lost_connections_are_no_answers(self):
         for result in (CallResult.NOTHING, CallResult.UNREACHABLE):
             self.offer(0.0)
             self.end(0.1, result)
         self.assertEqual(self.tallies(), {})
         self.assertEqual(self.dispatcher.tallies.arrivals, 2)
 
-    def test_caller_that_left_early_tells_nothing(self):
+    def test_caller_that_left_early_is_not_counted(self):
         self.serve_in(0.1)
         self.offer(50.0)
         self.end(50.1, CallResult.CALLER_LEFT)
         self.assertEqual(self.tallies()[(0, "v1", "")].answers, 20)
 
-    def test_caller_that_left_late_tells_of_a_slow_answer(self):
+    def test_caller_that_left_late_counts_as_a_slow_answer(self):
         self.serve_in(0.1)
         self.allow(Stage.SHIFT, now=50.0)
         replica = self.offer(50.0)
@@ -344,20 +344,20 @@
             self.offer(float(step))
             self.end(step + seconds)
 
-    def test_resumed_call_counts_as_exposed_and_keeps_its_version(self):
+    def test_resumed_call_is_counted_for_its_version(self):
         flight = Flight(1, "one", "new1", 10.0, 0.0)
         self.dispatcher.resume_flight(("other", 1), flight)
         self.assertEqual(self.dispatcher.versions.exposure.exposed, 1)
         self.dispatcher.release(("other", 1), 10.0, 1.0, CallResult.ERROR)
         self.assertEqual(self.tallies()[(0, "v2", "new1")].failed, 1)
 
-    def test_new_order_begins_new_sums(self):
+    def test_new_order_starts_new_tallies(self):
         self.serve(5, 0.0)
         self.dispatcher.set_order(Order("model", 9, "v2", 12.0), start=44)
         self.assertEqual(self.tallies(), {})
         self.assertEqual(self.dispatcher.tallies.start, 44)
 
-    def test_order_told_again_keeps_sums_and_allowance(self):
+    def test_repeated_order_keeps_tallies_and_allowance(self):
         self.allow(Stage.CANARY, 20)
         self.serve(5, 0.0)
         self.dispatcher.set_order(ORDER, start=44)
--- a/tests/scheduling/test_warmup.py
+++ b/tests/scheduling/test_warmup.py
@@ -1,4 +1,4 @@
-"""Cold replicas get no more than they bear, whoever dispatches them."""
+"""Cold replicas are given no more calls than they sustain, whichever dispatchers serve them."""
 
 import random
 import unittest
@@ -23,7 +23,7 @@
         self.warmup.bound = BOUND
 
     def calls(self, seconds: float, share: float = 1.0) -> list[float]:
-        """Return when calls are allowed of many that come all the time."""
+        """Return when calls are allowed if a call is always waiting."""
         self.warmup.share = share
         times = []
         for step in range(int(seconds * 1000)):
@@ -32,20 +32,20 @@
                 times.append(step / 1000)
         return times
 
-    def test_cold_replica_gets_its_rate_and_no_more(self):
+    def test_cold_replica_is_given_calls_at_its_rate(self):
         self.warmup.cold_for(3.0, 0.0)
         times = self.calls(3.0)
         self.assertLessEqual(2 * most_in_a_second(times), MOST_IN_A_SECOND)
         self.assertGreaterEqual(len(times), 2.8 * BOUND.rate)
 
-    def test_two_dispatchers_together_keep_the_bound(self):
+    def test_two_dispatchers_together_stay_within_the_bound(self):
         self.assertLessEqual(2 * BOUND.rate, MOST_IN_A_SECOND)
 
-    def test_parts_of_a_fleet_share_the_bound(self):
+    def test_part_of_a_fleet_gets_its_share_of_the_bound(self):
         self.warmup.cold_for(10.0, 0.0)
         self.assertLessEqual(len(self.calls(10.0, share=0.1)), 18)
 
-    def test_warm_replica_is_not_held_back(self):
+    def test_warm_replica_is_not_limited(self):
         self.assertEqual(len(self.calls(0.5)), 500)
 
     def test_pool_without_a_bound_has_no_cold_replicas(self):
@@ -55,7 +55,7 @@
 
 
 class ColdReplicasTests(unittest.TestCase):
-    """A third of a pool comes back cold under a flood, as ``warmup`` describes the load."""
+    """A third of a pool restarts cold in an overload; see ``railsail.scheduling.warmup``."""
 
     def setUp(self):
         self.dispatcher = CellDispatcher(lambda workspace: 1.0, random.Random(5))
@@ -79,11 +79,11 @@
         for decision in decisions:
             if isinstance(decision, Grant):
                 self.granted.setdefault(decision.replica, []).append(now)
-                # The shortest calls fill a replica with many in a second.
+                # Short calls, so that an unlimited replica could be given many in a second.
                 self.dispatcher.answered(decision.ticket.key, now)
                 self.dispatcher.release(decision.ticket.key, 100.0, now)
 
-    def test_replicas_that_come_back_cold_are_not_overrun(self):
+    def test_cold_replicas_are_not_overloaded(self):
         cold = self.names[:3]
         for name in cold:
             self.dispatcher.set_cold(name, 3.0, 0.0)
@@ -92,20 +92,20 @@
             self.assertLessEqual(2 * most_in_a_second(self.granted[name]), MOST_IN_A_SECOND)
             self.assertGreaterEqual(len(self.granted[name]), 40)
 
-    def test_capacity_is_back_when_the_cold_time_is_over(self):
+    def test_replicas_are_fully_used_after_the_cold_time(self):
         for name in self.names[:3]:
             self.dispatcher.set_cold(name, 3.0, 0.0)
         self.flood(3.1, 4.1)
         shares = [len(self.granted[name]) for name in self.names]
         self.assertGreater(min(shares), 40)
 
-    def test_dispatcher_that_takes_over_keeps_the_distance_from_calls_in_flight(self):
+    def test_next_call_is_spaced_from_a_resumed_call(self):
         self.dispatcher.set_cold("r0", 3.0, 0.0)
         room = self.dispatcher.replicas["r0"]
         room.started(0.0)
         self.assertEqual(room.room(0.01), 0)
 
-    def test_replica_that_started_anew_is_empty_and_owes_nothing(self):
+    def test_restarted_replica_is_empty_and_has_no_pending_answers(self):
         ticket = Ticket("e", 1, 1, "one", 0.0, 100.0, 0.0, prefix=7, prompt_tokens=900)
         (grant,) = self.dispatcher.offer(ticket, 0.0)
         name = grant.replica
@@ -116,12 +116,12 @@
         self.assertEqual(room.in_flight, 0)
         self.assertFalse(room.has_prefix(7))
         self.assertEqual(room.unread_seconds, 0.0)
-        # A late word of the life before changes nothing.
+        # A late message about a call to the earlier process changes nothing.
         self.dispatcher.answered(ticket.key, 0.1)
         self.dispatcher.release(ticket.key, 100.0, 0.1)
         self.assertEqual(room.in_flight, 0)
 
-    def test_replica_that_could_not_be_reached_is_taken_for_cold_when_it_is_back(self):
+    def test_unreachable_replica_counts_as_cold_when_it_answers_again(self):
         room = self.dispatcher.replicas["r0"]
         for _ in range(2):
             room.failed(0.0, CallResult.UNREACHABLE, Peers())
@@ -130,7 +130,7 @@
         self.assertTrue(room.warmup.cold(1.1))
         self.assertFalse(room.warmup.cold(1.0 + BOUND.seconds))
 
-    def test_replica_that_answered_with_errors_is_not_taken_for_cold(self):
+    def test_replica_that_answered_with_errors_does_not_count_as_cold(self):
         room = self.dispatcher.replicas["r0"]
         for _ in range(2):
             room.failed(0.0, CallResult.ERROR, Peers())
