--- a/railsail/scheduling/balance.py
+++ b/railsail/scheduling/balance.py
@@ -15,11 +15,11 @@
 # has its weight doubled.
 SCALE_DELAYS = 2.0
 # The weight of a workspace is doubled or halved this many times at most.
-MOST_DOUBLINGS = 3.0
+MAX_DOUBLINGS = 3.0
 # Smoothing factor of the service rate.
 RATE_GAIN = 0.2
 # A deficit is limited to this many scales, however long the cells could not reach each other.
-MOST_SCALES = 6.0
+MAX_SCALES = 6.0
 
 
 class FleetBalance:
@@ -49,7 +49,7 @@
         scale = max(1.0, SCALE_DELAYS * self._rate * delay)
         for name in stayed:
             self._behind[name] += mean - shares[name]
-        self._bound(MOST_SCALES * scale)
+        self._bound(MAX_SCALES * scale)
         return {name: _factor(behind / scale) for name, behind in self._behind.items()}
 
     def _bound(self, most: float) -> None:
@@ -60,4 +60,4 @@
 
 
 def _factor(scales: float) -> float:
-    return 2.0 ** min(max(scales, -MOST_DOUBLINGS), MOST_DOUBLINGS)
+    return 2.0 ** min(max(scales, -MAX_DOUBLINGS), MAX_DOUBLINGS)
--- a/railsail/scheduling/dispatcher.py
+++ b/railsail/scheduling/dispatcher.py
@@ -14,8 +14,8 @@
 from railsail.scheduling.fairqueue import CATCH_UP_CHARGES, FairQueue
 from railsail.scheduling.health import CallResult, Peers
 from railsail.scheduling.overflow import Overflow
-from railsail.scheduling.placing import HUNGRY_SECONDS, ShareState
-from railsail.scheduling.returning import RETURN_WAIT_OBJECTIVES, RefusedCallers
+from railsail.scheduling.placing import NEARLY_IDLE_SECONDS, ShareState
+from railsail.scheduling.returning import RETRY_WAIT_OBJECTIVES, RefusedCallers
 from railsail.scheduling.returns import ReturnPlan
 from railsail.scheduling.room import LoadReport, ReplicaRoom
 from railsail.scheduling.tickets import Ticket, TicketKey
@@ -26,7 +26,7 @@
 # Only the first tickets of this many workspaces are tried for a grant. Trying more workspaces, or
 # more tickets of each, granted more requests and answered fewer of them in time
 # (docs/topics/decisions-under-load.md).
-MOST_HEADS = 4
+MAX_WORKSPACES_TRIED = 4
 # For this many seconds after a ticket has expired, tickets of workspaces that have had their share
 # are refused at once. Tickets usually wait for less than this.
 OVERLOAD_SECONDS = 0.25
@@ -396,7 +396,7 @@
             return None
         # The first ticket may wait for a replica that has its prompt prefix cached. Others are
         # granted in the meantime, so that replicas are not idle.
-        for workspace in self.queue.workspaces()[:MOST_HEADS]:
+        for workspace in self.queue.workspaces()[:MAX_WORKSPACES_TRIED]:
             ticket = self.queue.head(workspace)
             room = self.versions.choose(ticket, openings, now, self._standing(workspace, now))
             if room is not None:
@@ -480,11 +480,11 @@
         return sum(
             room.can_begin(now)
             for room in self.open_rooms(now)
-            if room.unread_seconds < HUNGRY_SECONDS and not room.health.tripped
+            if room.unread_seconds < NEARLY_IDLE_SECONDS and not room.health.tripped
         )
 
 
 def _returned(ticket: Ticket) -> Ticket:
     """Return the ticket of a retry, with its place in the queue and its longer maximum wait."""
-    longest = min(RETURN_WAIT_OBJECTIVES * ticket.objective, ticket.returns_within)
+    longest = min(RETRY_WAIT_OBJECTIVES * ticket.objective, ticket.returns_within)
     return replace(ticket, returned=True, patience=max(ticket.patience, longest))
--- a/railsail/scheduling/estimates.py
+++ b/railsail/scheduling/estimates.py
@@ -5,9 +5,9 @@
 # When the cost of a stream reaches its charge, the charge grows by this part of the estimate, but
 # by at least the minimum step, in cost units.
 STEP_SHARE = 0.25
-LEAST_STEP = 16.0
+MIN_STEP = 16.0
 # Pairs of workspace and pool that are remembered; the oldest is dropped when there are more.
-MOST_KEYS = 1024
+MAX_KEYS = 1024
 
 
 class CostEstimator:
@@ -23,7 +23,7 @@
     def observe(self, workspace: str, pool: str, cost: float) -> None:
         """Record the ``cost`` of a request that has ended."""
         key = (workspace, pool)
-        if key not in self._means and len(self._means) >= MOST_KEYS:
+        if key not in self._means and len(self._means) >= MAX_KEYS:
             self._means.pop(next(iter(self._means)))
         mean = self._means.get(key, cost)
         self._means[key] = mean + GAIN * (cost - mean)
@@ -38,7 +38,7 @@
 
     def __init__(self, estimate: float) -> None:
         self.charged = estimate
-        self._step = max(LEAST_STEP, estimate * STEP_SHARE)
+        self._step = max(MIN_STEP, estimate * STEP_SHARE)
 
     def overrun(self, cost: float) -> float | None:
         """Return the new charge if ``cost`` has reached the current one, else ``None``."""
--- a/railsail/scheduling/exposure.py
+++ b/railsail/scheduling/exposure.py
@@ -35,7 +35,7 @@
     replicas: frozenset[str] = frozenset()
 
 
-_NONE = Allowance(0, 0, Stage.HOLD, 0, -math.inf)
+_NO_ALLOWANCE = Allowance(0, 0, Stage.HOLD, 0, -math.inf)
 
 
 class Exposure:
@@ -45,7 +45,7 @@
         self.order = order
         # Calls granted to the target version in the term of the newest allowance.
         self.exposed = 0
-        self._allowance = _NONE
+        self._allowance = _NO_ALLOWANCE
         self._rate = 0.0
         self._credit = float(GROUP_CALLS)
         self._credited_at = -math.inf
--- a/railsail/scheduling/health.py
+++ b/railsail/scheduling/health.py
@@ -12,9 +12,9 @@
 
 from railsail.core.outcomes import Completed, NotRun, Outcome, Reason
 
-FIRST_CLOSED_SECONDS = 0.5
-MOST_CLOSED_SECONDS = 4.0
-FAILURES_TO_CLOSE = 2
+INITIAL_EJECTION_SECONDS = 0.5
+MAX_EJECTION_SECONDS = 4.0
+FAILURES_TO_EJECT = 2
 # Smoothing factor of the error rate.
 ERROR_GAIN = 0.1
 # A replica is worse than the others if its error rate exceeds theirs times this factor by more than
@@ -77,7 +77,7 @@
         self.error_share = 0.0
         self._failures = 0
         self._closed_until = 0.0
-        self._closed_seconds = FIRST_CLOSED_SECONDS
+        self._closed_seconds = INITIAL_EJECTION_SECONDS
         self._tripped = False
         self._trial_runs = False
         self._lost = False
@@ -120,21 +120,21 @@
     def succeeded(self) -> None:
         """Record a call with a complete, good answer."""
         self.error_share += ERROR_GAIN * (0.0 - self.error_share)
-        self._closed_seconds = FIRST_CLOSED_SECONDS
+        self._closed_seconds = INITIAL_EJECTION_SECONDS
         self.begun()
 
     def failed(self, now: float, result: CallResult, peers: Peers) -> None:
         """Record a failed call, and eject the replica if it has failed too often."""
         self.error_share += ERROR_GAIN * (1.0 - self.error_share)
         self._failures += 1
-        if self._failures < FAILURES_TO_CLOSE:
+        if self._failures < FAILURES_TO_EJECT:
             return
         if result is not CallResult.UNREACHABLE and not self._is_worse(peers):
             return
         self._tripped = True
         self._lost = result is CallResult.UNREACHABLE
         self._closed_until = now + self._closed_seconds
-        self._closed_seconds = min(self._closed_seconds * 2, MOST_CLOSED_SECONDS)
+        self._closed_seconds = min(self._closed_seconds * 2, MAX_EJECTION_SECONDS)
 
     def _is_worse(self, peers: Peers) -> bool:
         bound = WORSE_FACTOR * peers.error_share + WORSE_MARGIN
--- a/railsail/scheduling/newversions.py
+++ b/railsail/scheduling/newversions.py
@@ -13,7 +13,7 @@
 # Replicas that have run for longer do not belong to an order that is still on its way.
 RECENT_SECONDS = 10.0
 # Versions that are remembered of each pool; the oldest are dropped when there are more.
-MOST_VERSIONS = 1000
+MAX_VERSIONS = 1000
 
 
 class NewVersions:
@@ -36,7 +36,7 @@
         for version, age in ages.items():
             held = not first and age < RECENT_SECONDS
             known.setdefault(version, now + HOLD_SECONDS if held else -math.inf)
-        while len(known) > MOST_VERSIONS:
+        while len(known) > MAX_VERSIONS:
             del known[next(iter(known))]
         self._working[pool] = frozenset(ages)
 
--- a/railsail/scheduling/overflow.py
+++ b/railsail/scheduling/overflow.py
@@ -19,18 +19,18 @@
 # its entry's: links between the regions of one fleet take 5 to 25 ms one way.
 WAY_SECONDS = 0.04
 # A cell counts as overloaded for this many seconds after the last sign of it.
-PRESSED_SECONDS = 0.5
+OVERLOAD_LINGER_SECONDS = 0.5
 # An overload is reported again at this interval while it lasts. A report is discarded after two
 # intervals, because the node that sent it may be gone.
-REPEAT_SECONDS = 1.0
+REPORT_INTERVAL_SECONDS = 1.0
 # Minimum interval between two requests for tickets by a cell with spare replicas.
-ASK_PAUSE_SECONDS = 0.03
+REQUEST_INTERVAL_SECONDS = 0.03
 # The largest number of tickets in one request.
-MOST_ASKED = 32
+MAX_REQUESTED_TICKETS = 32
 # Time for which an offer is valid; the cell that made it requests tickets again by then.
-OFFER_SECONDS = 0.3
+OFFER_LIFETIME_SECONDS = 0.3
 # A ticket that has waited for less than this is mostly served sooner where it is than elsewhere.
-LEAST_WAITED_SECONDS = 0.01
+MIN_WAITED_SECONDS = 0.01
 
 
 @dataclass
@@ -65,10 +65,10 @@
 
         It is at least 1 while the cell is overloaded; 0 reports once that the overload has ended.
         """
-        if now - self._pressed_at > PRESSED_SECONDS:
+        if now - self._pressed_at > OVERLOAD_LINGER_SECONDS:
             ended, self._told = self._told, False
             return 0 if ended else None
-        if self._told and now - self._told_at <= REPEAT_SECONDS:
+        if self._told and now - self._told_at <= REPORT_INTERVAL_SECONDS:
             return None
         self._told = True
         self._told_at = now
@@ -80,7 +80,7 @@
         ``spare`` is how many calls the cell's replicas could start at once.
         """
         pressed = self._pressed(now)
-        number = min(spare - waiting, MOST_ASKED)
+        number = min(spare - waiting, MAX_REQUESTED_TICKETS)
         if number < 1 or not pressed:
             return None
         self._asked_at = now
@@ -92,13 +92,13 @@
         No request is sent shortly after the previous one, or while this cell is overloaded itself.
         """
         since = now - max(self._asked_at, self._pressed_at)
-        return since >= ASK_PAUSE_SECONDS and bool(self._pressed(now))
+        return since >= REQUEST_INTERVAL_SECONDS and bool(self._pressed(now))
 
     def _pressed(self, now: float) -> dict[Cell, int]:
         return {
             cell: told
             for cell, told in self._waiting.items()
-            if told and now - self._heard_at[cell] <= 2 * REPEAT_SECONDS
+            if told and now - self._heard_at[cell] <= 2 * REPORT_INTERVAL_SECONDS
         }
 
     def told(self, other: Cell, waiting: int, now: float) -> None:
@@ -110,7 +110,7 @@
 
     def offered(self, other: Cell, number: int, now: float) -> None:
         """Record that ``other`` accepts ``number`` tickets."""
-        self._offers[other] = _Offer(number, now + OFFER_SECONDS)
+        self._offers[other] = _Offer(number, now + OFFER_LIFETIME_SECONDS)
 
     def taker(self, ticket: Ticket, now: float) -> Cell | None:
         """Return a cell that can serve ``ticket`` in time, and use up one ticket of its offer."""
@@ -130,7 +130,7 @@
         # The workspaces that are served last here wait longest, and lose least by the move.
         for workspace in reversed(queue.workspaces()):
             for ticket in queue.tickets(workspace):
-                stays = now - ticket.enqueued_at < LEAST_WAITED_SECONDS
+                stays = now - ticket.enqueued_at < MIN_WAITED_SECONDS
                 cell = None if stays else self.taker(ticket, now)
                 if cell is not None:
                     queue.remove(ticket.key)
--- a/railsail/scheduling/placing.py
+++ b/railsail/scheduling/placing.py
@@ -13,9 +13,9 @@
 
 from railsail.membership.placement import score
 from railsail.scheduling.room import (
-    LESS_READ_SHARE,
     LONG_PREFIX_TOKENS,
-    MORE_READ_SHARE,
+    RAISED_PREFILL_SHARE,
+    REDUCED_PREFILL_SHARE,
     ReplicaRoom,
 )
 from railsail.scheduling.tickets import Ticket
@@ -25,16 +25,16 @@
 AFFINITY_SLACK = 0.25
 # For this part of its objective, a ticket with a long prefix waits for the owner of the prefix, and
 # goes to other replicas only if they are nearly idle.
-PREFIX_WAIT = 1.0
+PREFIX_WAIT_SHARE = 1.0
 # A replica with less pending prefill than this, in seconds, is nearly idle. It may run a ticket
 # whose prefix it does not own.
-HUNGRY_SECONDS = 0.03
+NEARLY_IDLE_SECONDS = 0.03
 # But for this part of its objective, a ticket waits if the owner of its prefix can accept it by
 # then. Without this wait 572 of 2,600 long prompts (22%) of a loaded cell went to a replica that
 # had to prefill them whole.
-HOME_WAIT = 0.1
+OWNER_WAIT_SHARE = 0.1
 # Prefixes whose owners are remembered; all of them are dropped when there are more.
-MOST_HOMES = 65_536
+MAX_PREFIX_OWNERS = 65_536
 
 
 class ShareState(enum.Enum):
@@ -53,10 +53,10 @@
 
 # The part of its objective that pending prefill may take before a ticket, where it is not the usual
 # part.
-_READ_SHARES = {
-    ShareState.FIRST: MORE_READ_SHARE,
-    ShareState.OWED: MORE_READ_SHARE,
-    ShareState.OVER: LESS_READ_SHARE,
+_PREFILL_SHARES = {
+    ShareState.FIRST: RAISED_PREFILL_SHARE,
+    ShareState.OWED: RAISED_PREFILL_SHARE,
+    ShareState.OVER: REDUCED_PREFILL_SHARE,
 }
 
 
@@ -117,7 +117,7 @@
             rooms = [room for room in rooms if ticket.may_run_on(room.name, room.region)]
         if standing is ShareState.OVER:
             rooms = [room for room in rooms if room.room(now) > room.reserve()]
-        share = _READ_SHARES.get(standing, 0.0)
+        share = _PREFILL_SHARES.get(standing, 0.0)
         free = [room for room in rooms if room.reads_in_time(ticket, now, share)]
         others = [room for room in free if room.name != ticket.avoid]
         return others or free
@@ -150,11 +150,11 @@
     ) -> ReplicaRoom | None:
         """Return a candidate that would prefill a long prefix, ``None`` to wait for the owner."""
         waited = now - ticket.enqueued_at
-        longer = HOME_WAIT * ticket.objective - waited
+        longer = OWNER_WAIT_SHARE * ticket.objective - waited
         if longer > 0 and home is not None and home.reads_in_time(ticket, now, after=longer):
             return None
-        if waited < PREFIX_WAIT * ticket.objective:
-            candidates = [room for room in candidates if room.unread_seconds < HUNGRY_SECONDS]
+        if waited < PREFIX_WAIT_SHARE * ticket.objective:
+            candidates = [room for room in candidates if room.unread_seconds < NEARLY_IDLE_SECONDS]
         return self._emptiest(candidates) if candidates else None
 
     def _home(self, ticket: Ticket, openings: Openings, now: float) -> ReplicaRoom | None:
@@ -168,7 +168,7 @@
         if ticket.avoid:
             return _preferred(ticket, serving)
         among = frozenset(room.name for room in serving)
-        if among != self._homes_among or len(self._homes) >= MOST_HOMES:
+        if among != self._homes_among or len(self._homes) >= MAX_PREFIX_OWNERS:
             self._homes_among = among
             self._homes = {}
         if ticket.prefix not in self._homes:
--- a/railsail/scheduling/retries.py
+++ b/railsail/scheduling/retries.py
@@ -1,18 +1,18 @@
 """A budget that keeps retries from multiplying the load of a fleet that fails."""
 
 RATIO = 0.1
-MOST_TOKENS = 10.0
+MAX_TOKENS = 10.0
 
 
 class RetryBudget:
     """Allow one retry for every ten requests, and at most ten at once."""
 
     def __init__(self) -> None:
-        self._tokens = MOST_TOKENS
+        self._tokens = MAX_TOKENS
 
     def request(self) -> None:
         """Record the first attempt of a request."""
-        self._tokens = min(MOST_TOKENS, self._tokens + RATIO)
+        self._tokens = min(MAX_TOKENS, self._tokens + RATIO)
 
     def allow(self) -> bool:
         """Return True if a retry may be made, and take it out of the budget."""
--- a/railsail/scheduling/returning.py
+++ b/railsail/scheduling/returning.py
@@ -15,13 +15,13 @@
 
 # A retry may arrive this many seconds later than the refusal said: its caller needs time for a new
 # connection, and the request needs time to reach the dispatcher.
-COME_BACK_SLACK_SECONDS = 1.0
+RETRY_SLACK_SECONDS = 1.0
 # Refusals that are remembered; the oldest are dropped when there are more. An overload of 2,000
 # refusals a second whose callers retry after 4 s needs fewer.
-MOST_REMEMBERED = 16_384
+MAX_REMEMBERED = 16_384
 # A retry may wait for this many times its objective. A late answer is better than another refusal,
 # but callers leave after a few objectives.
-RETURN_WAIT_OBJECTIVES = 2.0
+RETRY_WAIT_OBJECTIVES = 2.0
 
 
 class RefusedCallers:
@@ -35,10 +35,10 @@
         """Record a refused request whose caller was asked to retry after ``come_back`` seconds."""
         if not fingerprint:
             return
-        if len(self._until) >= MOST_REMEMBERED:
+        if len(self._until) >= MAX_REMEMBERED:
             self._forget_oldest()
         self._awaited[fingerprint] += 1
-        self._until.append((now + come_back + COME_BACK_SLACK_SECONDS, fingerprint))
+        self._until.append((now + come_back + RETRY_SLACK_SECONDS, fingerprint))
 
     def comes_back(self, fingerprint: int, now: float) -> bool:
         """Return True if a request that arrives now was refused before, and drop that refusal."""
--- a/railsail/scheduling/returns.py
+++ b/railsail/scheduling/returns.py
@@ -15,15 +15,15 @@
 # differences between the times that retries take to reach the fleet.
 STEP_SECONDS = 0.25
 # No caller retries sooner than this, in seconds: what waits now has started by then.
-SOONEST_SECONDS = 0.5
+MIN_RETRY_SECONDS = 0.5
 # The part of the replicas' prefill capacity that is planned for retries; the rest is for first
 # attempts. With twice as much, callers retried during the overload in which they were refused.
-RETURN_SHARE = 0.1
+RETRY_SHARE = 0.1
 # An overload has ended when no caller was refused for this many seconds.
-PAUSE_SECONDS = 1.0
+OVERLOAD_PAUSE_SECONDS = 1.0
 # However long an overload has lasted, the minimum delay that follows from it is at most this part
 # of the time within which the caller would retry.
-MOST_SOONEST_SHARE = 0.5
+MAX_EXTRAPOLATED_SHARE = 0.5
 
 
 class ReturnPlan:
@@ -42,11 +42,11 @@
 
         An overload that has lasted for a while is expected to last as long again.
         """
-        if now - self._refused_at > PAUSE_SECONDS:
+        if now - self._refused_at > OVERLOAD_PAUSE_SECONDS:
             self._since = now
         self._refused_at = now
-        lasted = min(now - self._since, MOST_SOONEST_SHARE * within)
-        return min(max(SOONEST_SECONDS, lasted), within)
+        lasted = min(now - self._since, MAX_EXTRAPOLATED_SHARE * within)
+        return min(max(MIN_RETRY_SECONDS, lasted), within)
 
     def promise(self, tokens: int, within: float, rate: float, now: float) -> float:
         """Return after how many seconds a caller with a prompt of ``tokens`` should retry.
@@ -60,7 +60,7 @@
         soonest = min(int(least / STEP_SECONDS), latest - 1)
         while len(self._steps) < latest:
             self._steps.append(0.0)
-        step = self._choose(soonest, latest, RETURN_SHARE * rate * STEP_SECONDS)
+        step = self._choose(soonest, latest, RETRY_SHARE * rate * STEP_SECONDS)
         self._steps[step] += max(1, tokens)
         after = (step + self._rng.random()) * STEP_SECONDS
         return min(max(after, least), within)
--- a/railsail/scheduling/room.py
+++ b/railsail/scheduling/room.py
@@ -15,58 +15,58 @@
 from railsail.scheduling.tickets import Ticket, TicketKey
 from railsail.scheduling.warmup import Warmup
 
-LEAST_LIMIT = 1.0
+MIN_LIMIT = 1.0
 # A replica is given one call beyond its slots for each of this many slots, and at least one. These
 # calls wait in its queue, so that no slot is idle for a round trip.
-OVERLAP_SHARE = 24
+SLOTS_PER_QUEUED_CALL = 24
 # In an overload, one of this many slots is reserved for workspaces below their share, whose
 # requests are rare and can wait only for a moment. Without the reserve, a workspace that requested
 # a third of a cell was served an eighth of its requests beside one that overloaded the cell, with
 # it over 95% (simulated cell of 48 slots).
-SLOTS_A_RESERVED_ONE = 12
+SLOTS_PER_RESERVED_ONE = 12
 # The limit on calls of a replica that does not report its slots: its initial value, its maximum,
 # and its factor after a slow or failed call.
-FIRST_LIMIT = 4.0
-MOST_LIMIT = 4096.0
-DECREASE = 0.7
+INITIAL_LIMIT = 4.0
+MAX_LIMIT = 4096.0
+DECREASE_FACTOR = 0.7
 # A call that takes this many times the mean duration shows that the replica is overloaded.
 SLOW_FACTOR = 3.0
 # The numbers of own calls in flight are remembered for this many seconds, to distinguish them from
 # the calls of others in a report that lags.
 REPORT_LAG_SECONDS = 2.0
 # Smoothing factor of the mean duration of a call.
-USUAL_TIME_GAIN = 0.1
+MEAN_DURATION_GAIN = 0.1
 # Prompt tokens that a replica prefills per second: the assumed rate before any answer, and the
 # lowest rate that is assumed later.
-FIRST_READ_RATE = 120_000.0
-LEAST_READ_RATE = 10_000.0
+INITIAL_PREFILL_RATE = 120_000.0
+MIN_PREFILL_RATE = 10_000.0
 # The part of the earlier prefill observations that is kept at each new answer.
-READ_MEMORY = 0.98
+PREFILL_MEMORY = 0.98
 # The base latency is the shortest time to the start of an answer. It grows by this factor with each
 # answer, so that it follows a replica that becomes slower.
-BASE_GROWTH = 1.002
+BASE_LATENCY_GROWTH = 1.002
 # The pending prefill of a replica, together with the prompt of a new request, may take this part of
 # the request's objective.
-READ_SHARE = 0.4
+PREFILL_SHARE = 0.4
 # A workspace without other prompts pending prefill may use this part instead, and so may one that
 # is below its share in an overload: it must not be refused because of what others sent before it. A
 # prompt whose long prefix is cached may as well, because it adds little to the pending prefill
 # here, and would add all of its tokens elsewhere.
-MORE_READ_SHARE = 0.6
+RAISED_PREFILL_SHARE = 0.6
 # Everything that passes before the answer starts may take this part of the objective.
 ANSWER_SHARE = 0.8
 # In an overload, a workspace that has had its share may use only this part. That leaves the rest to
 # others and keeps a replica busy: it is 40 ms of the shortest objectives, and a round trip takes 10
 # ms.
-LESS_READ_SHARE = 0.15
+REDUCED_PREFILL_SHARE = 0.15
 # A prompt whose own prefill takes longer than this part of the objective would never find a replica
 # that can start its answer in time. It counts as this part only, so that it is answered, although
 # late.
-LARGEST_SHARE = 0.25
+MAX_OWN_PREFILL_SHARE = 0.25
 # A prompt prefix of this many tokens is worth waiting for the replica that has it cached.
 LONG_PREFIX_TOKENS = 1000
 # Prompt prefixes that are remembered as cached on a replica; the oldest are dropped.
-MOST_PREFIXES = 4096
+MAX_PREFIXES = 4096
 # A replica with pending answers that has started none for this many seconds is given no calls.
 SILENT_SECONDS = 0.8
 
@@ -113,7 +113,7 @@
         self.region = ""
         self.foreign = 0
         self._slots = slots
-        self._limit = FIRST_LIMIT
+        self._limit = INITIAL_LIMIT
         self.health = ReplicaHealth()
         self.warmup = Warmup()
         self._usual_time = 0.0
@@ -121,7 +121,7 @@
         self._unread: dict[TicketKey, Unread] = {}
         self._unread_tokens = 0
         self._base_seconds = 0.0
-        self._read_tokens = FIRST_READ_RATE
+        self._read_tokens = INITIAL_PREFILL_RATE
         self._read_seconds = 1.0
         self._answered_at = 0.0
         self._prefixes: OrderedDict[int, None] = OrderedDict()
@@ -133,11 +133,11 @@
 
     def overlap(self) -> int:
         """Return how many calls may be queued at the replica to keep its slots busy."""
-        return max(1, int(self.limit) // OVERLAP_SHARE)
+        return max(1, int(self.limit) // SLOTS_PER_QUEUED_CALL)
 
     def reserve(self) -> int:
         """Return the slots reserved in an overload for workspaces below their share."""
-        return int(self.limit) // SLOTS_A_RESERVED_ONE
+        return int(self.limit) // SLOTS_PER_RESERVED_ONE
 
     def serves(self, now: float) -> bool:
         """Return True if the replica may be given calls at all."""
@@ -169,7 +169,7 @@
     @property
     def read_rate(self) -> float:
         """Return the prompt tokens that the replica prefills per second."""
-        return max(LEAST_READ_RATE, self._read_tokens / self._read_seconds)
+        return max(MIN_PREFILL_RATE, self._read_tokens / self._read_seconds)
 
     def to_read(self, ticket: Ticket) -> int:
         """Return the tokens of a prompt that the replica probably does not have cached."""
@@ -189,7 +189,7 @@
         if not ticket.prompt_tokens or not ticket.objective or not self._unread_tokens:
             return True
         share = share or self._usual_share(ticket)
-        own = min(self.to_read(ticket) / self.read_rate, LARGEST_SHARE * ticket.objective)
+        own = min(self.to_read(ticket) / self.read_rate, MAX_OWN_PREFILL_SHARE * ticket.objective)
         seconds = max(0.0, self.unread_seconds - after) + own
         waited = now + after - ticket.enqueued_at
         left = ANSWER_SHARE * ticket.objective - waited - self._base_seconds
@@ -197,7 +197,7 @@
 
     def _usual_share(self, ticket: Ticket) -> float:
         keeps = ticket.shared_tokens >= LONG_PREFIX_TOKENS and self.has_prefix(ticket.prefix)
-        return MORE_READ_SHARE if keeps else READ_SHARE
+        return RAISED_PREFILL_SHARE if keeps else PREFILL_SHARE
 
     def keep_prefix(self, ticket: Ticket) -> None:
         """Record that the replica will have the prefix of a prompt cached."""
@@ -205,7 +205,7 @@
             return
         self._prefixes[ticket.prefix] = None
         self._prefixes.move_to_end(ticket.prefix)
-        if len(self._prefixes) > MOST_PREFIXES:
+        if len(self._prefixes) > MAX_PREFIXES:
             self._prefixes.popitem(last=False)
 
     def has_prefix(self, prefix: int) -> bool:
@@ -230,10 +230,10 @@
         if unread is None or unread.tokens <= 1:
             return
         seconds = now - unread.since
-        base = self._base_seconds * BASE_GROWTH
+        base = self._base_seconds * BASE_LATENCY_GROWTH
         self._base_seconds = min(seconds, base) if base else seconds
-        self._read_tokens = self._read_tokens * READ_MEMORY + unread.ahead
-        self._read_seconds *= READ_MEMORY
+        self._read_tokens = self._read_tokens * PREFILL_MEMORY + unread.ahead
+        self._read_seconds *= PREFILL_MEMORY
         self._read_seconds += max(0.0, seconds - self._base_seconds)
 
     def forget(self, key: TicketKey) -> None:
@@ -250,7 +250,7 @@
 
     def fullness(self) -> float:
         """Return the calls per slot, own and those of others; 1.0 is full."""
-        return (self.in_flight + self.foreign) / max(self.limit, LEAST_LIMIT)
+        return (self.in_flight + self.foreign) / max(self.limit, MIN_LIMIT)
 
     def started(self, now: float) -> None:
         """Record a granted call."""
@@ -271,14 +271,14 @@
         if self._usual_time == 0.0:
             self._usual_time = seconds
         if seconds > SLOW_FACTOR * self._usual_time:
-            self._limit = max(LEAST_LIMIT, self._limit * DECREASE)
+            self._limit = max(MIN_LIMIT, self._limit * DECREASE_FACTOR)
         elif self.in_flight + 1 >= int(self._limit):
-            self._limit = min(MOST_LIMIT, self._limit + 1 / self._limit)
-        self._usual_time += USUAL_TIME_GAIN * (seconds - self._usual_time)
+            self._limit = min(MAX_LIMIT, self._limit + 1 / self._limit)
+        self._usual_time += MEAN_DURATION_GAIN * (seconds - self._usual_time)
 
     def failed(self, now: float, result: CallResult, peers: Peers) -> None:
         """Record a call that failed or was refused; enough of them eject the replica."""
-        self._limit = max(LEAST_LIMIT, self._limit * DECREASE)
+        self._limit = max(MIN_LIMIT, self._limit * DECREASE_FACTOR)
         self.health.failed(now, result, peers)
 
     def reported(self, now: float, report: LoadReport) -> None:
--- a/railsail/scheduling/tickets.py
+++ b/railsail/scheduling/tickets.py
@@ -12,7 +12,7 @@
 # missed its objective already, while the others can still meet theirs, and a late answer is better
 # than another refusal. In a load test with 62 nodes, of 7,729 requests to an overloaded route 2,913
 # were answered in time where retries were served first, and 4,516 where they were served last.
-RETURNED_SECONDS = 60.0
+RETRY_DEFERRAL_SECONDS = 60.0
 
 TicketKey = tuple[str, int]
 
@@ -91,5 +91,5 @@
         """
         due = self.enqueued_at + WAIT_SHARE * self.objective
         if self.returned:
-            due += RETURNED_SECONDS
+            due += RETRY_DEFERRAL_SECONDS
         return due - self.rank * SECONDS_PER_RANK
--- a/railsail/scheduling/usage.py
+++ b/railsail/scheduling/usage.py
@@ -18,7 +18,7 @@
 
 # The level of shares is computed again after this many seconds. It changes by a few hundredths of
 # the window in that time; computing it for each ticket takes 30 microseconds with 30 workspaces.
-LEVEL_SECONDS = 0.05
+LEVEL_INTERVAL_SECONDS = 0.05
 # The window is kept in two halves; the older one is dropped when the newer one is full.
 HALVES = 2
 
@@ -81,7 +81,7 @@
         """Return what each workspace may be served in the window, in cost units per weight."""
         if now >= self._level_until:
             self._turn(now)
-            self._level_until = now + LEVEL_SECONDS
+            self._level_until = now + LEVEL_INTERVAL_SECONDS
             shares = self._shares()
             wanted = [(share.asked, self._weight_of(share.workspace)) for share in shares]
             self._level = max_min_level(wanted, sum(share.served for share in shares))
--- a/railsail/scheduling/warmup.py
+++ b/railsail/scheduling/warmup.py
@@ -16,13 +16,13 @@
 import msgspec
 
 # Dispatchers that may serve one cell at the same time while one takes over from another.
-DISPATCHERS_AT_ONCE = 2
+MAX_DISPATCHERS = 2
 # The bound on the calls of a cold replica holds for any window of this many seconds. An older call,
 # which an earlier dispatcher may have granted, does not count.
 BOUND_WINDOW_SECONDS = 1.0
 # A call that is granted at most this many seconds after it was allowed does not delay the next one:
 # a dispatcher checks its queue about this often.
-LATE_SECONDS = 0.01
+MAX_LATENESS_SECONDS = 0.01
 
 
 class WarmupBound(msgspec.Struct, frozen=True):
@@ -43,7 +43,7 @@
         """Return the calls per second that one dispatcher for the whole fleet may send."""
         most = self.per_second * self.over + self.slack
         # Evenly spaced calls may exceed their rate by one in some window.
-        return max(0.0, min(self.per_second, most / DISPATCHERS_AT_ONCE - 1))
+        return max(0.0, min(self.per_second, most / MAX_DISPATCHERS - 1))
 
 
 class Warmup:
@@ -77,4 +77,4 @@
         if not self.cold(now):
             self._next_at = now + gap
         elif now > self._next_at - BOUND_WINDOW_SECONDS:
-            self._next_at = max(self._next_at, now - LATE_SECONDS) + gap
+            self._next_at = max(self._next_at, now - MAX_LATENESS_SECONDS) + gap
--- a/tests/scheduling/test_newversions.py
+++ b/tests/scheduling/test_newversions.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from railsail.scheduling.newversions import HOLD_SECONDS, MOST_VERSIONS, RECENT_SECONDS, NewVersions
+from railsail.scheduling.newversions import HOLD_SECONDS, MAX_VERSIONS, RECENT_SECONDS, NewVersions
 
 
 class NewVersionsTests(unittest.TestCase):
@@ -50,6 +50,6 @@
         self.assertEqual(self.versions.held("r"), {})
 
     def test_number_of_remembered_versions_is_bounded(self):
-        for number in range(MOST_VERSIONS + 5):
+        for number in range(MAX_VERSIONS + 5):
             self.versions.observe("p", {"old": 50.0, f"v{number}": 0.0}, float(number))
-        self.assertLessEqual(len(self.versions.held("p")), MOST_VERSIONS)
+        self.assertLessEqual(len(self.versions.held("p")), MAX_VERSIONS)
--- a/tests/scheduling/test_overflow.py
+++ b/tests/scheduling/test_overflow.py
@@ -10,12 +10,12 @@
 from railsail.scheduling.dispatcher import CellDispatcher
 from railsail.scheduling.fairqueue import FairQueue
 from railsail.scheduling.overflow import (
-    ASK_PAUSE_SECONDS,
-    LEAST_WAITED_SECONDS,
-    MOST_ASKED,
-    OFFER_SECONDS,
-    PRESSED_SECONDS,
-    REPEAT_SECONDS,
+    MAX_REQUESTED_TICKETS,
+    MIN_WAITED_SECONDS,
+    OFFER_LIFETIME_SECONDS,
+    OVERLOAD_LINGER_SECONDS,
+    REPORT_INTERVAL_SECONDS,
+    REQUEST_INTERVAL_SECONDS,
     WAY_SECONDS,
     Overflow,
 )
@@ -50,8 +50,8 @@
         self.overflow.pressed(NOW)
         self.assertEqual(self.overflow.news(5, NOW), 5)
         self.assertIsNone(self.overflow.news(7, NOW + 0.1))
-        self.overflow.pressed(NOW + REPEAT_SECONDS)
-        self.assertEqual(self.overflow.news(7, NOW + 1.1 * REPEAT_SECONDS), 7)
+        self.overflow.pressed(NOW + REPORT_INTERVAL_SECONDS)
+        self.assertEqual(self.overflow.news(7, NOW + 1.1 * REPORT_INTERVAL_SECONDS), 7)
 
     def test_overload_is_reported_where_all_is_refused_and_nothing_waits(self):
         self.overflow.pressed(NOW)
@@ -60,9 +60,9 @@
     def test_end_of_an_overload_is_reported_once(self):
         self.overflow.pressed(NOW)
         self.overflow.news(5, NOW)
-        self.assertIsNone(self.overflow.news(0, NOW + 0.5 * PRESSED_SECONDS))
-        self.assertEqual(self.overflow.news(0, NOW + 1.1 * PRESSED_SECONDS), 0)
-        self.assertIsNone(self.overflow.news(0, NOW + 2 * PRESSED_SECONDS))
+        self.assertIsNone(self.overflow.news(0, NOW + 0.5 * OVERLOAD_LINGER_SECONDS))
+        self.assertEqual(self.overflow.news(0, NOW + 1.1 * OVERLOAD_LINGER_SECONDS), 0)
+        self.assertIsNone(self.overflow.news(0, NOW + 2 * OVERLOAD_LINGER_SECONDS))
 
 
 class AskTests(unittest.TestCase):
@@ -89,9 +89,9 @@
 
     def test_requests_are_bounded_in_size_and_rate(self):
         self.overflow.told(SOUTH, 3, NOW)
-        self.assertEqual(self.asked(0, 500), (SOUTH, MOST_ASKED))
-        self.assertIsNone(self.asked(0, 500, NOW + 0.5 * ASK_PAUSE_SECONDS))
-        self.assertIsNotNone(self.asked(0, 500, NOW + 1.1 * ASK_PAUSE_SECONDS))
+        self.assertEqual(self.asked(0, 500), (SOUTH, MAX_REQUESTED_TICKETS))
+        self.assertIsNone(self.asked(0, 500, NOW + 0.5 * REQUEST_INTERVAL_SECONDS))
+        self.assertIsNotNone(self.asked(0, 500, NOW + 1.1 * REQUEST_INTERVAL_SECONDS))
 
     def test_overloaded_cell_sends_no_request(self):
         self.overflow.told(SOUTH, 3, NOW)
@@ -100,7 +100,7 @@
 
     def test_report_that_is_not_repeated_expires(self):
         self.overflow.told(SOUTH, 3, NOW)
-        self.assertIsNone(self.asked(0, 500, NOW + 2.1 * REPEAT_SECONDS))
+        self.assertIsNone(self.asked(0, 500, NOW + 2.1 * REPORT_INTERVAL_SECONDS))
 
 
 class PassTests(unittest.TestCase):
@@ -128,9 +128,9 @@
         self.assertEqual(self.overflow.taker(ticket(1), NOW), SOUTH)
 
     def test_offer_expires(self):
-        self.overflow.offered(SOUTH, 2, NOW - 0.5 * OFFER_SECONDS)
+        self.overflow.offered(SOUTH, 2, NOW - 0.5 * OFFER_LIFETIME_SECONDS)
         self.assertEqual(self.passed(queue(ticket(1))), [1])
-        self.assertEqual(self.passed(queue(ticket(2)), now=NOW + OFFER_SECONDS), [])
+        self.assertEqual(self.passed(queue(ticket(2)), now=NOW + OFFER_LIFETIME_SECONDS), [])
 
     def test_ticket_that_would_expire_during_the_move_stays(self):
         self.overflow.offered(SOUTH, 2, NOW)
@@ -143,7 +143,7 @@
 
     def test_ticket_that_has_just_arrived_stays(self):
         self.overflow.offered(SOUTH, 2, NOW)
-        self.assertEqual(self.passed(queue(ticket(1, waited=0.5 * LEAST_WAITED_SECONDS))), [])
+        self.assertEqual(self.passed(queue(ticket(1, waited=0.5 * MIN_WAITED_SECONDS))), [])
 
     def test_ticket_moves_only_to_its_allowed_regions(self):
         self.overflow.offered(SOUTH, 9, NOW)
@@ -162,8 +162,8 @@
 
     def setUp(self):
         self.cells = {NORTH: self.full(), SOUTH: self.full()}
-        self.cells[NORTH].overflow.offered(SOUTH, MOST_ASKED, NOW)
-        self.cells[SOUTH].overflow.offered(NORTH, MOST_ASKED, NOW)
+        self.cells[NORTH].overflow.offered(SOUTH, MAX_REQUESTED_TICKETS, NOW)
+        self.cells[SOUTH].overflow.offered(NORTH, MAX_REQUESTED_TICKETS, NOW)
 
     def full(self) -> CellDispatcher:
         """Return a cell that grants no more tickets of workspace ``one``."""
@@ -179,7 +179,7 @@
     def moves(self, placed: Ticket) -> int:
         """Return how many times ``placed``, whose entry is in the north, is moved from there."""
         at, other, now = NORTH, SOUTH, NOW
-        for count in range(MOST_ASKED):
+        for count in range(MAX_REQUESTED_TICKETS):
             (decision,) = self.cells[at].put(placed, now)
             self.tell(other, at, now)
             if not isinstance(decision, Move):
@@ -188,7 +188,7 @@
             now += WAY_SECONDS / 2
             placed = replace(placed, enqueued_at=now - waited)
             at, other = other, at
-        return MOST_ASKED
+        return MAX_REQUESTED_TICKETS
 
     def tell(self, source: Cell, target: Cell, now: float) -> None:
         """Report the overload of ``source`` to ``target``, behind any ticket of the same time."""
--- a/tests/scheduling/test_placing.py
+++ b/tests/scheduling/test_placing.py
@@ -4,14 +4,21 @@
 import unittest
 from dataclasses import replace
 
-from railsail.scheduling.placing import HOME_WAIT, Placing, _preferred, look
-from railsail.scheduling.room import FIRST_READ_RATE, LARGEST_SHARE, READ_SHARE, ReplicaRoom
+from railsail.scheduling.placing import OWNER_WAIT_SHARE, Placing, _preferred, look
+from railsail.scheduling.room import (
+    INITIAL_PREFILL_RATE,
+    MAX_OWN_PREFILL_SHARE,
+    PREFILL_SHARE,
+    ReplicaRoom,
+)
 from railsail.scheduling.tickets import Ticket
 
 OBJECTIVE = 0.4
 # The largest pending prefill, in tokens, with which a replica is still given one of the prompts
-# below. The prefill of such a prompt counts only as ``LARGEST_SHARE`` of its objective.
-MOST_UNREAD = round((READ_SHARE - LARGEST_SHARE) * OBJECTIVE * FIRST_READ_RATE)
+# below. The prefill of such a prompt counts only as ``MAX_OWN_PREFILL_SHARE`` of its objective.
+MAX_PENDING_PREFILL = round(
+    (PREFILL_SHARE - MAX_OWN_PREFILL_SHARE) * OBJECTIVE * INITIAL_PREFILL_RATE
+)
 
 
 def draft(number: int, prefix: int, now: float = 0.0) -> Ticket:
@@ -73,22 +80,22 @@
 
     def test_ticket_waits_for_an_owner_that_is_free_soon_though_others_are_idle(self):
         # It prefills 120,000 tokens a second: the 2,400 too many are done after 20 ms.
-        self.fill_home(MOST_UNREAD + 2_400)
+        self.fill_home(MAX_PENDING_PREFILL + 2_400)
         self.assertIsNone(self.choose(draft(1, 7)))
 
     def test_ticket_waits_for_the_owner_a_tenth_of_its_objective_at_most(self):
-        home = self.fill_home(MOST_UNREAD + 2_400)
-        self.assertIsNone(self.choose(draft(1, 7), HOME_WAIT * OBJECTIVE - 0.021))
-        self.assertIsNot(self.choose(draft(1, 7), HOME_WAIT * OBJECTIVE), home)
+        home = self.fill_home(MAX_PENDING_PREFILL + 2_400)
+        self.assertIsNone(self.choose(draft(1, 7), OWNER_WAIT_SHARE * OBJECTIVE - 0.021))
+        self.assertIsNot(self.choose(draft(1, 7), OWNER_WAIT_SHARE * OBJECTIVE), home)
 
     def test_ticket_waits_as_long_for_an_owner_without_a_free_slot(self):
         home = _preferred(draft(1, 7), self.rooms)
         home.in_flight = 9
         self.assertIsNone(self.choose(draft(1, 7)))
-        self.assertIsNot(self.choose(draft(1, 7), HOME_WAIT * OBJECTIVE), None)
+        self.assertIsNot(self.choose(draft(1, 7), OWNER_WAIT_SHARE * OBJECTIVE), None)
 
     def test_cached_prefix_may_join_a_longer_queue(self):
-        home = self.fill_home(MOST_UNREAD + 5_000)
+        home = self.fill_home(MAX_PENDING_PREFILL + 5_000)
         home.keep_prefix(draft(1, 7))
         self.assertIs(self.choose(draft(1, 7)), home)
 
@@ -131,7 +138,7 @@
     def test_ticket_leaves_its_region_neither_when_full_nor_after_a_failure(self):
         for room in self.rooms[3:]:
             room.started(0.0)
-            room.expect(("x", 1), 10 * MOST_UNREAD, 0.0)
+            room.expect(("x", 1), 10 * MAX_PENDING_PREFILL, 0.0)
         self.assertEqual(self.regions(regions=("south",), avoid="d"), {""})
 
     def test_ticket_without_regions_goes_to_any_region(self):
--- a/tests/scheduling/test_returning.py
+++ b/tests/scheduling/test_returning.py
@@ -6,9 +6,9 @@
 from railsail.scheduling.decisions import Grant, Hold, Refusal
 from railsail.scheduling.dispatcher import CellDispatcher
 from railsail.scheduling.returning import (
-    COME_BACK_SLACK_SECONDS,
-    MOST_REMEMBERED,
-    RETURN_WAIT_OBJECTIVES,
+    MAX_REMEMBERED,
+    RETRY_SLACK_SECONDS,
+    RETRY_WAIT_OBJECTIVES,
     RefusedCallers,
 )
 from railsail.scheduling.tickets import Ticket
@@ -29,7 +29,7 @@
 
     def test_refusal_is_dropped_when_the_retry_is_too_late(self):
         self.refused.refused(7, 2.0, 0.0)
-        self.assertFalse(self.refused.comes_back(7, 2.1 + COME_BACK_SLACK_SECONDS))
+        self.assertFalse(self.refused.comes_back(7, 2.1 + RETRY_SLACK_SECONDS))
 
     def test_equal_requests_are_recognized_as_often_as_they_were_refused(self):
         for _ in range(3):
@@ -41,10 +41,10 @@
         self.assertFalse(self.refused.comes_back(0, 1.0))
 
     def test_number_of_remembered_refusals_is_bounded(self):
-        for number in range(MOST_REMEMBERED + 10):
+        for number in range(MAX_REMEMBERED + 10):
             self.refused.refused(number + 1, 2.0, 0.0)
         self.assertFalse(self.refused.comes_back(1, 1.0))
-        self.assertTrue(self.refused.comes_back(MOST_REMEMBERED + 10, 1.0))
+        self.assertTrue(self.refused.comes_back(MAX_REMEMBERED + 10, 1.0))
 
 
 class FloodTests(unittest.TestCase):
@@ -115,7 +115,7 @@
         self.assertTrue(first and again)
         # A first attempt is refused within its maximum wait and one step of the queue.
         self.assertLess(max(first), self.OBJECTIVE / 5 + 0.011)
-        self.assertLess(max(again), RETURN_WAIT_OBJECTIVES * self.OBJECTIVE + 0.011)
+        self.assertLess(max(again), RETRY_WAIT_OBJECTIVES * self.OBJECTIVE + 0.011)
         # Each refused first attempt was retried, and the retry was recognized.
         self.assertEqual(held, len(first))
 
@@ -139,7 +139,7 @@
         self.assertIn(77, [refusal.ticket.fingerprint for refusal in refusals])
         (hold,) = self.dispatcher.offer(self.ticket(77, 1.0), 1.0)
         self.assertIsInstance(hold, Hold)
-        self.assertAlmostEqual(hold.ticket.patience, RETURN_WAIT_OBJECTIVES * self.OBJECTIVE)
+        self.assertAlmostEqual(hold.ticket.patience, RETRY_WAIT_OBJECTIVES * self.OBJECTIVE)
 
 
 if __name__ == "__main__":
--- a/tests/scheduling/test_returns.py
+++ b/tests/scheduling/test_returns.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from railsail.scheduling.returns import RETURN_SHARE, SOONEST_SECONDS, STEP_SECONDS, ReturnPlan
+from railsail.scheduling.returns import MIN_RETRY_SECONDS, RETRY_SHARE, STEP_SECONDS, ReturnPlan
 
 RATE = 100_000.0
 
@@ -16,23 +16,23 @@
         return self.plan.promise(tokens, within, RATE, now)
 
     def test_first_caller_retries_soon(self):
-        self.assertLess(self.promise(), SOONEST_SECONDS + STEP_SECONDS)
+        self.assertLess(self.promise(), MIN_RETRY_SECONDS + STEP_SECONDS)
 
     def test_delay_is_within_the_minimum_and_the_time_of_the_caller(self):
         for number in range(400):
             within = 0.5 + number % 10
             after = self.promise(within=within)
             self.assertLessEqual(after, within)
-            self.assertGreaterEqual(after, SOONEST_SECONDS)
+            self.assertGreaterEqual(after, MIN_RETRY_SECONDS)
 
     def test_caller_with_little_time_left_gets_all_of_it(self):
         self.assertEqual(self.promise(within=0.1), 0.1)
 
     def test_callers_refused_together_are_spread_by_the_prefill_rate(self):
         moments = sorted(self.promise(tokens=5_000) for _ in range(20))
-        # A second has capacity for RATE * RETURN_SHARE tokens: these need ten seconds, and have
+        # A second has capacity for RATE * RETRY_SHARE tokens: these need ten seconds, and have
         # five.
-        self.assertEqual(RATE * RETURN_SHARE, 10_000)
+        self.assertEqual(RATE * RETRY_SHARE, 10_000)
         self.assertGreater(moments[-1], 4.0)
         for first, second in zip(moments[::4], moments[4::4], strict=False):
             self.assertGreater(second - first, STEP_SECONDS)
@@ -58,7 +58,7 @@
     def test_past_steps_are_dropped(self):
         for _ in range(200):
             self.promise(tokens=20_000)
-        self.assertLess(self.promise(now=60.0), SOONEST_SECONDS + STEP_SECONDS)
+        self.assertLess(self.promise(now=60.0), MIN_RETRY_SECONDS + STEP_SECONDS)
         self.assertLessEqual(len(self.plan._steps), 5.0 / STEP_SECONDS)
 
 
--- a/tests/scheduling/test_warmup.py
+++ b/tests/scheduling/test_warmup.py
@@ -10,7 +10,7 @@
 from railsail.scheduling.warmup import Warmup, WarmupBound
 
 BOUND = WarmupBound(per_second=18.0, seconds=3.0, over=1.5, slack=5.0)
-MOST_IN_A_SECOND = BOUND.per_second * BOUND.over + BOUND.slack
+MAX_IN_A_SECOND = BOUND.per_second * BOUND.over + BOUND.slack
 
 
 def most_in_a_second(times: list[float]) -> int:
@@ -35,11 +35,11 @@
     def test_cold_replica_is_given_calls_at_its_rate(self):
         self.warmup.cold_for(3.0, 0.0)
         times = self.calls(3.0)
-        self.assertLessEqual(2 * most_in_a_second(times), MOST_IN_A_SECOND)
+        self.assertLessEqual(2 * most_in_a_second(times), MAX_IN_A_SECOND)
         self.assertGreaterEqual(len(times), 2.8 * BOUND.rate)
 
     def test_two_dispatchers_together_stay_within_the_bound(self):
-        self.assertLessEqual(2 * BOUND.rate, MOST_IN_A_SECOND)
+        self.assertLessEqual(2 * BOUND.rate, MAX_IN_A_SECOND)
 
     def test_part_of_a_fleet_gets_its_share_of_the_bound(self):
         self.warmup.cold_for(10.0, 0.0)
@@ -89,7 +89,7 @@
             self.dispatcher.set_cold(name, 3.0, 0.0)
         self.flood(0.0, 3.0)
         for name in cold:
-            self.assertLessEqual(2 * most_in_a_second(self.granted[name]), MOST_IN_A_SECOND)
+            self.assertLessEqual(2 * most_in_a_second(self.granted[name]), MAX_IN_A_SECOND)
             self.assertGreaterEqual(len(self.granted[name]), 40)
 
     def test_replicas_are_fully_used_after_the_cold_time(self):
