--- a/benchmarks/regions.py
+++ b/benchmarks/regions.py
@@ -26,7 +26,7 @@
 from railsail.scheduling.health import CallResult
 from railsail.scheduling.overflow import WAY_SECONDS, Overflow
 from railsail.scheduling.placing import Openings, Placing, ShareState
-from railsail.scheduling.room import LONG_PREFIX_TOKENS, ReplicaRoom
+from railsail.scheduling.room import LONG_PREFIX_TOKENS, ReplicaState
 from railsail.scheduling.tickets import WAIT_SHARE, Ticket
 
 REGIONS = ("costa", "oriente", "sierra")
@@ -108,7 +108,7 @@
 
 
 class NearFirst(Placing):
-    """Choose a replica in the region of the ticket's entry, another one where none has room."""
+    """Choose a replica in the region of the ticket's entry, or another one if none is free."""
 
     def choose(
         self,
@@ -116,7 +116,7 @@
         openings: Openings,
         now: float,
         standing: ShareState = ShareState.EVEN,
-    ) -> ReplicaRoom | None:
+    ) -> ReplicaState | None:
         """Return the replica that ``ticket`` is bound to, as ``Placing`` does."""
         near = dataclasses.replace(ticket, regions=(ticket.entry,))
         found = super().choose(near, openings, now, standing)
--- a/railsail/scheduling/dispatcher.py
+++ b/railsail/scheduling/dispatcher.py
@@ -17,7 +17,7 @@
 from railsail.scheduling.placing import NEARLY_IDLE_SECONDS, ShareState
 from railsail.scheduling.returning import RETRY_WAIT_OBJECTIVES, RefusedCallers
 from railsail.scheduling.returns import ReturnPlan
-from railsail.scheduling.room import LoadReport, ReplicaRoom
+from railsail.scheduling.room import LoadReport, ReplicaState
 from railsail.scheduling.tickets import Ticket, TicketKey
 from railsail.scheduling.usage import RecentUsage, Share
 from railsail.scheduling.versions import VersionPlacing
@@ -48,7 +48,7 @@
         overflow: Overflow | None = None,
     ) -> None:
         self.queue = FairQueue(weight_of)
-        self.replicas: dict[str, ReplicaRoom] = {}
+        self.replicas: dict[str, ReplicaState] = {}
         self.flights: dict[TicketKey, Flight] = {}
         self.served: dict[str, float] = {}
         self.overflow = overflow
@@ -85,8 +85,8 @@
             if name not in self.replicas:
                 self._add_replica(name, number)
         gone = set(leaving)
-        for name, room in self.replicas.items():
-            room.leaving = name in gone
+        for name, state in self.replicas.items():
+            state.leaving = name in gone
 
     def _set_life(self, name: str, life: int) -> None:
         before = self._lives.get(name, 0)
@@ -102,15 +102,15 @@
 
     def set_regions(self, regions: Mapping[str, str]) -> None:
         """Set the region of each replica."""
-        for name, room in self.replicas.items():
-            room.region = regions.get(name, "")
+        for name, state in self.replicas.items():
+            state.region = regions.get(name, "")
 
     def set_versions(self, versions: dict[str, str], held_until: Mapping[str, float]) -> None:
         """Set the software version of each replica, and the time until which versions are held."""
         self.versions.set_versions(versions)
-        for name, room in self.replicas.items():
+        for name, state in self.replicas.items():
             held = held_until.get(versions.get(name, ""), -math.inf)
-            room.held_until = -math.inf if self.versions.is_target(name) else held
+            state.held_until = -math.inf if self.versions.is_target(name) else held
 
     def set_order(self, order: Order | None, start: int) -> None:
         """Set the ``order`` of the active rollout, ``None`` for none.
@@ -127,31 +127,31 @@
         """Set the load that a cold replica sustains, and this dispatcher's part of the fleet."""
         self._bound = bound
         self._fleet_share = fleet_share
-        for room in self.replicas.values():
-            self._bind_warmup(room)
+        for state in self.replicas.values():
+            self._bind_warmup(state)
 
-    def _bind_warmup(self, room: ReplicaRoom) -> None:
-        room.warmup.bound = self._bound
-        room.warmup.share = self._fleet_share
+    def _bind_warmup(self, state: ReplicaState) -> None:
+        state.warmup.bound = self._bound
+        state.warmup.share = self._fleet_share
 
     def set_cold(self, replica: str, seconds: float, now: float) -> None:
         """Record that ``replica`` is cold for ``seconds`` from ``now`` on."""
-        room = self.replicas.get(replica)
-        if room is not None:
-            room.warmup.cold_for(seconds, now)
+        state = self.replicas.get(replica)
+        if state is not None:
+            state.warmup.cold_for(seconds, now)
 
     def _add_replica(self, name: str, slots: int) -> None:
-        room = ReplicaRoom(name, slots)
-        self._bind_warmup(room)
+        state = ReplicaState(name, slots)
+        self._bind_warmup(state)
         for key, flight in self.flights.items():
             if flight.replica == name:
-                room.in_flight += 1
-                self._expect(room, key, flight)
-        self.replicas[name] = room
+                state.in_flight += 1
+                self._expect(state, key, flight)
+        self.replicas[name] = state
 
-    def _expect(self, room: ReplicaRoom, key: TicketKey, flight: Flight) -> None:
+    def _expect(self, state: ReplicaState, key: TicketKey, flight: Flight) -> None:
         if flight.unread:
-            room.expect(key, flight.unread, flight.started_at)
+            state.record_pending(key, flight.unread, flight.started_at)
 
     def answered(self, key: TicketKey, now: float) -> None:
         """Record that the answer to a call in flight has started."""
@@ -160,9 +160,9 @@
             return
         self._has_begun(flight)
         flight.begun_at = flight.begun_at or now
-        room = self.replicas.get(flight.replica)
-        if room is not None:
-            room.answered(key, now)
+        state = self.replicas.get(flight.replica)
+        if state is not None:
+            state.answered(key, now)
 
     def offer(self, ticket: Ticket, now: float) -> list[Decision]:
         """Add a ticket, and return all decisions that can be made now."""
@@ -235,24 +235,24 @@
         openings = self.versions.look(self.replicas.values(), now)
         return self.versions.choose(ticket, openings, now) is not None
 
-    def open_rooms(self, now: float) -> Collection[ReplicaRoom]:
+    def open_rooms(self, now: float) -> Collection[ReplicaState]:
         """Return the replicas whose software version may run requests."""
         return self.versions.open_rooms(self.replicas.values(), now)
 
-    def _read_rate(self, now: float) -> float:
+    def _prefill_rate(self, now: float) -> float:
         """Return the prompt tokens per second that the replicas prefill which will serve retries.
 
         Cold replicas sustain too few calls to be counted beside warm ones.
         """
-        serving = [room for room in self.open_rooms(now) if room.serves(now)]
-        warm = [room for room in serving if not room.warmup.cold(now)]
-        return max(1.0, sum(room.read_rate for room in warm or serving))
+        serving = [state for state in self.open_rooms(now) if state.serves(now)]
+        warm = [state for state in serving if not state.warmup.cold(now)]
+        return max(1.0, sum(state.prefill_rate for state in warm or serving))
 
     def _refuse(self, ticket: Ticket, reason: Reason, now: float) -> Refusal:
         if not ticket.returns_within:
             return Refusal(ticket, reason)
         after = self._returns.promise(
-            ticket.prompt_tokens, ticket.returns_within, self._read_rate(now), now
+            ticket.prompt_tokens, ticket.returns_within, self._prefill_rate(now), now
         )
         self._refused.refused(ticket.fingerprint, after, now)
         return Refusal(ticket, reason, after)
@@ -297,18 +297,18 @@
         self._charge(flight.workspace, cost - flight.charged)
         self._usage.charge(flight.workspace, cost - flight.charged, now)
         self._has_begun(flight)
-        room = self.replicas.get(flight.replica)
+        state = self.replicas.get(flight.replica)
         if self.tallies is not None:
-            was_cold = room is not None and room.warmup.cold(flight.started_at)
+            was_cold = state is not None and state.warmup.cold(flight.started_at)
             self.tallies.ended(flight, now, result, was_cold)
-        if room is None:
+        if state is None:
             return True
-        room.forget(key)
-        room.ended(now)
+        state.drop_pending(key)
+        state.ended(now)
         if result is CallResult.GOOD:
-            room.succeeded(now, now - flight.started_at)
+            state.succeeded(now, now - flight.started_at)
         elif result.failed:
-            room.failed(now, result, self._peers_of(room, now))
+            state.failed(now, result, self._peers_of(state, now))
         return True
 
     def _has_begun(self, flight: Flight) -> None:
@@ -316,18 +316,18 @@
             flight.unread = 0
             self._unread[flight.workspace] -= 1
 
-    def _peers_of(self, room: ReplicaRoom, now: float) -> Peers:
-        """Return how the replicas do that ``room`` is compared with.
+    def _peers_of(self, state: ReplicaState, now: float) -> Peers:
+        """Return how the replicas do that ``state`` is compared with.
 
         Replicas that are draining no longer belong to the cell. Those that cannot be reached say
         nothing about error rates: when a failure domain is lost, a faulty replica is still the
         worst of those that answer.
         """
-        rooms = [other for other in self.replicas.values() if not other.leaving]
-        group = self.versions.group(room.name, rooms)
-        others = [other for other in group if other is not room]
+        states = [other for other in self.replicas.values() if not other.leaving]
+        group = self.versions.group(state.name, states)
+        others = [other for other in group if other is not state]
         # Failures on trial are those of the version, which is judged as a whole.
-        if not others or self.versions.on_trial(room.name, now):
+        if not others or self.versions.on_trial(state.name, now):
             return Peers(may_close=False)
         closed = sum(not other.serves(now) or other.health.tripped for other in others)
         shares = [other.health.error_share for other in others if not other.health.lost]
@@ -336,9 +336,9 @@
 
     def report(self, replica: str, report: LoadReport, now: float) -> None:
         """Apply a load report of ``replica``."""
-        room = self.replicas.get(replica)
-        if room is not None:
-            room.reported(now, report)
+        state = self.replicas.get(replica)
+        if state is not None:
+            state.apply_report(now, report)
 
     def resume_flight(self, key: TicketKey, flight: Flight) -> None:
         """Record a call in flight that an earlier dispatcher granted."""
@@ -348,10 +348,10 @@
         flight.software_version = self.versions.version_of(flight.replica)
         self.versions.granted(flight.replica, flight.started_at)
         self._unread[flight.workspace] += bool(flight.unread)
-        room = self.replicas.get(flight.replica)
-        if room is not None:
-            room.started(flight.started_at)
-            self._expect(room, key, flight)
+        state = self.replicas.get(flight.replica)
+        if state is not None:
+            state.started(flight.started_at)
+            self._expect(state, key, flight)
 
     def drop_entry(self, entry: str, now: float) -> None:
         """Drop all tickets and calls of an ``entry`` that is gone."""
@@ -398,11 +398,11 @@
         # granted in the meantime, so that replicas are not idle.
         for workspace in self.queue.workspaces()[:MAX_WORKSPACES_TRIED]:
             ticket = self.queue.head(workspace)
-            room = self.versions.choose(ticket, openings, now, self._standing(workspace, now))
-            if room is not None:
+            state = self.versions.choose(ticket, openings, now, self._standing(workspace, now))
+            if state is not None:
                 self.queue.take(ticket)
                 self._count(workspace, ticket.estimate)
-                return self._bind(ticket, room, now)
+                return self._bind(ticket, state, now)
         return None
 
     def _standing(self, workspace: str, now: float) -> ShareState:
@@ -418,37 +418,37 @@
         if len(self.queue) and self.queue.lead(ticket.workspace) > bound:
             return Refusal(ticket, Reason.NO_ROOM)
         openings = self.versions.look(self.replicas.values(), now, urgent=True)
-        room = self.versions.choose(ticket, openings, now)
-        if room is None:
+        state = self.versions.choose(ticket, openings, now)
+        if state is None:
             return Refusal(ticket, Reason.NO_ROOM)
         self.queue.lift(ticket.workspace)
         self._charge(ticket.workspace, ticket.estimate)
-        return self._bind(ticket, room, now)
+        return self._bind(ticket, state, now)
 
-    def _bind(self, ticket: Ticket, room: ReplicaRoom, now: float) -> Grant:
+    def _bind(self, ticket: Ticket, state: ReplicaState, now: float) -> Grant:
         # A call without a prompt counts as one token, because its answer has yet to start.
-        unread = max(1, room.to_read(ticket))
-        room.keep_prefix(ticket)
+        unread = max(1, state.prefill_tokens(ticket))
+        state.record_prefix(ticket)
         flight = Flight(
             ticket.attempt,
             ticket.workspace,
-            room.name,
+            state.name,
             ticket.estimate,
             now,
             unread,
             ticket.fingerprint,
             ticket.route,
-            self.versions.version_of(room.name),
+            self.versions.version_of(state.name),
         )
         self.flights[ticket.key] = flight
-        stage = self.versions.granted(room.name, now)
+        stage = self.versions.granted(state.name, now)
         if self.tallies is not None:
             self.tallies.arrivals += 1
         self._unread[ticket.workspace] += 1
         self._usage.charge(ticket.workspace, ticket.estimate, now)
-        room.started(now)
-        self._expect(room, ticket.key, flight)
-        return Grant(ticket, room.name, self.queue.counter(ticket.workspace), stage)
+        state.started(now)
+        self._expect(state, ticket.key, flight)
+        return Grant(ticket, state.name, self.queue.counter(ticket.workspace), stage)
 
     def _charge(self, workspace: str, cost: float) -> None:
         self.queue.charge(workspace, cost)
@@ -467,7 +467,7 @@
 
     def room(self, now: float) -> int:
         """Return how many more calls fit into the slots of the cell, without any queueing."""
-        return sum(room.can_begin(now) for room in self.open_rooms(now))
+        return sum(state.startable_calls(now) for state in self.open_rooms(now))
 
     def wanted(self, now: float) -> tuple[Cell, int] | None:
         """Return which cell of another region to request how many tickets from, or ``None``."""
@@ -478,9 +478,9 @@
     def spare(self, now: float) -> int:
         """Return how many more calls the replicas that are nearly idle could start now."""
         return sum(
-            room.can_begin(now)
-            for room in self.open_rooms(now)
-            if room.unread_seconds < NEARLY_IDLE_SECONDS and not room.health.tripped
+            state.startable_calls(now)
+            for state in self.open_rooms(now)
+            if state.unread_seconds < NEARLY_IDLE_SECONDS and not state.health.tripped
         )
 
 
--- a/railsail/scheduling/placing.py
+++ b/railsail/scheduling/placing.py
@@ -16,7 +16,7 @@
     LONG_PREFIX_TOKENS,
     RAISED_PREFILL_SHARE,
     REDUCED_PREFILL_SHARE,
-    ReplicaRoom,
+    ReplicaState,
 )
 from railsail.scheduling.tickets import Ticket
 
@@ -64,17 +64,17 @@
 class Openings:
     """The replicas that may be given calls, and those of them that have a free slot now."""
 
-    serving: list[ReplicaRoom]
-    free: list[ReplicaRoom]
+    serving: list[ReplicaState]
+    free: list[ReplicaState]
 
 
-def look(rooms: Iterable[ReplicaRoom], now: float, urgent: bool = False) -> Openings:
-    """Return which of ``rooms`` may be given calls and which have a free slot at ``now``."""
-    serving = [room for room in rooms if room.serves(now)]
+def look(states: Iterable[ReplicaState], now: float, urgent: bool = False) -> Openings:
+    """Return which of ``states`` may be given calls and which have a free slot at ``now``."""
+    serving = [state for state in states if state.serves(now)]
     # The engine orders its own queue by priority, so that twice as many urgent calls may wait in
     # it.
     depth = 2 if urgent else 1
-    return Openings(serving, [r for r in serving if r.room(now, r.overlap() * depth) > 0])
+    return Openings(serving, [r for r in serving if r.room(now, r.queue_depth() * depth) > 0])
 
 
 class Placing:
@@ -93,7 +93,7 @@
         openings: Openings,
         now: float,
         standing: ShareState = ShareState.EVEN,
-    ) -> ReplicaRoom | None:
+    ) -> ReplicaState | None:
         """Return the replica that runs ``ticket`` now, or ``None`` if the ticket has to wait.
 
         ``standing`` is the share state of its workspace.
@@ -111,71 +111,73 @@
 
     def _candidates(
         self, ticket: Ticket, openings: Openings, now: float, standing: ShareState
-    ) -> list[ReplicaRoom]:
-        rooms = openings.free
+    ) -> list[ReplicaState]:
+        states = openings.free
         if ticket.regions or ticket.excluded:
-            rooms = [room for room in rooms if ticket.may_run_on(room.name, room.region)]
+            states = [state for state in states if ticket.may_run_on(state.name, state.region)]
         if standing is ShareState.OVER:
-            rooms = [room for room in rooms if room.room(now) > room.reserve()]
+            states = [state for state in states if state.room(now) > state.reserved_slots()]
         share = _PREFILL_SHARES.get(standing, 0.0)
-        free = [room for room in rooms if room.reads_in_time(ticket, now, share)]
-        others = [room for room in free if room.name != ticket.avoid]
+        free = [state for state in states if state.can_answer_in_time(ticket, now, share)]
+        others = [state for state in free if state.name != ticket.avoid]
         return others or free
 
-    def _emptiest(self, candidates: list[ReplicaRoom]) -> ReplicaRoom:
-        emptiest = min(room.fullness() for room in candidates)
-        return self._rng.choice([room for room in candidates if room.fullness() == emptiest])
+    def _emptiest(self, candidates: list[ReplicaState]) -> ReplicaState:
+        emptiest = min(state.utilization() for state in candidates)
+        return self._rng.choice([state for state in candidates if state.utilization() == emptiest])
 
-    def _near(self, ticket: Ticket, candidates: list[ReplicaRoom]) -> ReplicaRoom:
-        fullest = min(room.fullness() for room in candidates) + AFFINITY_SLACK
-        near = [room for room in candidates if room.fullness() <= fullest]
-        near = [room for room in near if room.has_prefix(ticket.prefix)] or near
+    def _near(self, ticket: Ticket, candidates: list[ReplicaState]) -> ReplicaState:
+        fullest = min(state.utilization() for state in candidates) + AFFINITY_SLACK
+        near = [state for state in candidates if state.utilization() <= fullest]
+        near = [state for state in near if state.has_prefix(ticket.prefix)] or near
         return _preferred(ticket, near)
 
     def _keeper(
-        self, ticket: Ticket, candidates: list[ReplicaRoom], home: ReplicaRoom | None
-    ) -> ReplicaRoom | None:
+        self, ticket: Ticket, candidates: list[ReplicaState], home: ReplicaState | None
+    ) -> ReplicaState | None:
         """Return the owner of a long prefix, or a candidate that has the prefix cached."""
         if home in candidates:
             return home
-        holders = [room for room in candidates if room.has_prefix(ticket.prefix)]
+        holders = [state for state in candidates if state.has_prefix(ticket.prefix)]
         return _preferred(ticket, holders) if holders else None
 
     def _elsewhere(
         self,
         ticket: Ticket,
-        candidates: list[ReplicaRoom],
-        home: ReplicaRoom | None,
+        candidates: list[ReplicaState],
+        home: ReplicaState | None,
         now: float,
-    ) -> ReplicaRoom | None:
+    ) -> ReplicaState | None:
         """Return a candidate that would prefill a long prefix, ``None`` to wait for the owner."""
         waited = now - ticket.enqueued_at
         longer = OWNER_WAIT_SHARE * ticket.objective - waited
-        if longer > 0 and home is not None and home.reads_in_time(ticket, now, after=longer):
+        if longer > 0 and home is not None and home.can_answer_in_time(ticket, now, after=longer):
             return None
         if waited < PREFIX_WAIT_SHARE * ticket.objective:
-            candidates = [room for room in candidates if room.unread_seconds < NEARLY_IDLE_SECONDS]
+            candidates = [
+                state for state in candidates if state.unread_seconds < NEARLY_IDLE_SECONDS
+            ]
         return self._emptiest(candidates) if candidates else None
 
-    def _home(self, ticket: Ticket, openings: Openings, now: float) -> ReplicaRoom | None:
+    def _home(self, ticket: Ticket, openings: Openings, now: float) -> ReplicaState | None:
         """Return the owner of the ticket's prefix."""
         able = [r for r in openings.serving if ticket.may_run_on(r.name, r.region)]
-        serving = [room for room in able if room.name != ticket.avoid]
+        serving = [state for state in able if state.name != ticket.avoid]
         if not serving:
             return None
         # A cold replica has no prefixes cached, and can sustain too few calls to be waited for.
-        serving = [room for room in serving if not room.warmup.cold(now)] or serving
+        serving = [state for state in serving if not state.warmup.cold(now)] or serving
         if ticket.avoid:
             return _preferred(ticket, serving)
-        among = frozenset(room.name for room in serving)
+        among = frozenset(state.name for state in serving)
         if among != self._homes_among or len(self._homes) >= MAX_PREFIX_OWNERS:
             self._homes_among = among
             self._homes = {}
         if ticket.prefix not in self._homes:
             self._homes[ticket.prefix] = _preferred(ticket, serving).name
         name = self._homes[ticket.prefix]
-        return next(room for room in serving if room.name == name)
+        return next(state for state in serving if state.name == name)
 
 
-def _preferred(ticket: Ticket, rooms: list[ReplicaRoom]) -> ReplicaRoom:
-    return max(rooms, key=lambda room: score(str(ticket.prefix), room.name))
+def _preferred(ticket: Ticket, states: list[ReplicaState]) -> ReplicaState:
+    return max(states, key=lambda state: score(str(ticket.prefix), state.name))
--- a/railsail/scheduling/returns.py
+++ b/railsail/scheduling/returns.py
@@ -65,10 +65,10 @@
         after = (step + self._rng.random()) * STEP_SECONDS
         return min(max(after, least), within)
 
-    def _choose(self, soonest: int, latest: int, room: float) -> int:
+    def _choose(self, soonest: int, latest: int, capacity: float) -> int:
         steps = range(soonest, latest)
         for step in steps:
-            if self._steps[step] < room:
+            if self._steps[step] < capacity:
                 return step
         return min(steps, key=lambda step: (self._steps[step], step))
 
--- a/railsail/scheduling/room.py
+++ b/railsail/scheduling/room.py
@@ -71,15 +71,15 @@
 SILENT_SECONDS = 0.8
 
 
-class Unread(msgspec.Struct, frozen=True):
+class PendingPrefill(msgspec.Struct, frozen=True):
     """A call whose answer has not started, with its prompt tokens.
 
-    ``ahead`` is the number of tokens that were pending prefill with this prompt included. ``since``
-    is in seconds of the dispatcher's clock.
+    ``total_tokens`` is the whole pending prefill of the replica when the call was recorded, this
+    prompt included. ``since`` is in seconds of the dispatcher's clock.
     """
 
     tokens: int
-    ahead: int
+    total_tokens: int
     since: float
 
 
@@ -98,7 +98,7 @@
     age: float = 0.0
 
 
-class ReplicaRoom:
+class ReplicaState:
     """The load, limit and health of one replica, as one dispatcher sees them.
 
     The limit is learnt if ``slots`` is 0.
@@ -111,19 +111,19 @@
         # Until when it is given no calls because its software version is new in its pool.
         self.held_until = -math.inf
         self.region = ""
-        self.foreign = 0
+        self.calls_of_others = 0
         self._slots = slots
         self._limit = INITIAL_LIMIT
         self.health = ReplicaHealth()
         self.warmup = Warmup()
-        self._usual_time = 0.0
-        self._recent: deque[tuple[float, int]] = deque()
-        self._unread: dict[TicketKey, Unread] = {}
-        self._unread_tokens = 0
-        self._base_seconds = 0.0
-        self._read_tokens = INITIAL_PREFILL_RATE
-        self._read_seconds = 1.0
-        self._answered_at = 0.0
+        self._mean_duration = 0.0
+        self._recent_in_flight: deque[tuple[float, int]] = deque()
+        self._pending: dict[TicketKey, PendingPrefill] = {}
+        self._pending_tokens = 0
+        self._base_latency = 0.0
+        self._prefill_tokens = INITIAL_PREFILL_RATE
+        self._prefill_seconds = 1.0
+        self._last_answer_at = 0.0
         self._prefixes: OrderedDict[int, None] = OrderedDict()
 
     @property
@@ -131,11 +131,11 @@
         """Return how many calls the replica can run at once."""
         return float(self._slots) if self._slots else self._limit
 
-    def overlap(self) -> int:
+    def queue_depth(self) -> int:
         """Return how many calls may be queued at the replica to keep its slots busy."""
         return max(1, int(self.limit) // SLOTS_PER_QUEUED_CALL)
 
-    def reserve(self) -> int:
+    def reserved_slots(self) -> int:
         """Return the slots reserved in an overload for workspaces below their share."""
         return int(self.limit) // SLOTS_PER_RESERVED_ONE
 
@@ -143,12 +143,12 @@
         """Return True if the replica may be given calls at all."""
         if self.leaving or now < self.held_until:
             return False
-        return not (self.health.closed(now) or self._silent(now))
+        return not (self.health.closed(now) or self._is_silent(now))
 
     @property
     def unread_seconds(self) -> float:
         """Return how long the replica needs for its pending prefill."""
-        return self._unread_tokens / self.read_rate
+        return self._pending_tokens / self.prefill_rate
 
     def room(self, now: float, extra: int = 0) -> int:
         """Return how many more calls fit at ``now``, with ``extra`` beyond the limit."""
@@ -159,25 +159,25 @@
             return int(self.health.wants_trial)
         if not self.warmup.allows(now):
             return 0
-        return max(0, int(self.limit) + extra - self.in_flight - self.foreign)
+        return max(0, int(self.limit) + extra - self.in_flight - self.calls_of_others)
 
-    def can_begin(self, now: float) -> int:
+    def startable_calls(self, now: float) -> int:
         """Return how many calls can start at ``now``; a cold replica is given one at a time."""
         free = self.room(now)
         return min(free, 1) if self.warmup.cold(now) else free
 
     @property
-    def read_rate(self) -> float:
+    def prefill_rate(self) -> float:
         """Return the prompt tokens that the replica prefills per second."""
-        return max(MIN_PREFILL_RATE, self._read_tokens / self._read_seconds)
+        return max(MIN_PREFILL_RATE, self._prefill_tokens / self._prefill_seconds)
 
-    def to_read(self, ticket: Ticket) -> int:
+    def prefill_tokens(self, ticket: Ticket) -> int:
         """Return the tokens of a prompt that the replica probably does not have cached."""
         if ticket.prefix and ticket.prefix in self._prefixes:
             return max(1, ticket.prompt_tokens - ticket.shared_tokens)
         return ticket.prompt_tokens
 
-    def reads_in_time(
+    def can_answer_in_time(
         self, ticket: Ticket, now: float, share: float = 0.0, after: float = 0.0
     ) -> bool:
         """Return True if the answer to ``ticket`` would start well within its objective.
@@ -186,20 +186,23 @@
         ``after`` is a delay in seconds before the replica is given the call, in which it continues
         its prefill. A replica without pending prefill takes any prompt.
         """
-        if not ticket.prompt_tokens or not ticket.objective or not self._unread_tokens:
+        if not ticket.prompt_tokens or not ticket.objective or not self._pending_tokens:
             return True
-        share = share or self._usual_share(ticket)
-        own = min(self.to_read(ticket) / self.read_rate, MAX_OWN_PREFILL_SHARE * ticket.objective)
-        seconds = max(0.0, self.unread_seconds - after) + own
+        share = share or self._default_share(ticket)
+        own_seconds = min(
+            self.prefill_tokens(ticket) / self.prefill_rate,
+            MAX_OWN_PREFILL_SHARE * ticket.objective,
+        )
+        total_seconds = max(0.0, self.unread_seconds - after) + own_seconds
         waited = now + after - ticket.enqueued_at
-        left = ANSWER_SHARE * ticket.objective - waited - self._base_seconds
-        return seconds <= min(share * ticket.objective, left)
+        remaining = ANSWER_SHARE * ticket.objective - waited - self._base_latency
+        return total_seconds <= min(share * ticket.objective, remaining)
 
-    def _usual_share(self, ticket: Ticket) -> float:
-        keeps = ticket.shared_tokens >= LONG_PREFIX_TOKENS and self.has_prefix(ticket.prefix)
-        return RAISED_PREFILL_SHARE if keeps else PREFILL_SHARE
+    def _default_share(self, ticket: Ticket) -> float:
+        is_cached = ticket.shared_tokens >= LONG_PREFIX_TOKENS and self.has_prefix(ticket.prefix)
+        return RAISED_PREFILL_SHARE if is_cached else PREFILL_SHARE
 
-    def keep_prefix(self, ticket: Ticket) -> None:
+    def record_prefix(self, ticket: Ticket) -> None:
         """Record that the replica will have the prefix of a prompt cached."""
         if not ticket.prefix:
             return
@@ -212,11 +215,11 @@
         """Return True if the replica probably has a prompt prefix cached."""
         return prefix in self._prefixes
 
-    def expect(self, key: TicketKey, tokens: int, now: float) -> None:
+    def record_pending(self, key: TicketKey, tokens: int, now: float) -> None:
         """Record a call with a prompt of ``tokens`` whose answer has yet to start."""
-        self.forget(key)
-        self._unread_tokens += tokens
-        self._unread[key] = Unread(tokens, self._unread_tokens, now)
+        self.drop_pending(key)
+        self._pending_tokens += tokens
+        self._pending[key] = PendingPrefill(tokens, self._pending_tokens, now)
 
     def answered(self, key: TicketKey, now: float) -> None:
         """Record the start of a good answer, which shows that its prompt was prefilled."""
@@ -224,76 +227,76 @@
             # It may be a new process under the old name that the platform has not reported yet.
             self.warmup.cold_for(self.warmup.bound.seconds, now)
         self.health.begun()
-        unread = self._unread.get(key)
-        self.forget(key)
-        self._answered_at = now
-        if unread is None or unread.tokens <= 1:
+        pending = self._pending.get(key)
+        self.drop_pending(key)
+        self._last_answer_at = now
+        if pending is None or pending.tokens <= 1:
             return
-        seconds = now - unread.since
-        base = self._base_seconds * BASE_LATENCY_GROWTH
-        self._base_seconds = min(seconds, base) if base else seconds
-        self._read_tokens = self._read_tokens * PREFILL_MEMORY + unread.ahead
-        self._read_seconds *= PREFILL_MEMORY
-        self._read_seconds += max(0.0, seconds - self._base_seconds)
-
-    def forget(self, key: TicketKey) -> None:
+        seconds = now - pending.since
+        base_latency = self._base_latency * BASE_LATENCY_GROWTH
+        self._base_latency = min(seconds, base_latency) if base_latency else seconds
+        self._prefill_tokens = self._prefill_tokens * PREFILL_MEMORY + pending.total_tokens
+        self._prefill_seconds *= PREFILL_MEMORY
+        self._prefill_seconds += max(0.0, seconds - self._base_latency)
+
+    def drop_pending(self, key: TicketKey) -> None:
         """Record that no answer to a call is expected any more."""
-        unread = self._unread.pop(key, None)
-        if unread is not None:
-            self._unread_tokens -= unread.tokens
+        pending = self._pending.pop(key, None)
+        if pending is not None:
+            self._pending_tokens -= pending.tokens
 
-    def _silent(self, now: float) -> bool:
-        if not self._unread:
+    def _is_silent(self, now: float) -> bool:
+        if not self._pending:
             return False
-        oldest = next(iter(self._unread.values())).since
-        return now - max(oldest, self._answered_at) > SILENT_SECONDS
+        oldest = next(iter(self._pending.values())).since
+        return now - max(oldest, self._last_answer_at) > SILENT_SECONDS
 
-    def fullness(self) -> float:
+    def utilization(self) -> float:
         """Return the calls per slot, own and those of others; 1.0 is full."""
-        return (self.in_flight + self.foreign) / max(self.limit, MIN_LIMIT)
+        return (self.in_flight + self.calls_of_others) / max(self.limit, MIN_LIMIT)
 
     def started(self, now: float) -> None:
         """Record a granted call."""
         self.in_flight += 1
         self.health.started()
         self.warmup.started(now)
-        self._remember(now)
+        self._record_in_flight(now)
 
     def ended(self, now: float) -> None:
         """Record the end of a call, whatever its result."""
-        self._remember(now)
+        self._record_in_flight(now)
         self.health.ended()
         self.in_flight = max(0, self.in_flight - 1)
 
     def succeeded(self, now: float, seconds: float) -> None:
         """Record a call that was answered completely after ``seconds``."""
         self.health.succeeded()
-        if self._usual_time == 0.0:
-            self._usual_time = seconds
-        if seconds > SLOW_FACTOR * self._usual_time:
+        if self._mean_duration == 0.0:
+            self._mean_duration = seconds
+        if seconds > SLOW_FACTOR * self._mean_duration:
             self._limit = max(MIN_LIMIT, self._limit * DECREASE_FACTOR)
         elif self.in_flight + 1 >= int(self._limit):
             self._limit = min(MAX_LIMIT, self._limit + 1 / self._limit)
-        self._usual_time += MEAN_DURATION_GAIN * (seconds - self._usual_time)
+        self._mean_duration += MEAN_DURATION_GAIN * (seconds - self._mean_duration)
 
     def failed(self, now: float, result: CallResult, peers: Peers) -> None:
         """Record a call that failed or was refused; enough of them eject the replica."""
         self._limit = max(MIN_LIMIT, self._limit * DECREASE_FACTOR)
         self.health.failed(now, result, peers)
 
-    def reported(self, now: float, report: LoadReport) -> None:
+    def apply_report(self, now: float, report: LoadReport) -> None:
         """Apply a load report, which lags by its age.
 
         Whether the replica is draining is decided from all signals, not here: see ``leaving``.
         """
         if report.slots:
             self._slots = report.slots
-        self._remember(now)
+        self._record_in_flight(now)
         since = now - report.age - REPORT_LAG_SECONDS
-        while len(self._recent) > 1 and self._recent[1][0] <= since:
-            self._recent.popleft()
-        most_own = max(own for _, own in self._recent)
-        self.foreign = max(0, report.running + report.waiting - most_own)
+        while len(self._recent_in_flight) > 1 and self._recent_in_flight[1][0] <= since:
+            self._recent_in_flight.popleft()
+        max_own = max(own for _, own in self._recent_in_flight)
+        self.calls_of_others = max(0, report.running + report.waiting - max_own)
 
-    def _remember(self, now: float) -> None:
-        self._recent.append((now, self.in_flight))
+    def _record_in_flight(self, now: float) -> None:
+        self._recent_in_flight.append((now, self.in_flight))
--- a/railsail/scheduling/versions.py
+++ b/railsail/scheduling/versions.py
@@ -8,7 +8,7 @@
 from railsail.rollouts.stages import Stage
 from railsail.scheduling.exposure import Exposure
 from railsail.scheduling.placing import Openings, Placing, ShareState, look
-from railsail.scheduling.room import ReplicaRoom
+from railsail.scheduling.room import ReplicaState
 from railsail.scheduling.tickets import Ticket
 
 
@@ -50,12 +50,12 @@
             return False
         return self._versions.get(replica, "") == self.exposure.target_version
 
-    def group(self, replica: str, rooms: Iterable[ReplicaRoom]) -> list[ReplicaRoom]:
-        """Return those of ``rooms`` that are on the same side of a rollout as ``replica``."""
+    def group(self, replica: str, states: Iterable[ReplicaState]) -> list[ReplicaState]:
+        """Return those of ``states`` that are on the same side of a rollout as ``replica``."""
         if self.exposure is None:
-            return list(rooms)
+            return list(states)
         side = self.is_target(replica)
-        return [room for room in rooms if self.is_target(room.name) is side]
+        return [state for state in states if self.is_target(state.name) is side]
 
     def on_trial(self, replica: str, now: float) -> bool:
         """Return True if ``replica`` runs the target version and the version is still on trial."""
@@ -63,45 +63,47 @@
             return False
         return self.exposure.stage(now) in (Stage.HOLD, Stage.CANARY)
 
-    def open_rooms(self, rooms: Collection[ReplicaRoom], now: float) -> Collection[ReplicaRoom]:
-        """Return those of ``rooms`` that requests may run on at the current stage.
+    def open_rooms(self, states: Collection[ReplicaState], now: float) -> Collection[ReplicaState]:
+        """Return those of ``states`` that requests may run on at the current stage.
 
         If no replica of the target version is in service, requests run on the others even in a
         drain: the coordinator may notice later than this dispatcher that a failure domain was lost.
         """
         if self.exposure is None:
-            return rooms
+            return states
         stage = self.exposure.stage(now)
         if stage is Stage.SHIFT:
-            return rooms
-        target, others = self._sides(rooms)
-        drains = stage is Stage.DRAIN and any(room.serves(now) for room in target)
+            return states
+        target, others = self._sides(states)
+        drains = stage is Stage.DRAIN and any(state.serves(now) for state in target)
         return target if drains else others
 
-    def _sides(self, rooms: Iterable[ReplicaRoom]) -> tuple[list[ReplicaRoom], list[ReplicaRoom]]:
-        """Return those of ``rooms`` that run the target version, and the others."""
-        sides: tuple[list[ReplicaRoom], list[ReplicaRoom]] = ([], [])
-        for room in rooms:
-            sides[0 if self.is_target(room.name) else 1].append(room)
+    def _sides(
+        self, states: Iterable[ReplicaState]
+    ) -> tuple[list[ReplicaState], list[ReplicaState]]:
+        """Return those of ``states`` that run the target version, and the others."""
+        sides: tuple[list[ReplicaState], list[ReplicaState]] = ([], [])
+        for state in states:
+            sides[0 if self.is_target(state.name) else 1].append(state)
         return sides
 
-    def look(self, rooms: Collection[ReplicaRoom], now: float, urgent: bool = False) -> Openings:
-        """Return which of ``rooms`` may be given calls, and which have a free slot, at ``now``."""
+    def look(self, states: Collection[ReplicaState], now: float, urgent: bool = False) -> Openings:
+        """Return which of ``states`` may be given calls, and which have a free slot, at ``now``."""
         if self.exposure is None:
-            return look(rooms, now, urgent)
-        canaries = self._canaries(rooms, now) if self.exposure.due(now) else []
-        return look([*self.open_rooms(rooms, now), *canaries], now, urgent)
+            return look(states, now, urgent)
+        canaries = self._canaries(states, now) if self.exposure.due(now) else []
+        return look([*self.open_rooms(states, now), *canaries], now, urgent)
 
-    def _canaries(self, rooms: Iterable[ReplicaRoom], now: float) -> list[ReplicaRoom]:
+    def _canaries(self, states: Iterable[ReplicaState], now: float) -> list[ReplicaState]:
         """Return the replicas for canary calls.
 
         These are the ones that the allowance names, or others if none of them is in service: the
         named ones may have been lost, evacuated or removed since. Cold replicas are left out: they
         are slow, and show nothing about their version.
         """
-        target, _ = self._sides(rooms)
-        able = [room for room in target if room.serves(now) and not room.warmup.cold(now)]
-        named = [room for room in able if self.exposure.names(room.name)]
+        target, _ = self._sides(states)
+        able = [state for state in target if state.serves(now) and not state.warmup.cold(now)]
+        named = [state for state in able if self.exposure.names(state.name)]
         return named or able
 
     def choose(
@@ -110,7 +112,7 @@
         openings: Openings,
         now: float,
         standing: ShareState = ShareState.EVEN,
-    ) -> ReplicaRoom | None:
+    ) -> ReplicaState | None:
         """Return the replica that runs ``ticket`` now, or ``None`` if the ticket has to wait."""
         if self.exposure is None:
             return self._others.choose(ticket, openings, now, standing)
@@ -144,7 +146,7 @@
             self._calls[replica] += 1
         return stage
 
-    def _canary(self, ticket: Ticket, openings: Openings, now: float) -> ReplicaRoom | None:
+    def _canary(self, ticket: Ticket, openings: Openings, now: float) -> ReplicaState | None:
         """Return the replica that runs ``ticket`` as a canary call, ``None`` if there is none.
 
         It is the one with the most calls in flight, so that it runs several at once. Among idle
@@ -152,10 +154,10 @@
         little about its version.
         """
         able = [
-            room
-            for room in openings.free
-            if ticket.may_run_on(room.name, room.region) and room.reads_in_time(ticket, now)
+            state
+            for state in openings.free
+            if ticket.may_run_on(state.name, state.region) and state.can_answer_in_time(ticket, now)
         ]
         if not able:
             return None
-        return max(able, key=lambda room: (room.in_flight, -self._calls[room.name]))
+        return max(able, key=lambda state: (state.in_flight, -self._calls[state.name]))
--- a/tests/dispatch/test_cellmap.py
+++ b/tests/dispatch/test_cellmap.py
@@ -9,7 +9,7 @@
 from railsail.dispatch.regions import WAY_SECONDS, FleetRegions
 from railsail.scheduling.cells import Cell
 from railsail.scheduling.placing import _preferred
-from railsail.scheduling.room import ReplicaRoom
+from railsail.scheduling.room import ReplicaState
 from railsail.scheduling.tickets import Ticket
 from railsail.store.base import Listing, StoredObject
 from railsail.upstreams.directory import UpstreamDirectory
@@ -224,8 +224,8 @@
 def _preferred_in(cells: CellMap, prefix: int, without: str = "") -> str:
     """Return the replica that the dispatcher of the home of ``prefix`` prefers."""
     names = cells.cells(POOL)[cells.home(POOL, prefix)]
-    rooms = [ReplicaRoom(name, 1) for name in names if name != without]
-    return _preferred(Ticket("n", 1, 1, "w", 0.0, 1.0, 0.0, prefix=prefix), rooms).name
+    states = [ReplicaState(name, 1) for name in names if name != without]
+    return _preferred(Ticket("n", 1, 1, "w", 0.0, 1.0, 0.0, prefix=prefix), states).name
 
 
 if __name__ == "__main__":
--- a/tests/scheduling/test_losses.py
+++ b/tests/scheduling/test_losses.py
@@ -65,7 +65,7 @@
         dispatcher.set_bound(WarmupBound(per_second=5.0, seconds=60.0))
         for name in cold:
             dispatcher.set_cold(name, 60.0, 0.0)
-        return dispatcher._read_rate(0.0)
+        return dispatcher._prefill_rate(0.0)
 
     def test_draining_replicas_are_not_counted(self):
         self.assertAlmostEqual(self.read_rate(leaving="abc"), self.read_rate() / 4)
--- a/tests/scheduling/test_placing.py
+++ b/tests/scheduling/test_placing.py
@@ -9,7 +9,7 @@
     INITIAL_PREFILL_RATE,
     MAX_OWN_PREFILL_SHARE,
     PREFILL_SHARE,
-    ReplicaRoom,
+    ReplicaState,
 )
 from railsail.scheduling.tickets import Ticket
 
@@ -41,10 +41,10 @@
 class LongBeginningTests(unittest.TestCase):
     def setUp(self):
         self.placing = Placing(random.Random(3), True)
-        self.rooms = [ReplicaRoom(name, 8) for name in "abcdef"]
+        self.states = [ReplicaState(name, 8) for name in "abcdef"]
 
-    def choose(self, ticket: Ticket, now: float = 0.0) -> ReplicaRoom | None:
-        return self.placing.choose(ticket, look(self.rooms, now), now)
+    def choose(self, ticket: Ticket, now: float = 0.0) -> ReplicaState | None:
+        return self.placing.choose(ticket, look(self.states, now), now)
 
     def test_same_prefix_goes_to_the_same_replica(self):
         chosen = {self.choose(draft(number, 7)).name for number in range(20)}
@@ -55,27 +55,27 @@
         self.assertEqual(chosen, set("abcdef"))
 
     def test_ticket_waits_for_a_busy_owner_while_others_are_busy(self):
-        for room in self.rooms:
-            room.expect(("x", 1), 10_000, 0.0)
-        home = _preferred(draft(1, 7), self.rooms)
-        home.expect(("x", 2), 30_000, 0.0)
+        for state in self.states:
+            state.record_pending(("x", 1), 10_000, 0.0)
+        home = _preferred(draft(1, 7), self.states)
+        home.record_pending(("x", 2), 30_000, 0.0)
         self.assertIsNone(self.choose(draft(1, 7)))
 
     def test_ticket_that_cannot_wait_for_the_owner_goes_to_a_nearly_idle_replica(self):
-        home = _preferred(draft(1, 7), self.rooms)
-        home.expect(("x", 1), 60_000, 0.0)
-        busy = next(room for room in self.rooms if room is not home)
-        busy.expect(("x", 2), 10_000, 0.0)
+        home = _preferred(draft(1, 7), self.states)
+        home.record_pending(("x", 1), 60_000, 0.0)
+        busy = next(state for state in self.states if state is not home)
+        busy.record_pending(("x", 2), 10_000, 0.0)
         chosen = {self.choose(draft(number, 7)).name for number in range(30)}
         self.assertFalse({home.name, busy.name} & chosen)
 
-    def fill_home(self, tokens: int) -> ReplicaRoom:
+    def fill_home(self, tokens: int) -> ReplicaState:
         """Add a prompt of ``tokens`` to the pending prefill of the owner of prefix 7.
 
         Return the owner.
         """
-        home = _preferred(draft(1, 7), self.rooms)
-        home.expect(("x", 1), tokens, 0.0)
+        home = _preferred(draft(1, 7), self.states)
+        home.record_pending(("x", 1), tokens, 0.0)
         return home
 
     def test_ticket_waits_for_an_owner_that_is_free_soon_though_others_are_idle(self):
@@ -89,26 +89,26 @@
         self.assertIsNot(self.choose(draft(1, 7), OWNER_WAIT_SHARE * OBJECTIVE), home)
 
     def test_ticket_waits_as_long_for_an_owner_without_a_free_slot(self):
-        home = _preferred(draft(1, 7), self.rooms)
+        home = _preferred(draft(1, 7), self.states)
         home.in_flight = 9
         self.assertIsNone(self.choose(draft(1, 7)))
         self.assertIsNot(self.choose(draft(1, 7), OWNER_WAIT_SHARE * OBJECTIVE), None)
 
     def test_cached_prefix_may_join_a_longer_queue(self):
         home = self.fill_home(MAX_PENDING_PREFILL + 5_000)
-        home.keep_prefix(draft(1, 7))
+        home.record_prefix(draft(1, 7))
         self.assertIs(self.choose(draft(1, 7)), home)
 
     def test_ticket_does_not_wait_for_an_owner_that_just_failed_it(self):
-        for room in self.rooms:
-            room.expect(("x", 1), 4_000, 0.0)
-        home = _preferred(draft(1, 7), self.rooms)
+        for state in self.states:
+            state.record_pending(("x", 1), 4_000, 0.0)
+        home = _preferred(draft(1, 7), self.states)
         chosen = self.choose(replace(draft(1, 7), avoid=home.name))
         self.assertIsNotNone(chosen)
         self.assertIsNot(chosen, home)
 
     def test_ticket_does_not_wait_for_a_draining_owner(self):
-        home = _preferred(draft(1, 7), self.rooms)
+        home = _preferred(draft(1, 7), self.states)
         home.leaving = True
         self.assertIsNot(self.choose(draft(1, 7)), home)
 
@@ -118,27 +118,27 @@
 
     def setUp(self):
         self.placing = Placing(random.Random(3), True)
-        self.rooms = [ReplicaRoom(name, 8) for name in "abcdef"]
-        for room in self.rooms[:3]:
-            room.region = "north"
-        for room in self.rooms[3:]:
-            room.region = "south"
+        self.states = [ReplicaState(name, 8) for name in "abcdef"]
+        for state in self.states[:3]:
+            state.region = "north"
+        for state in self.states[3:]:
+            state.region = "south"
 
     def regions(self, **changes) -> set[str]:
         chosen = set()
         for prefix in range(60):
             ticket = replace(draft(prefix, prefix), **changes)
-            room = self.placing.choose(ticket, look(self.rooms, 0.0), 0.0)
-            chosen.add(room.region if room else "")
+            state = self.placing.choose(ticket, look(self.states, 0.0), 0.0)
+            chosen.add(state.region if state else "")
         return chosen
 
     def test_ticket_goes_to_its_allowed_region_only(self):
         self.assertEqual(self.regions(regions=("south",)), {"south"})
 
     def test_ticket_leaves_its_region_neither_when_full_nor_after_a_failure(self):
-        for room in self.rooms[3:]:
-            room.started(0.0)
-            room.expect(("x", 1), 10 * MAX_PENDING_PREFILL, 0.0)
+        for state in self.states[3:]:
+            state.started(0.0)
+            state.record_pending(("x", 1), 10 * MAX_PENDING_PREFILL, 0.0)
         self.assertEqual(self.regions(regions=("south",), avoid="d"), {""})
 
     def test_ticket_without_regions_goes_to_any_region(self):
--- a/tests/scheduling/test_room.py
+++ b/tests/scheduling/test_room.py
@@ -3,7 +3,7 @@
 import unittest
 
 from railsail.scheduling.health import CallResult, Peers
-from railsail.scheduling.room import LoadReport, ReplicaRoom
+from railsail.scheduling.room import LoadReport, ReplicaState
 from railsail.scheduling.tickets import Ticket, TicketKey
 
 
@@ -16,110 +16,110 @@
     """How fast a replica prefills prompts, and whether it would start another answer in time."""
 
     def setUp(self):
-        self.room = ReplicaRoom("r", 48)
+        self.state = ReplicaState("r", 48)
 
     def learn(self) -> None:
         """Answer with 30 ms of base latency and a prefill rate of 100,000 tokens a second."""
         for number in range(600):
             tokens = 100 if number % 2 else 10_000
-            self.room.expect(("e", number), tokens, float(number))
-            self.room.answered(("e", number), number + 0.03 + tokens / 100_000)
+            self.state.record_pending(("e", number), tokens, float(number))
+            self.state.answered(("e", number), number + 0.03 + tokens / 100_000)
 
     def test_prefill_rate_is_learnt_without_the_base_latency(self):
         self.learn()
-        self.assertAlmostEqual(self.room.read_rate, 100_000, delta=10_000)
+        self.assertAlmostEqual(self.state.prefill_rate, 100_000, delta=10_000)
 
     def test_pending_prefill_and_waited_time_count(self):
         self.learn()
-        self.room.expect(("e", 0), 100, 1000.0)
+        self.state.record_pending(("e", 0), 100, 1000.0)
         # This ticket has waited far longer than its objective.
-        self.assertFalse(self.room.reads_in_time(ticket(), 1000.0))
+        self.assertFalse(self.state.can_answer_in_time(ticket(), 1000.0))
         fresh = ticket(enqueued_at=1000.0)
-        self.assertTrue(self.room.reads_in_time(fresh, 1000.0))
-        self.room.expect(("e", 1), 100_000, 1000.0)
-        self.assertFalse(self.room.reads_in_time(fresh, 1000.0))
-        self.room.forget(("e", 1))
-        self.assertTrue(self.room.reads_in_time(fresh, 1000.0))
+        self.assertTrue(self.state.can_answer_in_time(fresh, 1000.0))
+        self.state.record_pending(("e", 1), 100_000, 1000.0)
+        self.assertFalse(self.state.can_answer_in_time(fresh, 1000.0))
+        self.state.drop_pending(("e", 1))
+        self.assertTrue(self.state.can_answer_in_time(fresh, 1000.0))
 
     def test_prompt_too_large_for_its_objective_is_accepted_beside_others(self):
         self.learn()
-        self.room.expect(("e", 1), 5_000, 1000.0)
+        self.state.record_pending(("e", 1), 5_000, 1000.0)
         large = ticket(tokens=60_000, enqueued_at=1000.0)
-        self.assertTrue(self.room.reads_in_time(large, 1000.0))
-        self.room.expect(("e", 2), 30_000, 1000.0)
-        self.assertFalse(self.room.reads_in_time(large, 1000.0))
+        self.assertTrue(self.state.can_answer_in_time(large, 1000.0))
+        self.state.record_pending(("e", 2), 30_000, 1000.0)
+        self.assertFalse(self.state.can_answer_in_time(large, 1000.0))
 
     def test_idle_replica_takes_any_prompt(self):
-        self.assertTrue(self.room.reads_in_time(ticket(tokens=10_000_000), 1000.0))
+        self.assertTrue(self.state.can_answer_in_time(ticket(tokens=10_000_000), 1000.0))
 
     def test_request_without_prompt_or_objective_is_always_accepted(self):
-        self.room.expect(("e", 1), 10_000_000, 0.0)
-        self.assertTrue(self.room.reads_in_time(ticket(tokens=0), 0.0))
-        self.assertTrue(self.room.reads_in_time(ticket(objective=0.0), 0.0))
+        self.state.record_pending(("e", 1), 10_000_000, 0.0)
+        self.assertTrue(self.state.can_answer_in_time(ticket(tokens=0), 0.0))
+        self.assertTrue(self.state.can_answer_in_time(ticket(objective=0.0), 0.0))
 
     def test_cached_prefix_is_not_prefilled_again(self):
         shared = ticket(tokens=10_000, prefix=7, shared_tokens=9_000)
-        self.assertEqual(self.room.to_read(shared), 10_000)
-        self.room.keep_prefix(shared)
-        self.assertEqual(self.room.to_read(shared), 1_000)
+        self.assertEqual(self.state.prefill_tokens(shared), 10_000)
+        self.state.record_prefix(shared)
+        self.assertEqual(self.state.prefill_tokens(shared), 1_000)
 
     def test_silent_replica_is_given_no_calls_until_it_answers(self):
         keys: list[TicketKey] = [("e", 1), ("e", 2)]
         for key in keys:
-            self.room.expect(key, 100, 0.0)
-        self.assertGreater(self.room.room(0.7), 0)
-        self.assertEqual(self.room.room(0.9), 0)
-        self.room.answered(keys[0], 1.0)
-        self.assertGreater(self.room.room(1.5), 0)
-        self.assertEqual(self.room.room(1.9), 0)
+            self.state.record_pending(key, 100, 0.0)
+        self.assertGreater(self.state.room(0.7), 0)
+        self.assertEqual(self.state.room(0.9), 0)
+        self.state.answered(keys[0], 1.0)
+        self.assertGreater(self.state.room(1.5), 0)
+        self.assertEqual(self.state.room(1.9), 0)
 
 
 class RoomTests(unittest.TestCase):
     def test_own_calls_in_a_late_report_are_not_counted_as_those_of_others(self):
-        room = ReplicaRoom("r", 8)
+        state = ReplicaState("r", 8)
         for _ in range(6):
-            room.started(10.0)
+            state.started(10.0)
         for _ in range(6):
-            room.ended(10.5)
+            state.ended(10.5)
         # The report dates from the time when the six calls were running.
-        room.reported(11.0, LoadReport(8, 6, 0, age=0.8))
-        self.assertEqual(room.room(11.0), 8)
+        state.apply_report(11.0, LoadReport(8, 6, 0, age=0.8))
+        self.assertEqual(state.room(11.0), 8)
 
     def test_calls_of_others_use_slots(self):
-        room = ReplicaRoom("r", 8)
-        room.reported(5.0, LoadReport(8, 6, 1))
-        self.assertEqual(room.room(5.0), 1)
+        state = ReplicaState("r", 8)
+        state.apply_report(5.0, LoadReport(8, 6, 1))
+        self.assertEqual(state.room(5.0), 1)
 
     def test_failures_eject_a_replica_and_a_single_call_probes_it(self):
-        room = ReplicaRoom("r", 8)
-        room.failed(0.0, CallResult.ERROR, Peers())
-        room.failed(0.0, CallResult.ERROR, Peers())
-        self.assertEqual(room.room(0.1), 0)
-        self.assertEqual(room.room(0.6), 1)
-        room.started(0.6)
-        self.assertEqual(room.room(0.6), 0)
-        room.ended(0.7)
-        room.succeeded(0.7, 0.1)
-        self.assertEqual(room.room(0.7), 8)
+        state = ReplicaState("r", 8)
+        state.failed(0.0, CallResult.ERROR, Peers())
+        state.failed(0.0, CallResult.ERROR, Peers())
+        self.assertEqual(state.room(0.1), 0)
+        self.assertEqual(state.room(0.6), 1)
+        state.started(0.6)
+        self.assertEqual(state.room(0.6), 0)
+        state.ended(0.7)
+        state.succeeded(0.7, 0.1)
+        self.assertEqual(state.room(0.7), 8)
 
     def test_ejection_time_doubles(self):
-        room = ReplicaRoom("r", 8)
+        state = ReplicaState("r", 8)
         for moment in (0.0, 0.0, 1.0):
-            room.failed(moment, CallResult.ERROR, Peers())
-        self.assertEqual(room.room(1.9), 0)
-        self.assertEqual(room.room(2.1), 1)
+            state.failed(moment, CallResult.ERROR, Peers())
+        self.assertEqual(state.room(1.9), 0)
+        self.assertEqual(state.room(2.1), 1)
 
     def test_limit_is_learnt_without_reports(self):
-        room = ReplicaRoom("r", 0)
+        state = ReplicaState("r", 0)
         for _ in range(200):
-            while room.room(0.0):
-                room.started(0.0)
-            room.ended(0.0)
-            room.succeeded(0.0, 0.1)
-        grown = room.limit
+            while state.room(0.0):
+                state.started(0.0)
+            state.ended(0.0)
+            state.succeeded(0.0, 0.1)
+        grown = state.limit
         self.assertGreater(grown, 8.0)
-        room.succeeded(0.0, 10.0)
-        self.assertLess(room.limit, grown)
+        state.succeeded(0.0, 10.0)
+        self.assertLess(state.limit, grown)
 
 
 if __name__ == "__main__":
--- a/tests/scheduling/test_speeds.py
+++ b/tests/scheduling/test_speeds.py
@@ -7,7 +7,7 @@
 from railsail.scheduling.decisions import Decision, Grant
 from railsail.scheduling.dispatcher import CellDispatcher
 from railsail.scheduling.health import CallResult
-from railsail.scheduling.room import ReplicaRoom
+from railsail.scheduling.room import ReplicaState
 from railsail.scheduling.tickets import Ticket, TicketKey
 
 SPEEDS = {"usual": 1.0, "fast": 1.3}
@@ -83,10 +83,10 @@
         self.pool = Pool()
         # Nine tenths of what both can prefill.
         self.pool.play(40.0, TOKENS / (0.9 * READ_RATE * sum(SPEEDS.values())))
-        self.rooms = self.pool.cell.replicas
+        self.states = self.pool.cell.replicas
 
     def test_prefill_rate_of_each_replica_is_learnt(self):
-        usual, fast = (self.rooms[name].read_rate for name in ("usual", "fast"))
+        usual, fast = (self.states[name].prefill_rate for name in ("usual", "fast"))
         self.assertAlmostEqual(fast / usual, 1.3, delta=0.2)
 
     def test_faster_replica_is_given_more_calls(self):
@@ -94,16 +94,16 @@
         self.assertGreater(granted["fast"], 1.15 * granted["usual"])
 
     def test_faster_replica_accepts_more_pending_prefill(self):
-        admitted = {name: self.admitted(room) for name, room in self.rooms.items()}
+        admitted = {name: self.admitted(state) for name, state in self.states.items()}
         self.assertGreater(admitted["fast"], 1.15 * admitted["usual"])
 
-    def admitted(self, room: ReplicaRoom) -> int:
-        """Return how many tokens ``room`` accepts before another prompt would be late there."""
+    def admitted(self, state: ReplicaState) -> int:
+        """Return how many tokens ``state`` accepts before another prompt would be late there."""
         now, number = 1000.0, 0
         tokens = LENGTHS[0]
-        while room.reads_in_time(_ticket(0, now), now):
+        while state.can_answer_in_time(_ticket(0, now), now):
             number += 1
-            room.expect(("next", number), tokens, now)
+            state.record_pending(("next", number), tokens, now)
         return number * tokens
 
 
--- a/tests/scheduling/test_versions.py
+++ b/tests/scheduling/test_versions.py
@@ -93,8 +93,8 @@
         most = 0
         for step in range(100):
             self.offer(step * 0.004)
-            room = self.dispatcher.replicas["new0"]
-            most = max(most, room.in_flight)
+            state = self.dispatcher.replicas["new0"]
+            most = max(most, state.in_flight)
             # Each call takes four steps.
             self.dispatcher.release(("e", self.number - 3), 10.0, step * 0.004, CallResult.GOOD)
         self.assertGreaterEqual(most, 2)
--- a/tests/scheduling/test_warmup.py
+++ b/tests/scheduling/test_warmup.py
@@ -101,9 +101,9 @@
 
     def test_next_call_is_spaced_from_a_resumed_call(self):
         self.dispatcher.set_cold("r0", 3.0, 0.0)
-        room = self.dispatcher.replicas["r0"]
-        room.started(0.0)
-        self.assertEqual(room.room(0.01), 0)
+        state = self.dispatcher.replicas["r0"]
+        state.started(0.0)
+        self.assertEqual(state.room(0.01), 0)
 
     def test_restarted_replica_is_empty_and_has_no_pending_answers(self):
         ticket = Ticket("e", 1, 1, "one", 0.0, 100.0, 0.0, prefix=7, prompt_tokens=900)
@@ -112,30 +112,30 @@
         self.assertEqual(self.dispatcher.replicas[name].in_flight, 1)
         lives = dict.fromkeys(self.names, 1) | {name: 2}
         self.dispatcher.set_replicas(dict.fromkeys(self.names, 32), lives=lives)
-        room = self.dispatcher.replicas[name]
-        self.assertEqual(room.in_flight, 0)
-        self.assertFalse(room.has_prefix(7))
-        self.assertEqual(room.unread_seconds, 0.0)
+        state = self.dispatcher.replicas[name]
+        self.assertEqual(state.in_flight, 0)
+        self.assertFalse(state.has_prefix(7))
+        self.assertEqual(state.unread_seconds, 0.0)
         # A late message about a call to the earlier process changes nothing.
         self.dispatcher.answered(ticket.key, 0.1)
         self.dispatcher.release(ticket.key, 100.0, 0.1)
-        self.assertEqual(room.in_flight, 0)
+        self.assertEqual(state.in_flight, 0)
 
     def test_unreachable_replica_counts_as_cold_when_it_answers_again(self):
-        room = self.dispatcher.replicas["r0"]
+        state = self.dispatcher.replicas["r0"]
         for _ in range(2):
-            room.failed(0.0, CallResult.UNREACHABLE, Peers())
-        room.started(1.0)
-        room.answered(("e", 1), 1.0)
-        self.assertTrue(room.warmup.cold(1.1))
-        self.assertFalse(room.warmup.cold(1.0 + BOUND.seconds))
+            state.failed(0.0, CallResult.UNREACHABLE, Peers())
+        state.started(1.0)
+        state.answered(("e", 1), 1.0)
+        self.assertTrue(state.warmup.cold(1.1))
+        self.assertFalse(state.warmup.cold(1.0 + BOUND.seconds))
 
     def test_replica_that_answered_with_errors_does_not_count_as_cold(self):
-        room = self.dispatcher.replicas["r0"]
+        state = self.dispatcher.replicas["r0"]
         for _ in range(2):
-            room.failed(0.0, CallResult.ERROR, Peers())
-        room.answered(("e", 1), 1.0)
-        self.assertFalse(room.warmup.cold(1.1))
+            state.failed(0.0, CallResult.ERROR, Peers())
+        state.answered(("e", 1), 1.0)
+        self.assertFalse(state.warmup.cold(1.1))
 
 
 if __name__ == "__main__":
