--- a/railsail/scheduling/dispatcher.py
+++ b/railsail/scheduling/dispatcher.py
@@ -12,7 +12,7 @@
 from railsail.scheduling.cells import Cell
 from railsail.scheduling.decisions import Decision, Flight, Grant, Hold, Move, Refusal
 from railsail.scheduling.fairqueue import CATCH_UP_CHARGES, FairQueue
-from railsail.scheduling.health import CallResult, Peers
+from railsail.scheduling.health import CallResult, GroupHealth
 from railsail.scheduling.overflow import Overflow
 from railsail.scheduling.placing import NEARLY_IDLE_SECONDS, ShareState
 from railsail.scheduling.returning import RETRY_WAIT_OBJECTIVES, RefusedCallers
@@ -138,7 +138,7 @@
         """Record that ``replica`` is cold for ``seconds`` from ``now`` on."""
         state = self.replicas.get(replica)
         if state is not None:
-            state.warmup.cold_for(seconds, now)
+            state.warmup.mark_cold(seconds, now)
 
     def _add_replica(self, name: str, slots: int) -> None:
         state = ReplicaState(name, slots)
@@ -245,7 +245,7 @@
         Cold replicas sustain too few calls to be counted beside warm ones.
         """
         serving = [state for state in self.open_rooms(now) if state.serves(now)]
-        warm = [state for state in serving if not state.warmup.cold(now)]
+        warm = [state for state in serving if not state.warmup.is_cold(now)]
         return max(1.0, sum(state.prefill_rate for state in warm or serving))
 
     def _refuse(self, ticket: Ticket, reason: Reason, now: float) -> Refusal:
@@ -299,16 +299,16 @@
         self._has_begun(flight)
         state = self.replicas.get(flight.replica)
         if self.tallies is not None:
-            was_cold = state is not None and state.warmup.cold(flight.started_at)
+            was_cold = state is not None and state.warmup.is_cold(flight.started_at)
             self.tallies.ended(flight, now, result, was_cold)
         if state is None:
             return True
         state.drop_pending(key)
-        state.ended(now)
+        state.call_ended(now)
         if result is CallResult.GOOD:
-            state.succeeded(now, now - flight.started_at)
+            state.call_succeeded(now, now - flight.started_at)
         elif result.failed:
-            state.failed(now, result, self._peers_of(state, now))
+            state.call_failed(now, result, self._health_of_others(state, now))
         return True
 
     def _has_begun(self, flight: Flight) -> None:
@@ -316,23 +316,25 @@
             flight.unread = 0
             self._unread[flight.workspace] -= 1
 
-    def _peers_of(self, state: ReplicaState, now: float) -> Peers:
-        """Return how the replicas do that ``state`` is compared with.
+    def _health_of_others(self, state: ReplicaState, now: float) -> GroupHealth:
+        """Return the health of the replicas that the one of ``state`` is compared with.
 
         Replicas that are draining no longer belong to the cell. Those that cannot be reached say
         nothing about error rates: when a failure domain is lost, a faulty replica is still the
         worst of those that answer.
         """
         states = [other for other in self.replicas.values() if not other.leaving]
-        group = self.versions.group(state.name, states)
+        group = self.versions.same_side(state.name, states)
         others = [other for other in group if other is not state]
         # Failures on trial are those of the version, which is judged as a whole.
         if not others or self.versions.on_trial(state.name, now):
-            return Peers(may_close=False)
-        closed = sum(not other.serves(now) or other.health.tripped for other in others)
-        shares = [other.health.error_share for other in others if not other.health.lost]
-        mean = sum(shares) / len(shares) if shares else 0.0
-        return Peers(mean, closed + 1 <= len(group) // 2)
+            return GroupHealth(can_eject=False)
+        unavailable = sum(not other.serves(now) or other.health.tripped for other in others)
+        error_rates = [
+            other.health.error_rate for other in others if not other.health.was_unreachable
+        ]
+        mean_rate = sum(error_rates) / len(error_rates) if error_rates else 0.0
+        return GroupHealth(mean_rate, unavailable + 1 <= len(group) // 2)
 
     def report(self, replica: str, report: LoadReport, now: float) -> None:
         """Apply a load report of ``replica``."""
@@ -346,11 +348,11 @@
             return
         self.flights[key] = flight
         flight.software_version = self.versions.version_of(flight.replica)
-        self.versions.granted(flight.replica, flight.started_at)
+        self.versions.record_grant(flight.replica, flight.started_at)
         self._unread[flight.workspace] += bool(flight.unread)
         state = self.replicas.get(flight.replica)
         if state is not None:
-            state.started(flight.started_at)
+            state.call_started(flight.started_at)
             self._expect(state, key, flight)
 
     def drop_entry(self, entry: str, now: float) -> None:
@@ -441,12 +443,12 @@
             self.versions.version_of(state.name),
         )
         self.flights[ticket.key] = flight
-        stage = self.versions.granted(state.name, now)
+        stage = self.versions.record_grant(state.name, now)
         if self.tallies is not None:
             self.tallies.arrivals += 1
         self._unread[ticket.workspace] += 1
         self._usage.charge(ticket.workspace, ticket.estimate, now)
-        state.started(now)
+        state.call_started(now)
         self._expect(state, ticket.key, flight)
         return Grant(ticket, state.name, self.queue.counter(ticket.workspace), stage)
 
--- a/railsail/scheduling/exposure.py
+++ b/railsail/scheduling/exposure.py
@@ -68,13 +68,13 @@
 
     def allow(self, allowance: Allowance, now: float) -> bool:
         """Apply an allowance; return True if it is newer than the current one."""
-        held = self._allowance
-        if (allowance.term, allowance.serial) <= (held.term, held.serial):
+        current = self._allowance
+        if (allowance.term, allowance.serial) <= (current.term, current.serial):
             return False
         # Calls that were resumed before the first allowance count towards its term.
-        if held.term and allowance.term != held.term:
+        if current.term and allowance.term != current.term:
             self.exposed = 0
-        self._earn(now)
+        self._refill_credit(now)
         self._allowance = allowance
         self._rate = self.unspent / PACE_SECONDS
         return True
@@ -85,29 +85,29 @@
         The stage is also ``HOLD`` when all allowed calls have been sent, so that the other versions
         serve the callers from then on.
         """
-        lasts = now < self._allowance.until and self.unspent > 0
-        return self._allowance.stage if lasts else Stage.HOLD
+        is_valid = now < self._allowance.until and self.unspent > 0
+        return self._allowance.stage if is_valid else Stage.HOLD
 
-    def names(self, replica: str) -> bool:
+    def is_canary_replica(self, replica: str) -> bool:
         """Return True if canary calls may go to ``replica`` of the target version."""
         return not self._allowance.replicas or replica in self._allowance.replicas
 
-    def due(self, now: float) -> bool:
+    def is_canary_due(self, now: float) -> bool:
         """Return True if the next call should be a canary call."""
         if self.stage(now) is not Stage.CANARY:
             return False
-        self._earn(now)
+        self._refill_credit(now)
         needed = 1 if self._in_group else min(GROUP_CALLS, self.unspent)
         self._in_group = self._credit >= needed
         return self._in_group
 
-    def sent(self, now: float) -> None:
+    def record_call(self, now: float) -> None:
         """Record a call granted to the target version, in any stage."""
         self.exposed += 1
-        self._earn(now)
+        self._refill_credit(now)
         self._credit = max(0.0, self._credit - 1)
 
-    def _earn(self, now: float) -> None:
+    def _refill_credit(self, now: float) -> None:
         # A resumed call may have been sent before the last update of the credit.
         if now <= self._credited_at:
             return
--- a/railsail/scheduling/health.py
+++ b/railsail/scheduling/health.py
@@ -59,32 +59,32 @@
 }
 
 
-class Peers(msgspec.Struct, frozen=True):
-    """How the other replicas of a cell do.
+class GroupHealth(msgspec.Struct, frozen=True):
+    """The health of the other replicas that a replica is compared with.
 
-    ``error_share`` is their mean error rate; ``may_close`` is True if enough of them are in service
-    for one more to be ejected.
+    ``error_rate`` is their mean; ``can_eject`` is True if enough of them are in service for one
+    more to be ejected.
     """
 
-    error_share: float = 0.0
-    may_close: bool = True
+    error_rate: float = 0.0
+    can_eject: bool = True
 
 
 class ReplicaHealth:
     """The health of one replica by its calls; times are in seconds of the dispatcher's clock."""
 
     def __init__(self) -> None:
-        self.error_share = 0.0
+        self.error_rate = 0.0
         self._failures = 0
-        self._closed_until = 0.0
-        self._closed_seconds = INITIAL_EJECTION_SECONDS
+        self._ejected_until = 0.0
+        self._ejection_seconds = INITIAL_EJECTION_SECONDS
         self._tripped = False
-        self._trial_runs = False
-        self._lost = False
+        self._probe_in_flight = False
+        self._unreachable = False
 
-    def closed(self, now: float) -> bool:
-        """Return True if the replica is given no calls at ``now``."""
-        return now < self._closed_until
+    def is_ejected(self, now: float) -> bool:
+        """Return True if the replica is ejected at ``now``, so that it is given no calls."""
+        return now < self._ejected_until
 
     @property
     def tripped(self) -> bool:
@@ -92,50 +92,50 @@
         return self._tripped
 
     @property
-    def lost(self) -> bool:
+    def was_unreachable(self) -> bool:
         """Return True if the replica was ejected because nobody could connect to it.
 
         Its process may have ended, and what answers next may be a new one.
         """
-        return self._tripped and self._lost
+        return self._tripped and self._unreachable
 
     @property
-    def wants_trial(self) -> bool:
+    def can_probe(self) -> bool:
         """Return True if an ejected replica may be given the single call that probes it."""
-        return self._tripped and not self._trial_runs
+        return self._tripped and not self._probe_in_flight
 
-    def started(self) -> None:
+    def call_started(self) -> None:
         """Record that the replica was given a call."""
-        self._trial_runs = self._tripped
+        self._probe_in_flight = self._tripped
 
-    def ended(self) -> None:
+    def call_ended(self) -> None:
         """Record the end of a call, whatever its result."""
-        self._trial_runs = False
+        self._probe_in_flight = False
 
-    def begun(self) -> None:
+    def answer_started(self) -> None:
         """Record the start of a good answer."""
         self._failures = 0
         self._tripped = False
 
-    def succeeded(self) -> None:
+    def call_succeeded(self) -> None:
         """Record a call with a complete, good answer."""
-        self.error_share += ERROR_GAIN * (0.0 - self.error_share)
-        self._closed_seconds = INITIAL_EJECTION_SECONDS
-        self.begun()
+        self.error_rate += ERROR_GAIN * (0.0 - self.error_rate)
+        self._ejection_seconds = INITIAL_EJECTION_SECONDS
+        self.answer_started()
 
-    def failed(self, now: float, result: CallResult, peers: Peers) -> None:
+    def call_failed(self, now: float, result: CallResult, others: GroupHealth) -> None:
         """Record a failed call, and eject the replica if it has failed too often."""
-        self.error_share += ERROR_GAIN * (1.0 - self.error_share)
+        self.error_rate += ERROR_GAIN * (1.0 - self.error_rate)
         self._failures += 1
         if self._failures < FAILURES_TO_EJECT:
             return
-        if result is not CallResult.UNREACHABLE and not self._is_worse(peers):
+        if result is not CallResult.UNREACHABLE and not self._is_worse_than(others):
             return
         self._tripped = True
-        self._lost = result is CallResult.UNREACHABLE
-        self._closed_until = now + self._closed_seconds
-        self._closed_seconds = min(self._closed_seconds * 2, MAX_EJECTION_SECONDS)
+        self._unreachable = result is CallResult.UNREACHABLE
+        self._ejected_until = now + self._ejection_seconds
+        self._ejection_seconds = min(self._ejection_seconds * 2, MAX_EJECTION_SECONDS)
 
-    def _is_worse(self, peers: Peers) -> bool:
-        bound = WORSE_FACTOR * peers.error_share + WORSE_MARGIN
-        return peers.may_close and self.error_share > bound
+    def _is_worse_than(self, others: GroupHealth) -> bool:
+        bound = WORSE_FACTOR * others.error_rate + WORSE_MARGIN
+        return others.can_eject and self.error_rate > bound
--- a/railsail/scheduling/placing.py
+++ b/railsail/scheduling/placing.py
@@ -166,7 +166,7 @@
         if not serving:
             return None
         # A cold replica has no prefixes cached, and can sustain too few calls to be waited for.
-        serving = [state for state in serving if not state.warmup.cold(now)] or serving
+        serving = [state for state in serving if not state.warmup.is_cold(now)] or serving
         if ticket.avoid:
             return _preferred(ticket, serving)
         among = frozenset(state.name for state in serving)
--- a/railsail/scheduling/room.py
+++ b/railsail/scheduling/room.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from railsail.scheduling.health import CallResult, Peers, ReplicaHealth
+from railsail.scheduling.health import CallResult, GroupHealth, ReplicaHealth
 from railsail.scheduling.tickets import Ticket, TicketKey
 from railsail.scheduling.warmup import Warmup
 
@@ -143,7 +143,7 @@
         """Return True if the replica may be given calls at all."""
         if self.leaving or now < self.held_until:
             return False
-        return not (self.health.closed(now) or self._is_silent(now))
+        return not (self.health.is_ejected(now) or self._is_silent(now))
 
     @property
     def unread_seconds(self) -> float:
@@ -156,15 +156,15 @@
             return 0
         if self.health.tripped:
             # An ejected replica is probed with a single call.
-            return int(self.health.wants_trial)
-        if not self.warmup.allows(now):
+            return int(self.health.can_probe)
+        if not self.warmup.allows_call(now):
             return 0
         return max(0, int(self.limit) + extra - self.in_flight - self.calls_of_others)
 
     def startable_calls(self, now: float) -> int:
         """Return how many calls can start at ``now``; a cold replica is given one at a time."""
         free = self.room(now)
-        return min(free, 1) if self.warmup.cold(now) else free
+        return min(free, 1) if self.warmup.is_cold(now) else free
 
     @property
     def prefill_rate(self) -> float:
@@ -223,10 +223,10 @@
 
     def answered(self, key: TicketKey, now: float) -> None:
         """Record the start of a good answer, which shows that its prompt was prefilled."""
-        if self.health.lost:
+        if self.health.was_unreachable:
             # It may be a new process under the old name that the platform has not reported yet.
-            self.warmup.cold_for(self.warmup.bound.seconds, now)
-        self.health.begun()
+            self.warmup.mark_cold(self.warmup.bound.seconds, now)
+        self.health.answer_started()
         pending = self._pending.get(key)
         self.drop_pending(key)
         self._last_answer_at = now
@@ -255,22 +255,22 @@
         """Return the calls per slot, own and those of others; 1.0 is full."""
         return (self.in_flight + self.calls_of_others) / max(self.limit, MIN_LIMIT)
 
-    def started(self, now: float) -> None:
+    def call_started(self, now: float) -> None:
         """Record a granted call."""
         self.in_flight += 1
-        self.health.started()
-        self.warmup.started(now)
+        self.health.call_started()
+        self.warmup.call_started(now)
         self._record_in_flight(now)
 
-    def ended(self, now: float) -> None:
+    def call_ended(self, now: float) -> None:
         """Record the end of a call, whatever its result."""
         self._record_in_flight(now)
-        self.health.ended()
+        self.health.call_ended()
         self.in_flight = max(0, self.in_flight - 1)
 
-    def succeeded(self, now: float, seconds: float) -> None:
+    def call_succeeded(self, now: float, seconds: float) -> None:
         """Record a call that was answered completely after ``seconds``."""
-        self.health.succeeded()
+        self.health.call_succeeded()
         if self._mean_duration == 0.0:
             self._mean_duration = seconds
         if seconds > SLOW_FACTOR * self._mean_duration:
@@ -279,10 +279,10 @@
             self._limit = min(MAX_LIMIT, self._limit + 1 / self._limit)
         self._mean_duration += MEAN_DURATION_GAIN * (seconds - self._mean_duration)
 
-    def failed(self, now: float, result: CallResult, peers: Peers) -> None:
+    def call_failed(self, now: float, result: CallResult, others: GroupHealth) -> None:
         """Record a call that failed or was refused; enough of them eject the replica."""
         self._limit = max(MIN_LIMIT, self._limit * DECREASE_FACTOR)
-        self.health.failed(now, result, peers)
+        self.health.call_failed(now, result, others)
 
     def apply_report(self, now: float, report: LoadReport) -> None:
         """Apply a load report, which lags by its age.
--- a/railsail/scheduling/versions.py
+++ b/railsail/scheduling/versions.py
@@ -50,7 +50,7 @@
             return False
         return self._versions.get(replica, "") == self.exposure.target_version
 
-    def group(self, replica: str, states: Iterable[ReplicaState]) -> list[ReplicaState]:
+    def same_side(self, replica: str, states: Iterable[ReplicaState]) -> list[ReplicaState]:
         """Return those of ``states`` that are on the same side of a rollout as ``replica``."""
         if self.exposure is None:
             return list(states)
@@ -75,8 +75,8 @@
         if stage is Stage.SHIFT:
             return states
         target, others = self._sides(states)
-        drains = stage is Stage.DRAIN and any(state.serves(now) for state in target)
-        return target if drains else others
+        use_target = stage is Stage.DRAIN and any(state.serves(now) for state in target)
+        return target if use_target else others
 
     def _sides(
         self, states: Iterable[ReplicaState]
@@ -91,7 +91,7 @@
         """Return which of ``states`` may be given calls, and which have a free slot, at ``now``."""
         if self.exposure is None:
             return look(states, now, urgent)
-        canaries = self._canaries(states, now) if self.exposure.due(now) else []
+        canaries = self._canaries(states, now) if self.exposure.is_canary_due(now) else []
         return look([*self.open_rooms(states, now), *canaries], now, urgent)
 
     def _canaries(self, states: Iterable[ReplicaState], now: float) -> list[ReplicaState]:
@@ -102,9 +102,9 @@
         are slow, and show nothing about their version.
         """
         target, _ = self._sides(states)
-        able = [state for state in target if state.serves(now) and not state.warmup.cold(now)]
-        named = [state for state in able if self.exposure.names(state.name)]
-        return named or able
+        serving = [state for state in target if state.serves(now) and not state.warmup.is_cold(now)]
+        named = [state for state in serving if self.exposure.is_canary_replica(state.name)]
+        return named or serving
 
     def choose(
         self,
@@ -124,7 +124,7 @@
             case Stage.SHIFT if not self._failed_there(ticket):
                 found = self._target.choose(ticket, target, now, standing)
             case Stage.CANARY if not ticket.returned and not self._failed_there(ticket):
-                found = self._canary(ticket, target, now)
+                found = self._choose_canary(ticket, target, now)
         return found or self._others.choose(ticket, others, now, standing)
 
     def _split(self, openings: Openings) -> tuple[Openings, Openings]:
@@ -136,28 +136,28 @@
     def _failed_there(self, ticket: Ticket) -> bool:
         return bool(ticket.avoid) and self.is_target(ticket.avoid)
 
-    def granted(self, replica: str, now: float) -> Stage | None:
+    def record_grant(self, replica: str, now: float) -> Stage | None:
         """Record a call granted to ``replica``, and return the stage of the rollout."""
         if self.exposure is None:
             return None
         stage = self.exposure.stage(now)
         if self.is_target(replica):
-            self.exposure.sent(now)
+            self.exposure.record_call(now)
             self._calls[replica] += 1
         return stage
 
-    def _canary(self, ticket: Ticket, openings: Openings, now: float) -> ReplicaState | None:
+    def _choose_canary(self, ticket: Ticket, openings: Openings, now: float) -> ReplicaState | None:
         """Return the replica that runs ``ticket`` as a canary call, ``None`` if there is none.
 
         It is the one with the most calls in flight, so that it runs several at once. Among idle
         ones it is the one that was given the fewest calls, because a single faulty replica says
         little about its version.
         """
-        able = [
+        candidates = [
             state
             for state in openings.free
             if ticket.may_run_on(state.name, state.region) and state.can_answer_in_time(ticket, now)
         ]
-        if not able:
+        if not candidates:
             return None
-        return max(able, key=lambda state: (state.in_flight, -self._calls[state.name]))
+        return max(candidates, key=lambda state: (state.in_flight, -self._calls[state.name]))
--- a/railsail/scheduling/warmup.py
+++ b/railsail/scheduling/warmup.py
@@ -29,21 +29,21 @@
     """The load that a cold replica sustains.
 
     ``per_second`` is the number of calls that it sustains per second, 0 if there is no limit. All
-    nodes together may send it ``over`` times as many and ``slack`` more in any second. It stays
-    cold for ``seconds`` after its start.
+    nodes together may send it ``overcommit`` times as many and ``slack`` more in any second. It
+    stays cold for ``seconds`` after its start.
     """
 
     per_second: float = 0.0
     seconds: float = 0.0
-    over: float = 1.0
+    overcommit: float = 1.0
     slack: float = 0.0
 
     @property
     def rate(self) -> float:
         """Return the calls per second that one dispatcher for the whole fleet may send."""
-        most = self.per_second * self.over + self.slack
+        max_rate = self.per_second * self.overcommit + self.slack
         # Evenly spaced calls may exceed their rate by one in some window.
-        return max(0.0, min(self.per_second, most / MAX_DISPATCHERS - 1))
+        return max(0.0, min(self.per_second, max_rate / MAX_DISPATCHERS - 1))
 
 
 class Warmup:
@@ -53,28 +53,28 @@
         self.bound = WarmupBound()
         # The part of the fleet that this dispatcher serves, from 0 to 1.
         self.share = 1.0
-        self._until = -math.inf
-        self._next_at = -math.inf
+        self._cold_until = -math.inf
+        self._next_call_at = -math.inf
 
-    def cold_for(self, seconds: float, now: float) -> None:
+    def mark_cold(self, seconds: float, now: float) -> None:
         """Record that the replica stays cold for ``seconds`` more."""
-        self._until = max(self._until, now + seconds)
+        self._cold_until = max(self._cold_until, now + seconds)
 
-    def cold(self, now: float) -> bool:
+    def is_cold(self, now: float) -> bool:
         """Return True if the replica is cold at ``now`` and its pool has a bound for that."""
-        return now < self._until and self.bound.per_second > 0
+        return now < self._cold_until and self.bound.per_second > 0
 
-    def allows(self, now: float) -> bool:
+    def allows_call(self, now: float) -> bool:
         """Return True if the replica may be given a call at ``now``."""
-        return not self.cold(now) or now >= self._next_at
+        return not self.is_cold(now) or now >= self._next_call_at
 
-    def started(self, now: float) -> None:
+    def call_started(self, now: float) -> None:
         """Record a call given at ``now``, whether or not the replica is cold yet."""
         rate = self.bound.rate * self.share
         if rate <= 0:
             return
-        gap = 1 / rate
-        if not self.cold(now):
-            self._next_at = now + gap
-        elif now > self._next_at - BOUND_WINDOW_SECONDS:
-            self._next_at = max(self._next_at, now - MAX_LATENESS_SECONDS) + gap
+        interval = 1 / rate
+        if not self.is_cold(now):
+            self._next_call_at = now + interval
+        elif now > self._next_call_at - BOUND_WINDOW_SECONDS:
+            self._next_call_at = max(self._next_call_at, now - MAX_LATENESS_SECONDS) + interval
--- a/tests/platform/test_signs.py
+++ b/tests/platform/test_signs.py
@@ -292,8 +292,8 @@
         node = await self.serve(self.turning_away(), answering(), answering())
         await self.call_until_reached(node, "/again/")
         await self.until(lambda: not len(node.tickets))
-        rooms = [d.replicas["i-0"] for d in node.dispatchers.dispatchers().values()]
-        self.assertEqual([room.health.error_share for room in rooms], [0.0] * len(rooms))
+        states = [d.replicas["i-0"] for d in node.dispatchers.dispatchers().values()]
+        self.assertEqual([state.health.error_rate for state in states], [0.0] * len(states))
 
     async def test_it_gets_work_again_when_its_time_has_passed(self):
         async def once(replica: ReplicaStandin, request: Received, writer) -> None:
--- a/tests/scheduling/test_exposure.py
+++ b/tests/scheduling/test_exposure.py
@@ -23,8 +23,8 @@
         times = []
         for number in range(round((end - begin) / step)):
             now = begin + number * step
-            if self.exposure.due(now):
-                self.exposure.sent(now)
+            if self.exposure.is_canary_due(now):
+                self.exposure.record_call(now)
                 times.append(now)
         return times
 
@@ -73,8 +73,8 @@
         self.assertEqual(len(self.send(10.0, 20.0)), 10)
 
     def test_calls_resumed_before_the_first_allowance_are_counted(self):
-        self.exposure.sent(0.0)
-        self.exposure.sent(0.0)
+        self.exposure.record_call(0.0)
+        self.exposure.record_call(0.0)
         self.exposure.allow(canary(1, 10), 1.0)
         self.assertEqual(len(self.send(1.0, 20.0)), 8)
 
@@ -97,8 +97,8 @@
         self.exposure.allow(canary(1, 40), 50.0)
         self.assertEqual(len(self.send(50.0, 50.01)), GROUP_CALLS)
         for _ in range(3):
-            self.exposure.sent(40.0)
-            self.exposure.due(50.012)
+            self.exposure.record_call(40.0)
+            self.exposure.is_canary_due(50.012)
         self.assertEqual(self.send(50.012, 50.03), [])
 
     def test_idle_time_earns_credit_for_one_group_at_most(self):
--- a/tests/scheduling/test_health.py
+++ b/tests/scheduling/test_health.py
@@ -5,7 +5,7 @@
 
 from railsail.scheduling.decisions import Grant
 from railsail.scheduling.dispatcher import CellDispatcher
-from railsail.scheduling.health import CallResult, Peers, ReplicaHealth
+from railsail.scheduling.health import CallResult, GroupHealth, ReplicaHealth
 from railsail.scheduling.tickets import Ticket
 
 
@@ -13,39 +13,39 @@
     def setUp(self):
         self.health = ReplicaHealth()
 
-    def fail(self, result: CallResult, peers: Peers, times: int = 2) -> None:
+    def fail(self, result: CallResult, others: GroupHealth, times: int = 2) -> None:
         for _ in range(times):
-            self.health.failed(0.0, result, peers)
+            self.health.call_failed(0.0, result, others)
 
     def test_errors_eject_a_replica_that_is_worse_than_the_others(self):
-        self.fail(CallResult.ERROR, Peers(0.0))
-        self.assertTrue(self.health.closed(0.1))
+        self.fail(CallResult.ERROR, GroupHealth(0.0))
+        self.assertTrue(self.health.is_ejected(0.1))
 
     def test_errors_do_not_eject_a_replica_whose_others_fail_as_often(self):
-        self.fail(CallResult.ERROR, Peers(0.4), times=3)
-        self.assertFalse(self.health.closed(0.1))
+        self.fail(CallResult.ERROR, GroupHealth(0.4), times=3)
+        self.assertFalse(self.health.is_ejected(0.1))
 
     def test_errors_eject_no_replica_where_too_few_are_in_service(self):
-        self.fail(CallResult.ERROR, Peers(0.0, may_close=False), times=9)
-        self.assertFalse(self.health.closed(0.1))
+        self.fail(CallResult.ERROR, GroupHealth(0.0, can_eject=False), times=9)
+        self.assertFalse(self.health.is_ejected(0.1))
 
     def test_unreachable_replica_is_ejected_whatever_the_others_do(self):
-        self.fail(CallResult.UNREACHABLE, Peers(1.0, may_close=False))
-        self.assertTrue(self.health.closed(0.1))
+        self.fail(CallResult.UNREACHABLE, GroupHealth(1.0, can_eject=False))
+        self.assertTrue(self.health.is_ejected(0.1))
 
     def test_start_of_a_good_answer_ends_the_ejection(self):
-        self.fail(CallResult.ERROR, Peers())
-        self.assertTrue(self.health.wants_trial)
-        self.health.started()
-        self.assertFalse(self.health.wants_trial)
-        self.health.begun()
+        self.fail(CallResult.ERROR, GroupHealth())
+        self.assertTrue(self.health.can_probe)
+        self.health.call_started()
+        self.assertFalse(self.health.can_probe)
+        self.health.answer_started()
         self.assertFalse(self.health.tripped)
 
     def test_earlier_calls_do_not_keep_an_ejected_replica_from_a_probe(self):
         for _ in range(30):
-            self.health.started()
-        self.fail(CallResult.ERROR, Peers())
-        self.assertTrue(self.health.wants_trial)
+            self.health.call_started()
+        self.fail(CallResult.ERROR, GroupHealth())
+        self.assertTrue(self.health.can_probe)
 
 
 class CellTests(unittest.TestCase):
--- a/tests/scheduling/test_losses.py
+++ b/tests/scheduling/test_losses.py
@@ -27,32 +27,32 @@
             self.dispatcher.release(ticket.key, 1.0, now, result)
         self.dispatcher.cancel(ticket.key)
 
-    def closed_when_grey(self, now: float) -> bool:
+    def ejected_when_faulty(self, now: float) -> bool:
         for step in range(6):
             self.call("i", CallResult.ERROR, now + step * 0.01)
-        return self.dispatcher.replicas["i"].health.closed(now + 0.06)
+        return self.dispatcher.replicas["i"].health.is_ejected(now + 0.06)
 
     def test_faulty_replica_is_ejected_beside_a_lost_domain(self):
         for step in range(400):
             for lost in "abc":
                 self.call(lost, CallResult.UNREACHABLE, step * 0.5)
-        closed = False
+        ejected = False
         for step in range(20):
             failed = step % 4 < 2
             self.call("i", CallResult.ERROR if failed else CallResult.GOOD, 200 + step * 0.01)
-            closed |= self.dispatcher.replicas["i"].health.closed(200 + step * 0.01)
-        self.assertTrue(closed)
+            ejected |= self.dispatcher.replicas["i"].health.is_ejected(200 + step * 0.01)
+        self.assertTrue(ejected)
 
     def test_faulty_replica_is_ejected_beside_evacuated_domains(self):
         self.dispatcher.set_replicas(dict.fromkeys(self.names, 8), leaving="abcde")
-        self.assertTrue(self.closed_when_grey(0.0))
+        self.assertTrue(self.ejected_when_faulty(0.0))
 
     def test_half_of_the_replicas_stay_in_service(self):
         self.dispatcher.set_replicas(dict.fromkeys(self.names, 8), leaving="abcde")
         for name in "fgh":
             for step in range(6):
                 self.call(name, CallResult.ERROR, step * 0.01)
-        self.assertFalse(self.closed_when_grey(0.1))
+        self.assertFalse(self.ejected_when_faulty(0.1))
 
 
 class ReturnTests(unittest.TestCase):
--- a/tests/scheduling/test_overlaps.py
+++ b/tests/scheduling/test_overlaps.py
@@ -24,7 +24,7 @@
     def test_another_replica_gets_canary_calls_if_the_named_ones_are_lost(self):
         self.allow_canary(20, "new0", "new1")
         for name in ("new0", "new1"):
-            self.dispatcher.replicas[name].health._closed_until = 100.0
+            self.dispatcher.replicas[name].health._ejected_until = 100.0
         self.assertEqual(self.serve(200, 0.0, gap=0.02)["v2"], 20)
 
     def test_cold_replica_does_not_replace_a_named_one(self):
@@ -61,7 +61,7 @@
     def test_others_serve_if_the_whole_target_is_lost(self):
         self.allow(Stage.DRAIN)
         for name in NEW:
-            self.dispatcher.replicas[name].health._closed_until = 100.0
+            self.dispatcher.replicas[name].health._ejected_until = 100.0
         self.assertEqual(self.serve(50, 0.0), {"v1": 50})
 
     def test_free_slots_are_those_of_the_others_if_the_target_is_evacuated(self):
--- a/tests/scheduling/test_placing.py
+++ b/tests/scheduling/test_placing.py
@@ -137,7 +137,7 @@
 
     def test_ticket_leaves_its_region_neither_when_full_nor_after_a_failure(self):
         for state in self.states[3:]:
-            state.started(0.0)
+            state.call_started(0.0)
             state.record_pending(("x", 1), 10 * MAX_PENDING_PREFILL, 0.0)
         self.assertEqual(self.regions(regions=("south",), avoid="d"), {""})
 
--- a/tests/scheduling/test_room.py
+++ b/tests/scheduling/test_room.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from railsail.scheduling.health import CallResult, Peers
+from railsail.scheduling.health import CallResult, GroupHealth
 from railsail.scheduling.room import LoadReport, ReplicaState
 from railsail.scheduling.tickets import Ticket, TicketKey
 
@@ -78,9 +78,9 @@
     def test_own_calls_in_a_late_report_are_not_counted_as_those_of_others(self):
         state = ReplicaState("r", 8)
         for _ in range(6):
-            state.started(10.0)
+            state.call_started(10.0)
         for _ in range(6):
-            state.ended(10.5)
+            state.call_ended(10.5)
         # The report dates from the time when the six calls were running.
         state.apply_report(11.0, LoadReport(8, 6, 0, age=0.8))
         self.assertEqual(state.room(11.0), 8)
@@ -92,20 +92,20 @@
 
     def test_failures_eject_a_replica_and_a_single_call_probes_it(self):
         state = ReplicaState("r", 8)
-        state.failed(0.0, CallResult.ERROR, Peers())
-        state.failed(0.0, CallResult.ERROR, Peers())
+        state.call_failed(0.0, CallResult.ERROR, GroupHealth())
+        state.call_failed(0.0, CallResult.ERROR, GroupHealth())
         self.assertEqual(state.room(0.1), 0)
         self.assertEqual(state.room(0.6), 1)
-        state.started(0.6)
+        state.call_started(0.6)
         self.assertEqual(state.room(0.6), 0)
-        state.ended(0.7)
-        state.succeeded(0.7, 0.1)
+        state.call_ended(0.7)
+        state.call_succeeded(0.7, 0.1)
         self.assertEqual(state.room(0.7), 8)
 
     def test_ejection_time_doubles(self):
         state = ReplicaState("r", 8)
         for moment in (0.0, 0.0, 1.0):
-            state.failed(moment, CallResult.ERROR, Peers())
+            state.call_failed(moment, CallResult.ERROR, GroupHealth())
         self.assertEqual(state.room(1.9), 0)
         self.assertEqual(state.room(2.1), 1)
 
@@ -113,12 +113,12 @@
         state = ReplicaState("r", 0)
         for _ in range(200):
             while state.room(0.0):
-                state.started(0.0)
-            state.ended(0.0)
-            state.succeeded(0.0, 0.1)
+                state.call_started(0.0)
+            state.call_ended(0.0)
+            state.call_succeeded(0.0, 0.1)
         grown = state.limit
         self.assertGreater(grown, 8.0)
-        state.succeeded(0.0, 10.0)
+        state.call_succeeded(0.0, 10.0)
         self.assertLess(state.limit, grown)
 
 
--- a/tests/scheduling/test_versions.py
+++ b/tests/scheduling/test_versions.py
@@ -271,13 +271,13 @@
             self.offer(step * 0.01)
             self.end(step * 0.01, CallResult.ERROR)
         self.allow(Stage.HOLD, now=1.0)
-        closed = False
+        ejected = False
         for step in range(60):
             replica = self.offer(1.0 + step * 0.01)
             sick = replica == "old0"
             self.end(1.0 + step * 0.01, CallResult.ERROR if sick else CallResult.GOOD)
-            closed |= self.dispatcher.replicas["old0"].health.tripped
-        self.assertTrue(closed)
+            ejected |= self.dispatcher.replicas["old0"].health.tripped
+        self.assertTrue(ejected)
 
     def test_unreachable_canary_is_ejected(self):
         self.allow(Stage.CANARY, 100)
--- a/tests/scheduling/test_warmup.py
+++ b/tests/scheduling/test_warmup.py
@@ -5,12 +5,12 @@
 
 from railsail.scheduling.decisions import Grant
 from railsail.scheduling.dispatcher import CellDispatcher
-from railsail.scheduling.health import CallResult, Peers
+from railsail.scheduling.health import CallResult, GroupHealth
 from railsail.scheduling.tickets import Ticket
 from railsail.scheduling.warmup import Warmup, WarmupBound
 
-BOUND = WarmupBound(per_second=18.0, seconds=3.0, over=1.5, slack=5.0)
-MAX_IN_A_SECOND = BOUND.per_second * BOUND.over + BOUND.slack
+BOUND = WarmupBound(per_second=18.0, seconds=3.0, overcommit=1.5, slack=5.0)
+MAX_IN_A_SECOND = BOUND.per_second * BOUND.overcommit + BOUND.slack
 
 
 def most_in_a_second(times: list[float]) -> int:
@@ -27,13 +27,13 @@
         self.warmup.share = share
         times = []
         for step in range(int(seconds * 1000)):
-            if self.warmup.allows(step / 1000):
-                self.warmup.started(step / 1000)
+            if self.warmup.allows_call(step / 1000):
+                self.warmup.call_started(step / 1000)
                 times.append(step / 1000)
         return times
 
     def test_cold_replica_is_given_calls_at_its_rate(self):
-        self.warmup.cold_for(3.0, 0.0)
+        self.warmup.mark_cold(3.0, 0.0)
         times = self.calls(3.0)
         self.assertLessEqual(2 * most_in_a_second(times), MAX_IN_A_SECOND)
         self.assertGreaterEqual(len(times), 2.8 * BOUND.rate)
@@ -42,7 +42,7 @@
         self.assertLessEqual(2 * BOUND.rate, MAX_IN_A_SECOND)
 
     def test_part_of_a_fleet_gets_its_share_of_the_bound(self):
-        self.warmup.cold_for(10.0, 0.0)
+        self.warmup.mark_cold(10.0, 0.0)
         self.assertLessEqual(len(self.calls(10.0, share=0.1)), 18)
 
     def test_warm_replica_is_not_limited(self):
@@ -50,7 +50,7 @@
 
     def test_pool_without_a_bound_has_no_cold_replicas(self):
         self.warmup.bound = WarmupBound()
-        self.warmup.cold_for(3.0, 0.0)
+        self.warmup.mark_cold(3.0, 0.0)
         self.assertEqual(len(self.calls(0.5)), 500)
 
 
@@ -102,7 +102,7 @@
     def test_next_call_is_spaced_from_a_resumed_call(self):
         self.dispatcher.set_cold("r0", 3.0, 0.0)
         state = self.dispatcher.replicas["r0"]
-        state.started(0.0)
+        state.call_started(0.0)
         self.assertEqual(state.room(0.01), 0)
 
     def test_restarted_replica_is_empty_and_has_no_pending_answers(self):
@@ -124,18 +124,18 @@
     def test_unreachable_replica_counts_as_cold_when_it_answers_again(self):
         state = self.dispatcher.replicas["r0"]
         for _ in range(2):
-            state.failed(0.0, CallResult.UNREACHABLE, Peers())
-        state.started(1.0)
+            state.call_failed(0.0, CallResult.UNREACHABLE, GroupHealth())
+        state.call_started(1.0)
         state.answered(("e", 1), 1.0)
-        self.assertTrue(state.warmup.cold(1.1))
-        self.assertFalse(state.warmup.cold(1.0 + BOUND.seconds))
+        self.assertTrue(state.warmup.is_cold(1.1))
+        self.assertFalse(state.warmup.is_cold(1.0 + BOUND.seconds))
 
     def test_replica_that_answered_with_errors_does_not_count_as_cold(self):
         state = self.dispatcher.replicas["r0"]
         for _ in range(2):
-            state.failed(0.0, CallResult.ERROR, Peers())
+            state.call_failed(0.0, CallResult.ERROR, GroupHealth())
         state.answered(("e", 1), 1.0)
-        self.assertFalse(state.warmup.cold(1.1))
+        self.assertFalse(state.warmup.is_cold(1.1))
 
 
 if __name__ == "__main__":
