--- a/railsail/scheduling/dispatcher.py
+++ b/railsail/scheduling/dispatcher.py
@@ -206,8 +206,8 @@
     def _move_excess(self, ticket: Ticket, now: float) -> Move | None:
         if self.overflow is None:
             return None
-        self.overflow.pressed(now)
-        cell = self.overflow.taker(ticket, now)
+        self.overflow.record_overload(now)
+        cell = self.overflow.use_offer(ticket, now)
         return Move(ticket, cell) if cell is not None else None
 
     def _move_waiting(self, now: float) -> list[Decision]:
@@ -216,8 +216,8 @@
             return []
         if self.spare(now) and not self.overloaded(now):
             return []
-        self.overflow.pressed(now)
-        return [Move(ticket, cell) for ticket, cell in self.overflow.passed_on(self.queue, now)]
+        self.overflow.record_overload(now)
+        return [Move(ticket, cell) for ticket, cell in self.overflow.pop_moved(self.queue, now)]
 
     def overloaded(self, now: float) -> bool:
         """Return True if a ticket expired a moment ago, so that not all can be served."""
@@ -473,9 +473,9 @@
 
     def wanted(self, now: float) -> tuple[Cell, int] | None:
         """Return which cell of another region to request how many tickets from, or ``None``."""
-        if self.overflow is None or not self.overflow.may_ask(now):
+        if self.overflow is None or not self.overflow.can_request(now):
             return None
-        return self.overflow.wanted(len(self.queue), self.spare(now), now)
+        return self.overflow.tickets_to_request(len(self.queue), self.spare(now), now)
 
     def spare(self, now: float) -> int:
         """Return how many more calls the replicas that are nearly idle could start now."""
--- a/railsail/scheduling/fairqueue.py
+++ b/railsail/scheduling/fairqueue.py
@@ -38,7 +38,7 @@
     The sequence number orders tickets with the same sort key.
     """
 
-    order: float
+    sort_key: float
     sequence: int
     ticket: Ticket
 
@@ -71,7 +71,7 @@
         if ticket.workspace not in self._lines:
             self.lift(ticket.workspace)
         self._sequence += 1
-        place = _Place(ticket.order, self._sequence, ticket)
+        place = _Place(ticket.sort_key, self._sequence, ticket)
         insort(self._lines.setdefault(ticket.workspace, []), place)
         self._waiting[ticket.key] = place
 
--- a/railsail/scheduling/newversions.py
+++ b/railsail/scheduling/newversions.py
@@ -22,8 +22,8 @@
     def __init__(self) -> None:
         # The time until which each version ever seen in a pool is held, and the versions of its
         # current replicas.
-        self._until: dict[str, dict[str, float]] = {}
-        self._working: dict[str, frozenset[str]] = {}
+        self._held_until: dict[str, dict[str, float]] = {}
+        self._current: dict[str, frozenset[str]] = {}
 
     def observe(self, pool: str, ages: Mapping[str, float], now: float) -> None:
         """Record the versions that run in ``pool``, and the age of each in seconds.
@@ -31,19 +31,19 @@
         The versions of the first call are not held, because a starting process learns of the orders
         before it dispatches. Neither is a version whose replicas have run for a while.
         """
-        known = self._until.setdefault(pool, {})
-        first = not known
+        known = self._held_until.setdefault(pool, {})
+        is_first = not known
         for version, age in ages.items():
-            held = not first and age < RECENT_SECONDS
-            known.setdefault(version, now + HOLD_SECONDS if held else -math.inf)
+            hold = not is_first and age < RECENT_SECONDS
+            known.setdefault(version, now + HOLD_SECONDS if hold else -math.inf)
         while len(known) > MAX_VERSIONS:
             del known[next(iter(known))]
-        self._working[pool] = frozenset(ages)
+        self._current[pool] = frozenset(ages)
 
     def held(self, pool: str) -> Mapping[str, float]:
         """Return the time until which each version of ``pool`` receives no calls.
 
         No version is held while there is only one.
         """
-        several = len(self._working.get(pool, ())) > 1
-        return self._until[pool] if several else {}
+        several = len(self._current.get(pool, ())) > 1
+        return self._held_until[pool] if several else {}
--- a/railsail/scheduling/overflow.py
+++ b/railsail/scheduling/overflow.py
@@ -37,7 +37,7 @@
 class _Offer:
     """How many more tickets another cell accepts, and until when."""
 
-    left: int
+    remaining: int
     until: float
 
 
@@ -48,57 +48,57 @@
     """
 
     def __init__(self) -> None:
-        self._told = False
-        self._told_at = -math.inf
-        self._pressed_at = -math.inf
-        self._asked_at = -math.inf
+        self._has_reported = False
+        self._reported_at = -math.inf
+        self._overloaded_at = -math.inf
+        self._requested_at = -math.inf
         self._waiting: dict[Cell, int] = {}
-        self._heard_at: dict[Cell, float] = {}
+        self._received_at: dict[Cell, float] = {}
         self._offers: dict[Cell, _Offer] = {}
 
-    def pressed(self, now: float) -> None:
+    def record_overload(self, now: float) -> None:
         """Record that the cell has more tickets than it can start."""
-        self._pressed_at = now
+        self._overloaded_at = now
 
     def news(self, waiting: int, now: float) -> int | None:
         """Return the number of waiting tickets to report to other regions, ``None`` for no report.
 
         It is at least 1 while the cell is overloaded; 0 reports once that the overload has ended.
         """
-        if now - self._pressed_at > OVERLOAD_LINGER_SECONDS:
-            ended, self._told = self._told, False
-            return 0 if ended else None
-        if self._told and now - self._told_at <= REPORT_INTERVAL_SECONDS:
+        if now - self._overloaded_at > OVERLOAD_LINGER_SECONDS:
+            was_reported, self._has_reported = self._has_reported, False
+            return 0 if was_reported else None
+        if self._has_reported and now - self._reported_at <= REPORT_INTERVAL_SECONDS:
             return None
-        self._told = True
-        self._told_at = now
+        self._has_reported = True
+        self._reported_at = now
         return max(1, waiting)
 
-    def wanted(self, waiting: int, spare: int, now: float) -> tuple[Cell, int] | None:
+    def tickets_to_request(self, waiting: int, spare: int, now: float) -> tuple[Cell, int] | None:
         """Return which cell to request how many tickets from, ``None`` for no request.
 
         ``spare`` is how many calls the cell's replicas could start at once.
         """
-        pressed = self._pressed(now)
+        overloaded = self._overloaded_cells(now)
         number = min(spare - waiting, MAX_REQUESTED_TICKETS)
-        if number < 1 or not pressed:
+        if number < 1 or not overloaded:
             return None
-        self._asked_at = now
-        return max(pressed, key=lambda cell: (pressed[cell], cell)), number
+        self._requested_at = now
+        return max(overloaded, key=lambda cell: (overloaded[cell], cell)), number
 
-    def may_ask(self, now: float) -> bool:
+    def can_request(self, now: float) -> bool:
         """Return True if another cell is overloaded and a request may be sent now.
 
         No request is sent shortly after the previous one, or while this cell is overloaded itself.
         """
-        since = now - max(self._asked_at, self._pressed_at)
-        return since >= REQUEST_INTERVAL_SECONDS and bool(self._pressed(now))
+        since = now - max(self._requested_at, self._overloaded_at)
+        return since >= REQUEST_INTERVAL_SECONDS and bool(self._overloaded_cells(now))
 
-    def _pressed(self, now: float) -> dict[Cell, int]:
+    def _overloaded_cells(self, now: float) -> dict[Cell, int]:
         return {
-            cell: told
-            for cell, told in self._waiting.items()
-            if told and now - self._heard_at[cell] <= 2 * REPORT_INTERVAL_SECONDS
+            cell: count
+            for cell, count in self._waiting.items()
+            if count and now - self._received_at[cell] <= 2 * REPORT_INTERVAL_SECONDS
         }
 
     def told(self, other: Cell, waiting: int, now: float) -> None:
@@ -106,32 +106,32 @@
         if waiting:
             self._offers.pop(other, None)
         self._waiting[other] = waiting
-        self._heard_at[other] = now
+        self._received_at[other] = now
 
     def offered(self, other: Cell, number: int, now: float) -> None:
         """Record that ``other`` accepts ``number`` tickets."""
         self._offers[other] = _Offer(number, now + OFFER_LIFETIME_SECONDS)
 
-    def taker(self, ticket: Ticket, now: float) -> Cell | None:
+    def use_offer(self, ticket: Ticket, now: float) -> Cell | None:
         """Return a cell that can serve ``ticket`` in time, and use up one ticket of its offer."""
         waited = now - ticket.enqueued_at
         if ticket.patience and waited + WAY_SECONDS >= ticket.patience:
             return None
         for cell, offer in self._offers.items():
-            if offer.left and now <= offer.until and ticket.may_run_in(cell.region):
-                offer.left -= 1
+            if offer.remaining and now <= offer.until and ticket.can_run_in(cell.region):
+                offer.remaining -= 1
                 return cell
         return None
 
-    def passed_on(self, queue: FairQueue, now: float) -> Iterable[tuple[Ticket, Cell]]:
+    def pop_moved(self, queue: FairQueue, now: float) -> Iterable[tuple[Ticket, Cell]]:
         """Remove the tickets from ``queue`` that move to other cells now, and yield them."""
-        if not any(offer.left and now <= offer.until for offer in self._offers.values()):
+        if not any(offer.remaining and now <= offer.until for offer in self._offers.values()):
             return
         # The workspaces that are served last here wait longest, and lose least by the move.
         for workspace in reversed(queue.workspaces()):
             for ticket in queue.tickets(workspace):
                 stays = now - ticket.enqueued_at < MIN_WAITED_SECONDS
-                cell = None if stays else self.taker(ticket, now)
+                cell = None if stays else self.use_offer(ticket, now)
                 if cell is not None:
                     queue.remove(ticket.key)
                     yield ticket, cell
--- a/railsail/scheduling/placing.py
+++ b/railsail/scheduling/placing.py
@@ -114,7 +114,7 @@
     ) -> list[ReplicaState]:
         states = openings.free
         if ticket.regions or ticket.excluded:
-            states = [state for state in states if ticket.may_run_on(state.name, state.region)]
+            states = [state for state in states if ticket.can_run_on(state.name, state.region)]
         if standing is ShareState.OVER:
             states = [state for state in states if state.room(now) > state.reserved_slots()]
         share = _PREFILL_SHARES.get(standing, 0.0)
@@ -161,7 +161,7 @@
 
     def _home(self, ticket: Ticket, openings: Openings, now: float) -> ReplicaState | None:
         """Return the owner of the ticket's prefix."""
-        able = [r for r in openings.serving if ticket.may_run_on(r.name, r.region)]
+        able = [r for r in openings.serving if ticket.can_run_on(r.name, r.region)]
         serving = [state for state in able if state.name != ticket.avoid]
         if not serving:
             return None
--- a/railsail/scheduling/tickets.py
+++ b/railsail/scheduling/tickets.py
@@ -70,20 +70,20 @@
         """Return the key that identifies the ticket at its dispatcher."""
         return (self.entry, self.number)
 
-    def may_run_in(self, region: str) -> bool:
+    def can_run_in(self, region: str) -> bool:
         """Return True if the request may run in ``region``."""
         return not self.regions or region in self.regions
 
-    def may_run_on(self, replica: str, region: str) -> bool:
+    def can_run_on(self, replica: str, region: str) -> bool:
         """Return True if the request may run on ``replica``, which is in ``region``."""
-        return replica not in self.excluded and self.may_run_in(region)
+        return replica not in self.excluded and self.can_run_in(region)
 
     def has_expired(self, now: float) -> bool:
         """Return True if the ticket has waited longer than its maximum wait."""
         return 0 < self.patience < now - self.enqueued_at
 
     @property
-    def order(self) -> float:
+    def sort_key(self) -> float:
         """Return the sort key within the workspace; the lowest is served first.
 
         Of two requests that arrived together, the one with the earlier deadline for its answer goes
--- a/railsail/scheduling/versions.py
+++ b/railsail/scheduling/versions.py
@@ -156,7 +156,7 @@
         candidates = [
             state
             for state in openings.free
-            if ticket.may_run_on(state.name, state.region) and state.can_answer_in_time(ticket, now)
+            if ticket.can_run_on(state.name, state.region) and state.can_answer_in_time(ticket, now)
         ]
         if not candidates:
             return None
--- a/tests/scheduling/test_overflow.py
+++ b/tests/scheduling/test_overflow.py
@@ -33,13 +33,13 @@
 
 
 def queue(*tickets: Ticket) -> FairQueue:
-    made = FairQueue(lambda workspace: 1.0)
+    built = FairQueue(lambda workspace: 1.0)
     for each in tickets:
-        made.push(each)
-    return made
+        built.push(each)
+    return built
 
 
-class NewsTests(unittest.TestCase):
+class ReportTests(unittest.TestCase):
     def setUp(self):
         self.overflow = Overflow()
 
@@ -47,117 +47,121 @@
         self.assertIsNone(self.overflow.news(5, NOW))
 
     def test_overload_is_reported_and_repeated_while_it_lasts(self):
-        self.overflow.pressed(NOW)
+        self.overflow.record_overload(NOW)
         self.assertEqual(self.overflow.news(5, NOW), 5)
         self.assertIsNone(self.overflow.news(7, NOW + 0.1))
-        self.overflow.pressed(NOW + REPORT_INTERVAL_SECONDS)
+        self.overflow.record_overload(NOW + REPORT_INTERVAL_SECONDS)
         self.assertEqual(self.overflow.news(7, NOW + 1.1 * REPORT_INTERVAL_SECONDS), 7)
 
     def test_overload_is_reported_where_all_is_refused_and_nothing_waits(self):
-        self.overflow.pressed(NOW)
+        self.overflow.record_overload(NOW)
         self.assertEqual(self.overflow.news(0, NOW), 1)
 
     def test_end_of_an_overload_is_reported_once(self):
-        self.overflow.pressed(NOW)
+        self.overflow.record_overload(NOW)
         self.overflow.news(5, NOW)
         self.assertIsNone(self.overflow.news(0, NOW + 0.5 * OVERLOAD_LINGER_SECONDS))
         self.assertEqual(self.overflow.news(0, NOW + 1.1 * OVERLOAD_LINGER_SECONDS), 0)
         self.assertIsNone(self.overflow.news(0, NOW + 2 * OVERLOAD_LINGER_SECONDS))
 
 
-class AskTests(unittest.TestCase):
+class RequestTests(unittest.TestCase):
     def setUp(self):
         self.overflow = Overflow()
 
-    def asked(self, waiting: int, spare: int, now: float = NOW) -> tuple[Cell, int] | None:
-        return self.overflow.wanted(waiting, spare, now) if self.overflow.may_ask(now) else None
+    def request(self, waiting: int, spare: int, now: float = NOW) -> tuple[Cell, int] | None:
+        return (
+            self.overflow.tickets_to_request(waiting, spare, now)
+            if self.overflow.can_request(now)
+            else None
+        )
 
     def test_cell_that_is_not_overloaded_is_sent_no_request(self):
-        self.assertIsNone(self.asked(0, 50))
+        self.assertIsNone(self.request(0, 50))
         self.overflow.told(SOUTH, 0, NOW)
-        self.assertIsNone(self.asked(0, 50))
+        self.assertIsNone(self.request(0, 50))
 
     def test_longest_queue_is_sent_a_request_for_the_spare_capacity(self):
         self.overflow.told(SOUTH, 3, NOW)
         self.overflow.told(WEST, 9, NOW)
-        self.assertEqual(self.asked(0, 8), (WEST, 8))
+        self.assertEqual(self.request(0, 8), (WEST, 8))
 
     def test_own_waiting_tickets_reduce_the_request(self):
         self.overflow.told(SOUTH, 3, NOW)
-        self.assertEqual(self.asked(5, 8), (SOUTH, 3))
-        self.assertIsNone(self.asked(8, 8))
+        self.assertEqual(self.request(5, 8), (SOUTH, 3))
+        self.assertIsNone(self.request(8, 8))
 
     def test_requests_are_bounded_in_size_and_rate(self):
         self.overflow.told(SOUTH, 3, NOW)
-        self.assertEqual(self.asked(0, 500), (SOUTH, MAX_REQUESTED_TICKETS))
-        self.assertIsNone(self.asked(0, 500, NOW + 0.5 * REQUEST_INTERVAL_SECONDS))
-        self.assertIsNotNone(self.asked(0, 500, NOW + 1.1 * REQUEST_INTERVAL_SECONDS))
+        self.assertEqual(self.request(0, 500), (SOUTH, MAX_REQUESTED_TICKETS))
+        self.assertIsNone(self.request(0, 500, NOW + 0.5 * REQUEST_INTERVAL_SECONDS))
+        self.assertIsNotNone(self.request(0, 500, NOW + 1.1 * REQUEST_INTERVAL_SECONDS))
 
     def test_overloaded_cell_sends_no_request(self):
         self.overflow.told(SOUTH, 3, NOW)
-        self.overflow.pressed(NOW)
-        self.assertIsNone(self.asked(0, 500))
+        self.overflow.record_overload(NOW)
+        self.assertIsNone(self.request(0, 500))
 
     def test_report_that_is_not_repeated_expires(self):
         self.overflow.told(SOUTH, 3, NOW)
-        self.assertIsNone(self.asked(0, 500, NOW + 2.1 * REPORT_INTERVAL_SECONDS))
+        self.assertIsNone(self.request(0, 500, NOW + 2.1 * REPORT_INTERVAL_SECONDS))
 
 
-class PassTests(unittest.TestCase):
+class MoveTests(unittest.TestCase):
     def setUp(self):
         self.overflow = Overflow()
 
-    def passed(self, waiting: FairQueue, now: float = NOW) -> list[int]:
-        return [ticket.number for ticket, _ in self.overflow.passed_on(waiting, now)]
+    def moved(self, waiting: FairQueue, now: float = NOW) -> list[int]:
+        return [ticket.number for ticket, _ in self.overflow.pop_moved(waiting, now)]
 
     def test_no_ticket_moves_without_an_offer(self):
-        self.assertEqual(self.passed(queue(ticket(1))), [])
+        self.assertEqual(self.moved(queue(ticket(1))), [])
 
     def test_no_more_tickets_move_than_were_requested(self):
         waiting = queue(*(ticket(number) for number in range(5)))
         self.overflow.offered(SOUTH, 2, NOW)
-        self.assertEqual(len(self.passed(waiting)), 2)
+        self.assertEqual(len(self.moved(waiting)), 2)
         self.assertEqual(len(waiting), 3)
-        self.assertEqual(self.passed(waiting), [])
+        self.assertEqual(self.moved(waiting), [])
 
     def test_offer_of_an_overloaded_cell_ends_until_it_offers_again(self):
         self.overflow.offered(SOUTH, 9, NOW)
         self.overflow.told(SOUTH, 3, NOW)
-        self.assertIsNone(self.overflow.taker(ticket(1), NOW))
+        self.assertIsNone(self.overflow.use_offer(ticket(1), NOW))
         self.overflow.offered(SOUTH, 9, NOW)
-        self.assertEqual(self.overflow.taker(ticket(1), NOW), SOUTH)
+        self.assertEqual(self.overflow.use_offer(ticket(1), NOW), SOUTH)
 
     def test_offer_expires(self):
         self.overflow.offered(SOUTH, 2, NOW - 0.5 * OFFER_LIFETIME_SECONDS)
-        self.assertEqual(self.passed(queue(ticket(1))), [1])
-        self.assertEqual(self.passed(queue(ticket(2)), now=NOW + OFFER_LIFETIME_SECONDS), [])
+        self.assertEqual(self.moved(queue(ticket(1))), [1])
+        self.assertEqual(self.moved(queue(ticket(2)), now=NOW + OFFER_LIFETIME_SECONDS), [])
 
     def test_ticket_that_would_expire_during_the_move_stays(self):
         self.overflow.offered(SOUTH, 2, NOW)
         late = ticket(1, waited=0.2 - 0.9 * WAY_SECONDS)
-        self.assertEqual(self.passed(queue(late, ticket(2, waited=0.1))), [2])
+        self.assertEqual(self.moved(queue(late, ticket(2, waited=0.1))), [2])
 
     def test_ticket_without_a_maximum_wait_moves(self):
         self.overflow.offered(SOUTH, 2, NOW)
-        self.assertEqual(self.passed(queue(ticket(1, waited=9.0, patience=0.0))), [1])
+        self.assertEqual(self.moved(queue(ticket(1, waited=9.0, patience=0.0))), [1])
 
     def test_ticket_that_has_just_arrived_stays(self):
         self.overflow.offered(SOUTH, 2, NOW)
-        self.assertEqual(self.passed(queue(ticket(1, waited=0.5 * MIN_WAITED_SECONDS))), [])
+        self.assertEqual(self.moved(queue(ticket(1, waited=0.5 * MIN_WAITED_SECONDS))), [])
 
     def test_ticket_moves_only_to_its_allowed_regions(self):
         self.overflow.offered(SOUTH, 9, NOW)
         waiting = queue(ticket(1, regions=("west",)), ticket(2, regions=("west", "south")))
-        self.assertEqual(self.passed(waiting), [2])
+        self.assertEqual(self.moved(waiting), [2])
 
     def test_tickets_of_the_workspace_served_last_move_first(self):
         waiting = queue(ticket(1, workspace="small"), ticket(2, workspace="large"))
         waiting.charge("large", 100.0)
         self.overflow.offered(SOUTH, 1, NOW)
-        self.assertEqual(self.passed(waiting), [2])
+        self.assertEqual(self.moved(waiting), [2])
 
 
-class ReturnTests(unittest.TestCase):
+class BackAndForthTests(unittest.TestCase):
     """Two full cells, each of which has just requested tickets from the other."""
 
     def setUp(self):
@@ -181,7 +185,7 @@
         at, other, now = NORTH, SOUTH, NOW
         for count in range(MAX_REQUESTED_TICKETS):
             (decision,) = self.cells[at].put(placed, now)
-            self.tell(other, at, now)
+            self.report(other, at, now)
             if not isinstance(decision, Move):
                 return count
             waited = now - placed.enqueued_at + (WAY_SECONDS if at == NORTH else 0.0)
@@ -190,7 +194,7 @@
             at, other = other, at
         return MAX_REQUESTED_TICKETS
 
-    def tell(self, source: Cell, target: Cell, now: float) -> None:
+    def report(self, source: Cell, target: Cell, now: float) -> None:
         """Report the overload of ``source`` to ``target``, behind any ticket of the same time."""
         waiting = self.cells[source].overflow.news(0, now)
         if waiting is not None:
