--- a/benchmarks/regions.py
+++ b/benchmarks/regions.py
@@ -25,7 +25,7 @@
 from railsail.scheduling.dispatcher import CellDispatcher
 from railsail.scheduling.health import CallResult
 from railsail.scheduling.overflow import WAY_SECONDS, Overflow
-from railsail.scheduling.placing import Openings, Placing, ShareState
+from railsail.scheduling.placing import AvailableReplicas, ReplicaSelector, ShareState
 from railsail.scheduling.room import LONG_PREFIX_TOKENS, ReplicaState
 from railsail.scheduling.tickets import WAIT_SHARE, Ticket
 
@@ -107,20 +107,20 @@
     flood: float
 
 
-class NearFirst(Placing):
+class NearFirst(ReplicaSelector):
     """Choose a replica in the region of the ticket's entry, or another one if none is free."""
 
     def choose(
         self,
         ticket: Ticket,
-        openings: Openings,
+        available: AvailableReplicas,
         now: float,
-        standing: ShareState = ShareState.EVEN,
+        share_state: ShareState = ShareState.PENDING_PREFILL,
     ) -> ReplicaState | None:
-        """Return the replica that ``ticket`` is bound to, as ``Placing`` does."""
+        """Return the replica that ``ticket`` is bound to, as ``ReplicaSelector`` does."""
         near = dataclasses.replace(ticket, regions=(ticket.entry,))
-        found = super().choose(near, openings, now, standing)
-        return found or super().choose(ticket, openings, now, standing)
+        found = super().choose(near, available, now, share_state)
+        return found or super().choose(ticket, available, now, share_state)
 
 
 @dataclass
--- a/railsail/scheduling/dispatcher.py
+++ b/railsail/scheduling/dispatcher.py
@@ -20,7 +20,7 @@
 from railsail.scheduling.room import LoadReport, ReplicaState
 from railsail.scheduling.tickets import Ticket, TicketKey
 from railsail.scheduling.usage import RecentUsage, Share
-from railsail.scheduling.versions import VersionPlacing
+from railsail.scheduling.versions import VersionSelector
 from railsail.scheduling.warmup import WarmupBound
 
 # Only the first tickets of this many workspaces are tried for a grant. Trying more workspaces, or
@@ -52,7 +52,7 @@
         self.flights: dict[TicketKey, Flight] = {}
         self.served: dict[str, float] = {}
         self.overflow = overflow
-        self.versions = VersionPlacing(rng, use_prefixes)
+        self.versions = VersionSelector(rng, use_prefixes)
         # The results of calls since the active order was given, ``None`` if there is no order.
         self.tallies: CellTallies | None = None
         self._returns = ReturnPlan(rng)
@@ -232,8 +232,8 @@
         return self._usage.largest(most, now)
 
     def _fits(self, ticket: Ticket, now: float) -> bool:
-        openings = self.versions.look(self.replicas.values(), now)
-        return self.versions.choose(ticket, openings, now) is not None
+        available = self.versions.find_available(self.replicas.values(), now)
+        return self.versions.choose(ticket, available, now) is not None
 
     def open_rooms(self, now: float) -> Collection[ReplicaState]:
         """Return the replicas whose software version may run requests."""
@@ -393,25 +393,29 @@
         return grants
 
     def _grant_next(self, now: float) -> Grant | None:
-        openings = self.versions.look(self.replicas.values(), now)
-        if not openings.free:
+        available = self.versions.find_available(self.replicas.values(), now)
+        if not available.free:
             return None
         # The first ticket may wait for a replica that has its prompt prefix cached. Others are
         # granted in the meantime, so that replicas are not idle.
         for workspace in self.queue.workspaces()[:MAX_WORKSPACES_TRIED]:
             ticket = self.queue.head(workspace)
-            state = self.versions.choose(ticket, openings, now, self._standing(workspace, now))
+            state = self.versions.choose(ticket, available, now, self._share_state(workspace, now))
             if state is not None:
-                self.queue.take(ticket)
+                self.queue.dequeue(ticket)
                 self._count(workspace, ticket.estimate)
                 return self._bind(ticket, state, now)
         return None
 
-    def _standing(self, workspace: str, now: float) -> ShareState:
+    def _share_state(self, workspace: str, now: float) -> ShareState:
         if self._usage.follows and self.overloaded(now):
             over = self._usage.over_share(workspace, now)
-            return ShareState.OVER if over else ShareState.OWED
-        return ShareState.EVEN if self._unread.get(workspace) else ShareState.FIRST
+            return ShareState.OVER_SHARE if over else ShareState.BELOW_SHARE
+        return (
+            ShareState.PENDING_PREFILL
+            if self._unread.get(workspace)
+            else ShareState.NO_PENDING_PREFILL
+        )
 
     def _decide_urgent(self, ticket: Ticket, now: float) -> Decision:
         # An urgent ticket goes ahead of waiting ones only while its workspace is not far above the
@@ -419,11 +423,11 @@
         bound = CATCH_UP_CHARGES * ticket.estimate / self.queue.weight(ticket.workspace)
         if len(self.queue) and self.queue.lead(ticket.workspace) > bound:
             return Refusal(ticket, Reason.NO_ROOM)
-        openings = self.versions.look(self.replicas.values(), now, urgent=True)
-        state = self.versions.choose(ticket, openings, now)
+        available = self.versions.find_available(self.replicas.values(), now, urgent=True)
+        state = self.versions.choose(ticket, available, now)
         if state is None:
             return Refusal(ticket, Reason.NO_ROOM)
-        self.queue.lift(ticket.workspace)
+        self.queue.raise_counter(ticket.workspace)
         self._charge(ticket.workspace, ticket.estimate)
         return self._bind(ticket, state, now)
 
--- a/railsail/scheduling/fairqueue.py
+++ b/railsail/scheduling/fairqueue.py
@@ -32,7 +32,7 @@
 CATCH_UP_CHARGES = 8.0
 
 
-class _Place(NamedTuple):
+class _QueuedTicket(NamedTuple):
     """The position of a ticket in the queue of its workspace.
 
     The sequence number orders tickets with the same sort key.
@@ -50,8 +50,8 @@
         self._weight_of = weight_of
         self._counters: dict[str, float] = {}
         # The tickets of each workspace that waits, in the order in which they are served.
-        self._lines: dict[str, list[_Place]] = {}
-        self._waiting: dict[TicketKey, _Place] = {}
+        self._queues: dict[str, list[_QueuedTicket]] = {}
+        self._waiting: dict[TicketKey, _QueuedTicket] = {}
         self._sequence = 0
         self._virtual_time = 0.0
         self._largest_charge = 1.0
@@ -68,45 +68,45 @@
     def push(self, ticket: Ticket) -> None:
         """Add ``ticket``; it replaces one with the same key."""
         self.remove(ticket.key)
-        if ticket.workspace not in self._lines:
-            self.lift(ticket.workspace)
+        if ticket.workspace not in self._queues:
+            self.raise_counter(ticket.workspace)
         self._sequence += 1
-        place = _Place(ticket.sort_key, self._sequence, ticket)
-        insort(self._lines.setdefault(ticket.workspace, []), place)
-        self._waiting[ticket.key] = place
+        queued = _QueuedTicket(ticket.sort_key, self._sequence, ticket)
+        insort(self._queues.setdefault(ticket.workspace, []), queued)
+        self._waiting[ticket.key] = queued
 
     def remove(self, key: TicketKey) -> Ticket | None:
         """Remove the ticket of ``key`` and return it, or ``None`` if it does not wait."""
-        place = self._waiting.pop(key, None)
-        if place is None:
+        queued = self._waiting.pop(key, None)
+        if queued is None:
             return None
-        workspace = place.ticket.workspace
-        line = self._lines[workspace]
-        del line[bisect_left(line, place)]
-        if not line:
-            del self._lines[workspace]
-        return place.ticket
+        workspace = queued.ticket.workspace
+        queue = self._queues[workspace]
+        del queue[bisect_left(queue, queued)]
+        if not queue:
+            del self._queues[workspace]
+        return queued.ticket
 
     def workspaces(self) -> list[str]:
         """Return the workspaces that wait, in the order in which they are served."""
-        return sorted(self._lines, key=lambda name: (self.counter(name), name))
+        return sorted(self._queues, key=lambda name: (self.counter(name), name))
 
     def head(self, workspace: str) -> Ticket:
         """Return the ticket of ``workspace`` to serve first, without removing it.
 
         The workspace must have a waiting ticket.
         """
-        return self._lines[workspace][0].ticket
+        return self._queues[workspace][0].ticket
 
     def first_workspace(self) -> str:
         """Return the workspace to serve first; at least one must wait."""
-        return min(self._lines, key=lambda name: (self.counter(name), name))
+        return min(self._queues, key=lambda name: (self.counter(name), name))
 
     def tickets(self, workspace: str) -> list[Ticket]:
         """Return the tickets of ``workspace``, in the order in which they are served."""
-        return [place.ticket for place in self._lines.get(workspace, ())]
+        return [queued.ticket for queued in self._queues.get(workspace, ())]
 
-    def take(self, ticket: Ticket) -> None:
+    def dequeue(self, ticket: Ticket) -> None:
         """Remove a waiting ``ticket`` in order to serve it, and charge its estimate."""
         workspace = ticket.workspace
         self._virtual_time = max(self._virtual_time, self.counter(workspace))
@@ -115,13 +115,13 @@
 
     def pop_expired(self, now: float) -> list[Ticket]:
         """Remove and return the tickets that have waited longer than their maximum at ``now``."""
-        expired = [ticket for ticket in self._all() if ticket.has_expired(now)]
+        expired = [ticket for ticket in self._all_tickets() if ticket.has_expired(now)]
         for ticket in expired:
             self.remove(ticket.key)
         return expired
 
-    def _all(self) -> list[Ticket]:
-        return [place.ticket for place in self._waiting.values()]
+    def _all_tickets(self) -> list[Ticket]:
+        return [queued.ticket for queued in self._waiting.values()]
 
     def counter(self, workspace: str) -> float:
         """Return the counter of ``workspace``, in cost units per weight."""
@@ -137,7 +137,7 @@
 
     def lead(self, workspace: str) -> float:
         """Return how far the counter of ``workspace`` is above the lowest one that waits."""
-        return self.counter(workspace) - self._floor()
+        return self.counter(workspace) - self._lowest_counter()
 
     def charge(self, workspace: str, cost: float) -> None:
         """Add ``cost`` to the counter; it is negative where an estimate was too high."""
@@ -173,37 +173,37 @@
 
     def bound_catch_up(self) -> None:
         """Raise each counter that is further below the highest one than the bound allows."""
-        if not self._lines:
+        if not self._queues:
             return
-        top = max(self.counter(name) for name in self._lines)
-        least = top - self.catch_up_bound
-        for name in self._lines:
-            if self.counter(name) < least:
-                self._counters[name] = least
+        max_counter = max(self.counter(name) for name in self._queues)
+        min_counter = max_counter - self.catch_up_bound
+        for name in self._queues:
+            if self.counter(name) < min_counter:
+                self._counters[name] = min_counter
 
     @property
     def catch_up_bound(self) -> float:
         """Return how far a workspace may be behind after a merge, in cost units per weight."""
-        lightest = min(self._weight_of(name) for name in self._lines)
-        return CATCH_UP_CHARGES * self._largest_charge / lightest
+        min_weight = min(self._weight_of(name) for name in self._queues)
+        return CATCH_UP_CHARGES * self._largest_charge / min_weight
 
     def forget_idle(self, busy: set[str]) -> None:
         """Drop counters that would be raised anyway when their workspace waits again.
 
         Workspaces in ``busy`` have requests in flight, and keep their counters.
         """
-        floor = self._floor()
+        lowest = self._lowest_counter()
         for name in list(self._counters):
-            idle = name not in self._lines and name not in busy
-            if idle and self._counters[name] <= floor - self.credit:
+            idle = name not in self._queues and name not in busy
+            if idle and self._counters[name] <= lowest - self.credit:
                 del self._counters[name]
 
-    def lift(self, workspace: str) -> None:
+    def raise_counter(self, workspace: str) -> None:
         """Raise the counter of ``workspace`` to the lowest one that waits, less the credit."""
-        least = self._floor() - self.credit
-        self._counters[workspace] = max(self._counters.get(workspace, least), least)
+        min_counter = self._lowest_counter() - self.credit
+        self._counters[workspace] = max(self._counters.get(workspace, min_counter), min_counter)
 
-    def _floor(self) -> float:
-        if not self._lines:
+    def _lowest_counter(self) -> float:
+        if not self._queues:
             return self._virtual_time
-        return min(self.counter(name) for name in self._lines)
+        return min(self.counter(name) for name in self._queues)
--- a/railsail/scheduling/versions.py
+++ b/railsail/scheduling/versions.py
@@ -7,22 +7,28 @@
 from railsail.rollouts.orders import Order
 from railsail.rollouts.stages import Stage
 from railsail.scheduling.exposure import Exposure
-from railsail.scheduling.placing import Openings, Placing, ShareState, look
+from railsail.scheduling.placing import (
+    AvailableReplicas,
+    ReplicaSelector,
+    ShareState,
+    find_available,
+)
 from railsail.scheduling.room import ReplicaState
 from railsail.scheduling.tickets import Ticket
 
 
-class VersionPlacing:
-    """The choice of replicas, as ``Placing`` makes it, of a version that the ticket may run on.
+class VersionSelector:
+    """Chooses replicas like ``ReplicaSelector``, of a version that the ticket may run on.
 
     A rollout divides the replicas into two sides: those of the target version, and the others. Each
-    side has its own ``Placing``, which remembers the owners of prompt prefixes among one set of
-    replicas. So the owners among the others stay the same while the target version is on trial.
+    side has its own ``ReplicaSelector``, which remembers the owners of prompt prefixes among one
+    set of replicas. So the owners among the others stay the same while the target version is on
+    trial.
     """
 
     def __init__(self, rng: random.Random, use_prefixes: bool) -> None:
-        self._others = Placing(rng, use_prefixes)
-        self._target = Placing(rng, use_prefixes)
+        self._others = ReplicaSelector(rng, use_prefixes)
+        self._target = ReplicaSelector(rng, use_prefixes)
         self.exposure: Exposure | None = None
         # The number of calls given to each replica of the target version.
         self._calls: Counter[str] = Counter()
@@ -87,12 +93,14 @@
             sides[0 if self.is_target(state.name) else 1].append(state)
         return sides
 
-    def look(self, states: Collection[ReplicaState], now: float, urgent: bool = False) -> Openings:
+    def find_available(
+        self, states: Collection[ReplicaState], now: float, urgent: bool = False
+    ) -> AvailableReplicas:
         """Return which of ``states`` may be given calls, and which have a free slot, at ``now``."""
         if self.exposure is None:
-            return look(states, now, urgent)
+            return find_available(states, now, urgent)
         canaries = self._canaries(states, now) if self.exposure.is_canary_due(now) else []
-        return look([*self.open_rooms(states, now), *canaries], now, urgent)
+        return find_available([*self.open_rooms(states, now), *canaries], now, urgent)
 
     def _canaries(self, states: Iterable[ReplicaState], now: float) -> list[ReplicaState]:
         """Return the replicas for canary calls.
@@ -109,29 +117,29 @@
     def choose(
         self,
         ticket: Ticket,
-        openings: Openings,
+        available: AvailableReplicas,
         now: float,
-        standing: ShareState = ShareState.EVEN,
+        share_state: ShareState = ShareState.PENDING_PREFILL,
     ) -> ReplicaState | None:
         """Return the replica that runs ``ticket`` now, or ``None`` if the ticket has to wait."""
         if self.exposure is None:
-            return self._others.choose(ticket, openings, now, standing)
-        target, others = self._split(openings)
+            return self._others.choose(ticket, available, now, share_state)
+        target, others = self._split(available)
         found = None
         match self.exposure.stage(now):
             case Stage.DRAIN if target.serving:
-                return self._target.choose(ticket, target, now, standing)
+                return self._target.choose(ticket, target, now, share_state)
             case Stage.SHIFT if not self._failed_there(ticket):
-                found = self._target.choose(ticket, target, now, standing)
+                found = self._target.choose(ticket, target, now, share_state)
             case Stage.CANARY if not ticket.returned and not self._failed_there(ticket):
                 found = self._choose_canary(ticket, target, now)
-        return found or self._others.choose(ticket, others, now, standing)
+        return found or self._others.choose(ticket, others, now, share_state)
 
-    def _split(self, openings: Openings) -> tuple[Openings, Openings]:
-        """Return the openings of the target version, and those of the others."""
-        serving = self._sides(openings.serving)
-        free = self._sides(openings.free)
-        return Openings(serving[0], free[0]), Openings(serving[1], free[1])
+    def _split(self, available: AvailableReplicas) -> tuple[AvailableReplicas, AvailableReplicas]:
+        """Return the available replicas of the target version, and the available others."""
+        serving = self._sides(available.serving)
+        free = self._sides(available.free)
+        return AvailableReplicas(serving[0], free[0]), AvailableReplicas(serving[1], free[1])
 
     def _failed_there(self, ticket: Ticket) -> bool:
         return bool(ticket.avoid) and self.is_target(ticket.avoid)
@@ -146,7 +154,9 @@
             self._calls[replica] += 1
         return stage
 
-    def _choose_canary(self, ticket: Ticket, openings: Openings, now: float) -> ReplicaState | None:
+    def _choose_canary(
+        self, ticket: Ticket, available: AvailableReplicas, now: float
+    ) -> ReplicaState | None:
         """Return the replica that runs ``ticket`` as a canary call, ``None`` if there is none.
 
         It is the one with the most calls in flight, so that it runs several at once. Among idle
@@ -155,7 +165,7 @@
         """
         candidates = [
             state
-            for state in openings.free
+            for state in available.free
             if ticket.can_run_on(state.name, state.region) and state.can_answer_in_time(ticket, now)
         ]
         if not candidates:
--- a/tests/dispatch/test_cellmap.py
+++ b/tests/dispatch/test_cellmap.py
@@ -8,7 +8,7 @@
 from railsail.dispatch.cellmap import CellMap
 from railsail.dispatch.regions import WAY_SECONDS, FleetRegions
 from railsail.scheduling.cells import Cell
-from railsail.scheduling.placing import _preferred
+from railsail.scheduling.placing import _highest_score
 from railsail.scheduling.room import ReplicaState
 from railsail.scheduling.tickets import Ticket
 from railsail.store.base import Listing, StoredObject
@@ -51,23 +51,23 @@
         known = directory(78)
         small = CellMap("n", known, lambda: ["n"], 8, local=False)
         for prefix in PREFIXES:
-            preferred = {_preferred_in(cells, prefix) for cells in (cell_map("n", known), small)}
-            self.assertEqual(len(preferred), 1)
+            owners = {_owner_in(cells, prefix) for cells in (cell_map("n", known), small)}
+            self.assertEqual(len(owners), 1)
 
     def test_one_more_replica_moves_few_beginnings(self):
         # 33 replicas make a third cell, which used to move most beginnings to another replica.
         known = directory(32)
         cells = cell_map("n", known)
-        before = {prefix: _preferred_in(cells, prefix) for prefix in PREFIXES}
+        before = {prefix: _owner_in(cells, prefix) for prefix in PREFIXES}
         list_replicas(known, 33)
-        moved = [p for p in PREFIXES if _preferred_in(cells, p) != before[p]]
+        moved = [p for p in PREFIXES if _owner_in(cells, p) != before[p]]
         self.assertTrue(moved)
         self.assertLess(len(moved), len(PREFIXES) / 10)
 
     def test_beginnings_of_a_leaving_replica_go_to_others(self):
         known = directory(32, leaving=("r003",))
         cells = cell_map("n", known)
-        self.assertNotIn("r003", {_preferred_in(cells, prefix, "r003") for prefix in PREFIXES})
+        self.assertNotIn("r003", {_owner_in(cells, prefix, "r003") for prefix in PREFIXES})
 
     def test_pool_without_replicas_has_a_home_all_the_same(self):
         self.assertEqual(cell_map("n", directory(0)).home(POOL, 7), Cell(POOL, 0, 1))
@@ -221,11 +221,11 @@
             self.assertEqual(one.home(POOL, prefix), plain.home(POOL, prefix))
 
 
-def _preferred_in(cells: CellMap, prefix: int, without: str = "") -> str:
+def _owner_in(cells: CellMap, prefix: int, without: str = "") -> str:
     """Return the replica that the dispatcher of the home of ``prefix`` prefers."""
     names = cells.cells(POOL)[cells.home(POOL, prefix)]
     states = [ReplicaState(name, 1) for name in names if name != without]
-    return _preferred(Ticket("n", 1, 1, "w", 0.0, 1.0, 0.0, prefix=prefix), states).name
+    return _highest_score(Ticket("n", 1, 1, "w", 0.0, 1.0, 0.0, prefix=prefix), states).name
 
 
 if __name__ == "__main__":
--- a/tests/fleet/test_dispatch.py
+++ b/tests/fleet/test_dispatch.py
@@ -232,7 +232,7 @@
         The counter itself is dropped at some moment once it is below what all are lifted to.
         """
         queue = node.dispatchers.dispatchers()[CELL].queue
-        queue.lift("one")
+        queue.raise_counter("one")
         return queue.counter("one")
 
     async def test_counters_are_handed_over(self):
--- a/tests/scheduling/test_fairqueue.py
+++ b/tests/scheduling/test_fairqueue.py
@@ -113,7 +113,7 @@
 
     def take(self, workspace: str) -> Ticket:
         ticket = self.queue.head(workspace)
-        self.queue.take(ticket)
+        self.queue.dequeue(ticket)
         return ticket
 
     def test_idle_workspace_gains_no_credit(self):
--- a/tests/scheduling/test_placing.py
+++ b/tests/scheduling/test_placing.py
@@ -4,7 +4,12 @@
 import unittest
 from dataclasses import replace
 
-from railsail.scheduling.placing import OWNER_WAIT_SHARE, Placing, _preferred, look
+from railsail.scheduling.placing import (
+    OWNER_WAIT_SHARE,
+    ReplicaSelector,
+    _highest_score,
+    find_available,
+)
 from railsail.scheduling.room import (
     INITIAL_PREFILL_RATE,
     MAX_OWN_PREFILL_SHARE,
@@ -21,7 +26,7 @@
 )
 
 
-def draft(number: int, prefix: int, now: float = 0.0) -> Ticket:
+def shared_prompt(number: int, prefix: int, now: float = 0.0) -> Ticket:
     """Return a ticket whose prompt shares a long prefix with others of the same ``prefix``."""
     return Ticket(
         "e",
@@ -38,86 +43,86 @@
     )
 
 
-class LongBeginningTests(unittest.TestCase):
+class LongPrefixTests(unittest.TestCase):
     def setUp(self):
-        self.placing = Placing(random.Random(3), True)
+        self.selector = ReplicaSelector(random.Random(3), True)
         self.states = [ReplicaState(name, 8) for name in "abcdef"]
 
     def choose(self, ticket: Ticket, now: float = 0.0) -> ReplicaState | None:
-        return self.placing.choose(ticket, look(self.states, now), now)
+        return self.selector.choose(ticket, find_available(self.states, now), now)
 
     def test_same_prefix_goes_to_the_same_replica(self):
-        chosen = {self.choose(draft(number, 7)).name for number in range(20)}
+        chosen = {self.choose(shared_prompt(number, 7)).name for number in range(20)}
         self.assertEqual(len(chosen), 1)
 
     def test_prefixes_are_spread_over_the_replicas(self):
-        chosen = {self.choose(draft(prefix, prefix)).name for prefix in range(100)}
+        chosen = {self.choose(shared_prompt(prefix, prefix)).name for prefix in range(100)}
         self.assertEqual(chosen, set("abcdef"))
 
     def test_ticket_waits_for_a_busy_owner_while_others_are_busy(self):
         for state in self.states:
             state.record_pending(("x", 1), 10_000, 0.0)
-        home = _preferred(draft(1, 7), self.states)
-        home.record_pending(("x", 2), 30_000, 0.0)
-        self.assertIsNone(self.choose(draft(1, 7)))
+        owner = _highest_score(shared_prompt(1, 7), self.states)
+        owner.record_pending(("x", 2), 30_000, 0.0)
+        self.assertIsNone(self.choose(shared_prompt(1, 7)))
 
     def test_ticket_that_cannot_wait_for_the_owner_goes_to_a_nearly_idle_replica(self):
-        home = _preferred(draft(1, 7), self.states)
-        home.record_pending(("x", 1), 60_000, 0.0)
-        busy = next(state for state in self.states if state is not home)
+        owner = _highest_score(shared_prompt(1, 7), self.states)
+        owner.record_pending(("x", 1), 60_000, 0.0)
+        busy = next(state for state in self.states if state is not owner)
         busy.record_pending(("x", 2), 10_000, 0.0)
-        chosen = {self.choose(draft(number, 7)).name for number in range(30)}
-        self.assertFalse({home.name, busy.name} & chosen)
+        chosen = {self.choose(shared_prompt(number, 7)).name for number in range(30)}
+        self.assertFalse({owner.name, busy.name} & chosen)
 
-    def fill_home(self, tokens: int) -> ReplicaState:
+    def fill_owner(self, tokens: int) -> ReplicaState:
         """Add a prompt of ``tokens`` to the pending prefill of the owner of prefix 7.
 
         Return the owner.
         """
-        home = _preferred(draft(1, 7), self.states)
-        home.record_pending(("x", 1), tokens, 0.0)
-        return home
+        owner = _highest_score(shared_prompt(1, 7), self.states)
+        owner.record_pending(("x", 1), tokens, 0.0)
+        return owner
 
     def test_ticket_waits_for_an_owner_that_is_free_soon_though_others_are_idle(self):
         # It prefills 120,000 tokens a second: the 2,400 too many are done after 20 ms.
-        self.fill_home(MAX_PENDING_PREFILL + 2_400)
-        self.assertIsNone(self.choose(draft(1, 7)))
+        self.fill_owner(MAX_PENDING_PREFILL + 2_400)
+        self.assertIsNone(self.choose(shared_prompt(1, 7)))
 
     def test_ticket_waits_for_the_owner_a_tenth_of_its_objective_at_most(self):
-        home = self.fill_home(MAX_PENDING_PREFILL + 2_400)
-        self.assertIsNone(self.choose(draft(1, 7), OWNER_WAIT_SHARE * OBJECTIVE - 0.021))
-        self.assertIsNot(self.choose(draft(1, 7), OWNER_WAIT_SHARE * OBJECTIVE), home)
+        owner = self.fill_owner(MAX_PENDING_PREFILL + 2_400)
+        self.assertIsNone(self.choose(shared_prompt(1, 7), OWNER_WAIT_SHARE * OBJECTIVE - 0.021))
+        self.assertIsNot(self.choose(shared_prompt(1, 7), OWNER_WAIT_SHARE * OBJECTIVE), owner)
 
     def test_ticket_waits_as_long_for_an_owner_without_a_free_slot(self):
-        home = _preferred(draft(1, 7), self.states)
-        home.in_flight = 9
-        self.assertIsNone(self.choose(draft(1, 7)))
-        self.assertIsNot(self.choose(draft(1, 7), OWNER_WAIT_SHARE * OBJECTIVE), None)
+        owner = _highest_score(shared_prompt(1, 7), self.states)
+        owner.in_flight = 9
+        self.assertIsNone(self.choose(shared_prompt(1, 7)))
+        self.assertIsNot(self.choose(shared_prompt(1, 7), OWNER_WAIT_SHARE * OBJECTIVE), None)
 
     def test_cached_prefix_may_join_a_longer_queue(self):
-        home = self.fill_home(MAX_PENDING_PREFILL + 5_000)
-        home.record_prefix(draft(1, 7))
-        self.assertIs(self.choose(draft(1, 7)), home)
+        owner = self.fill_owner(MAX_PENDING_PREFILL + 5_000)
+        owner.record_prefix(shared_prompt(1, 7))
+        self.assertIs(self.choose(shared_prompt(1, 7)), owner)
 
     def test_ticket_does_not_wait_for_an_owner_that_just_failed_it(self):
         for state in self.states:
             state.record_pending(("x", 1), 4_000, 0.0)
-        home = _preferred(draft(1, 7), self.states)
-        chosen = self.choose(replace(draft(1, 7), avoid=home.name))
+        owner = _highest_score(shared_prompt(1, 7), self.states)
+        chosen = self.choose(replace(shared_prompt(1, 7), avoid=owner.name))
         self.assertIsNotNone(chosen)
-        self.assertIsNot(chosen, home)
+        self.assertIsNot(chosen, owner)
 
     def test_ticket_does_not_wait_for_a_draining_owner(self):
-        home = _preferred(draft(1, 7), self.states)
-        home.leaving = True
-        self.assertIsNot(self.choose(draft(1, 7)), home)
+        owner = _highest_score(shared_prompt(1, 7), self.states)
+        owner.leaving = True
+        self.assertIsNot(self.choose(shared_prompt(1, 7)), owner)
 
 
 class RegionTests(unittest.TestCase):
     """Requests that may run only in some regions are placed in no other."""
 
     def setUp(self):
-        self.placing = Placing(random.Random(3), True)
+        self.selector = ReplicaSelector(random.Random(3), True)
         self.states = [ReplicaState(name, 8) for name in "abcdef"]
         for state in self.states[:3]:
             state.region = "north"
@@ -127,8 +132,8 @@
     def regions(self, **changes) -> set[str]:
         chosen = set()
         for prefix in range(60):
-            ticket = replace(draft(prefix, prefix), **changes)
-            state = self.placing.choose(ticket, look(self.states, 0.0), 0.0)
+            ticket = replace(shared_prompt(prefix, prefix), **changes)
+            state = self.selector.choose(ticket, find_available(self.states, 0.0), 0.0)
             chosen.add(state.region if state else "")
         return chosen
 
--- a/tests/scheduling/test_versions.py
+++ b/tests/scheduling/test_versions.py
@@ -188,8 +188,8 @@
         self.assertEqual(self.serve(30, 0.0, excluded=("new0",)), {"v1": 30})
 
 
-class HomesTests(RolloutTestCase):
-    def homes(self, begin: float) -> dict[int, str]:
+class PrefixOwnerTests(RolloutTestCase):
+    def owners(self, begin: float) -> dict[int, str]:
         """Return the replica that a prompt with each of some long prefixes goes to."""
         found = {}
         for prefix in range(1, 40):
@@ -204,15 +204,15 @@
         only_old = CellDispatcher(lambda workspace: 1.0, random.Random(3))
         only_old.set_replicas(dict.fromkeys(OLD, self.slots))
         dispatcher, self.dispatcher = self.dispatcher, only_old
-        before = self.homes(0.0)
+        before = self.owners(0.0)
         self.dispatcher = dispatcher
-        self.assertEqual(self.homes(100.0), before)
+        self.assertEqual(self.owners(100.0), before)
         self.allow(Stage.CANARY, 1000, now=200.0)
-        self.assertEqual(self.homes(200.0), before)
+        self.assertEqual(self.owners(200.0), before)
         self.allow(Stage.SHIFT, now=300.0)
-        self.assertTrue(set(self.homes(300.0).values()) <= set(NEW))
+        self.assertTrue(set(self.owners(300.0).values()) <= set(NEW))
         self.allow(Stage.HOLD, now=400.0)
-        self.assertEqual(self.homes(400.0), before)
+        self.assertEqual(self.owners(400.0), before)
 
 
 class RoomTests(RolloutTestCase):
