--- a/benchmarks/regions.py
+++ b/benchmarks/regions.py
@@ -20,7 +20,7 @@
 import fire
 
 from railsail.membership.placement import choose
-from railsail.scheduling.cells import Cell, cut, cut_by_region
+from railsail.scheduling.cells import Cell, cut_by_region, split_pool
 from railsail.scheduling.decisions import Decision, Grant, Move
 from railsail.scheduling.dispatcher import CellDispatcher
 from railsail.scheduling.health import CallResult
@@ -173,7 +173,7 @@
         self.cells = (
             cut_by_region("model", regions, 64, REGIONS)
             if way.by_region
-            else cut("model", list(regions), 64)
+            else split_pool("model", list(regions), 64)
         )
         self.dispatchers = {cell: self._dispatcher(names) for cell, names in self.cells.items()}
         self._looking: set[Cell] = set()
--- a/railsail/scheduling/balance.py
+++ b/railsail/scheduling/balance.py
@@ -27,7 +27,7 @@
 
     def __init__(self, weight_of: Callable[[str], float]) -> None:
         self._weight_of = weight_of
-        self._behind: dict[str, float] = {}
+        self._deficits: dict[str, float] = {}
         self._rate = 0.0
 
     def update(
@@ -38,26 +38,26 @@
         ``gains`` is the service of the whole fleet, in cost units, that became known in the last
         ``seconds``; ``delay`` is the age of these sums in seconds.
         """
-        stayed = [name for name in waiting if name in self._behind]
-        self._behind = {name: self._behind.get(name, 0.0) for name in waiting}
-        if len(stayed) < 2 or seconds <= 0:
+        still_waiting = [name for name in waiting if name in self._deficits]
+        self._deficits = {name: self._deficits.get(name, 0.0) for name in waiting}
+        if len(still_waiting) < 2 or seconds <= 0:
             return {}
         # A workspace that has just started to wait had no claim to the service before that.
-        shares = {name: gains.get(name, 0.0) / self._weight_of(name) for name in stayed}
+        shares = {name: gains.get(name, 0.0) / self._weight_of(name) for name in still_waiting}
         mean = sum(shares.values()) / len(shares)
         self._rate += RATE_GAIN * (mean / seconds - self._rate)
         scale = max(1.0, SCALE_DELAYS * self._rate * delay)
-        for name in stayed:
-            self._behind[name] += mean - shares[name]
-        self._bound(MAX_SCALES * scale)
-        return {name: _factor(behind / scale) for name, behind in self._behind.items()}
+        for name in still_waiting:
+            self._deficits[name] += mean - shares[name]
+        self._limit_deficits(MAX_SCALES * scale)
+        return {name: _factor(deficit / scale) for name, deficit in self._deficits.items()}
 
-    def _bound(self, most: float) -> None:
+    def _limit_deficits(self, limit: float) -> None:
         # Only the differences matter. The mean is subtracted so that the deficits do not drift.
-        middle = sum(self._behind.values()) / len(self._behind)
-        for name, behind in self._behind.items():
-            self._behind[name] = min(max(behind - middle, -most), most)
+        mean_deficit = sum(self._deficits.values()) / len(self._deficits)
+        for name, deficit in self._deficits.items():
+            self._deficits[name] = min(max(deficit - mean_deficit, -limit), limit)
 
 
-def _factor(scales: float) -> float:
-    return 2.0 ** min(max(scales, -MAX_DOUBLINGS), MAX_DOUBLINGS)
+def _factor(deficit_in_scales: float) -> float:
+    return 2.0 ** min(max(deficit_in_scales, -MAX_DOUBLINGS), MAX_DOUBLINGS)
--- a/railsail/scheduling/cells.py
+++ b/railsail/scheduling/cells.py
@@ -27,7 +27,7 @@
         return f"{self.pool}/{self.number}"
 
 
-def cut(pool: str, replicas: Sequence[str], limit: int) -> dict[Cell, list[str]]:
+def split_pool(pool: str, replicas: Sequence[str], limit: int) -> dict[Cell, list[str]]:
     """Return the replicas of each cell of ``pool``, at most ``limit`` in each.
 
     The result depends on the arguments only, so that all daemons that know the same replicas
@@ -38,26 +38,26 @@
 
 
 def cut_by_region(
-    pool: str, regions: Mapping[str, str], limit: int, named: Collection[str]
+    pool: str, regions: Mapping[str, str], limit: int, fleet_regions: Collection[str]
 ) -> dict[Cell, list[str]]:
     """Return the replicas of each cell, where all replicas of a cell are in one region.
 
-    ``regions`` maps each replica to its region; ``named`` are the regions of the fleet. A region
-    without replicas has no cell, and the cells of the other regions keep their numbers.
+    ``regions`` maps each replica to its region; ``fleet_regions`` are all regions of the fleet. A
+    region without replicas has no cell, and the cells of the other regions keep their numbers.
     """
-    if len(set(named)) <= 1 or not regions:
-        return cut(pool, list(regions), limit)
-    names = sorted({*named, *regions.values()})
-    inside: dict[str, list[str]] = defaultdict(list)
+    if len(set(fleet_regions)) <= 1 or not regions:
+        return split_pool(pool, list(regions), limit)
+    names = sorted({*fleet_regions, *regions.values()})
+    in_region: dict[str, list[str]] = defaultdict(list)
     for replica, region in regions.items():
-        inside[region].append(replica)
-    parts = {region: _parts(inside[region], limit) for region in names if region in inside}
-    count = len(names) * max(len(of_region) for of_region in parts.values())
+        in_region[region].append(replica)
+    parts = {region: _parts(in_region[region], limit) for region in names if region in in_region}
+    count = len(names) * max(len(region_parts) for region_parts in parts.values())
     cells = {}
-    for region, of_region in parts.items():
-        first = names.index(region)
-        for index, part in enumerate(of_region):
-            cells[Cell(pool, index * len(names) + first, count, region)] = part
+    for region, region_parts in parts.items():
+        offset = names.index(region)
+        for index, part in enumerate(region_parts):
+            cells[Cell(pool, index * len(names) + offset, count, region)] = part
     return dict(sorted(cells.items()))
 
 
@@ -77,15 +77,15 @@
     ``regions`` maps each replica to its region. A replica is added to a cell of its region if there
     is one. Replicas that are in a cell stay there. A cell may exceed its limit afterwards.
     """
-    held = {name for names in cells.values() for name in names}
-    if len(held) == len(regions):
+    assigned = {name for names in cells.values() for name in names}
+    if len(assigned) == len(regions):
         return cells
     added: dict[str, list[str]] = defaultdict(list)
-    for name in sorted(regions.keys() - held):
+    for name in sorted(regions.keys() - assigned):
         added[regions[name]].append(name)
-    spread_out = {cell: list(names) for cell, names in cells.items()}
+    extended = {cell: list(names) for cell, names in cells.items()}
     for region, names in added.items():
-        near = [cell for cell in cells if cell.region == region] or list(cells)
+        candidates = [cell for cell in cells if cell.region == region] or list(cells)
         for index, name in enumerate(names):
-            spread_out[near[index * len(near) // len(names)]].append(name)
-    return spread_out
+            extended[candidates[index * len(candidates) // len(names)]].append(name)
+    return extended
--- a/railsail/scheduling/dispatcher.py
+++ b/railsail/scheduling/dispatcher.py
@@ -16,7 +16,7 @@
 from railsail.scheduling.overflow import Overflow
 from railsail.scheduling.placing import NEARLY_IDLE_SECONDS, ShareState
 from railsail.scheduling.returning import RETRY_WAIT_OBJECTIVES, RefusedCallers
-from railsail.scheduling.returns import ReturnPlan
+from railsail.scheduling.returns import RetrySchedule
 from railsail.scheduling.room import LoadReport, ReplicaState
 from railsail.scheduling.tickets import Ticket, TicketKey
 from railsail.scheduling.usage import RecentUsage, Share
@@ -55,7 +55,7 @@
         self.versions = VersionSelector(rng, use_prefixes)
         # The results of calls since the active order was given, ``None`` if there is no order.
         self.tallies: CellTallies | None = None
-        self._returns = ReturnPlan(rng)
+        self._retry_schedule = RetrySchedule(rng)
         self._refused = RefusedCallers()
         self._usage = RecentUsage(fair_window, weight_of)
         self._expired_at = -math.inf
@@ -190,7 +190,7 @@
         came_back = self._refused.comes_back(ticket.fingerprint, now)
         if came_back:
             ticket = _returned(ticket)
-        self._usage.asked(ticket.workspace, ticket.estimate, now)
+        self._usage.record_request(ticket.workspace, ticket.estimate, now)
         if self._is_excess(ticket, now):
             return [self._move_excess(ticket, now) or self._refuse(ticket, Reason.OVER_SHARE, now)]
         self.queue.push(ticket)
@@ -227,9 +227,9 @@
         """Return what each workspace may be served in the window, in cost units per weight."""
         return self._usage.level(now)
 
-    def largest_shares(self, most: int, now: float) -> list[Share]:
-        """Return the shares of the ``most`` workspaces with the largest recent demands, sorted."""
-        return self._usage.largest(most, now)
+    def largest_shares(self, count: int, now: float) -> list[Share]:
+        """Return the shares of the ``count`` workspaces with the largest recent demands, sorted."""
+        return self._usage.largest(count, now)
 
     def _fits(self, ticket: Ticket, now: float) -> bool:
         available = self.versions.find_available(self.replicas.values(), now)
@@ -251,11 +251,11 @@
     def _refuse(self, ticket: Ticket, reason: Reason, now: float) -> Refusal:
         if not ticket.returns_within:
             return Refusal(ticket, reason)
-        after = self._returns.promise(
+        retry_after = self._retry_schedule.schedule(
             ticket.prompt_tokens, ticket.returns_within, self._prefill_rate(now), now
         )
-        self._refused.refused(ticket.fingerprint, after, now)
-        return Refusal(ticket, reason, after)
+        self._refused.refused(ticket.fingerprint, retry_after, now)
+        return Refusal(ticket, reason, retry_after)
 
     def _refuse_expired(self, now: float) -> list[Decision]:
         expired = self.queue.pop_expired(now)
@@ -408,7 +408,7 @@
         return None
 
     def _share_state(self, workspace: str, now: float) -> ShareState:
-        if self._usage.follows and self.overloaded(now):
+        if self._usage.is_enabled and self.overloaded(now):
             over = self._usage.over_share(workspace, now)
             return ShareState.OVER_SHARE if over else ShareState.BELOW_SHARE
         return (
--- a/railsail/scheduling/estimates.py
+++ b/railsail/scheduling/estimates.py
@@ -16,9 +16,9 @@
     def __init__(self) -> None:
         self._means: dict[tuple[str, str], float] = {}
 
-    def estimate(self, workspace: str, pool: str, first: float) -> float:
-        """Return the expected cost, or ``first`` before any cost was observed."""
-        return self._means.get((workspace, pool), first)
+    def estimate(self, workspace: str, pool: str, initial: float) -> float:
+        """Return the expected cost, or ``initial`` before any cost was observed."""
+        return self._means.get((workspace, pool), initial)
 
     def observe(self, workspace: str, pool: str, cost: float) -> None:
         """Record the ``cost`` of a request that has ended."""
--- a/railsail/scheduling/returning.py
+++ b/railsail/scheduling/returning.py
@@ -28,33 +28,33 @@
     """The recent refusals by fingerprint; times are in seconds of the dispatcher's clock."""
 
     def __init__(self) -> None:
-        self._awaited: Counter[int] = Counter()
-        self._until: deque[tuple[float, int]] = deque()
+        self._expected_retries: Counter[int] = Counter()
+        self._expiries: deque[tuple[float, int]] = deque()
 
     def refused(self, fingerprint: int, come_back: float, now: float) -> None:
         """Record a refused request whose caller was asked to retry after ``come_back`` seconds."""
         if not fingerprint:
             return
-        if len(self._until) >= MAX_REMEMBERED:
+        if len(self._expiries) >= MAX_REMEMBERED:
             self._forget_oldest()
-        self._awaited[fingerprint] += 1
-        self._until.append((now + come_back + RETRY_SLACK_SECONDS, fingerprint))
+        self._expected_retries[fingerprint] += 1
+        self._expiries.append((now + come_back + RETRY_SLACK_SECONDS, fingerprint))
 
     def comes_back(self, fingerprint: int, now: float) -> bool:
         """Return True if a request that arrives now was refused before, and drop that refusal."""
-        while self._until and self._until[0][0] < now:
+        while self._expiries and self._expiries[0][0] < now:
             self._forget_oldest()
-        if not self._awaited.get(fingerprint):
+        if not self._expected_retries.get(fingerprint):
             return False
-        self._take(fingerprint)
+        self._drop_one(fingerprint)
         return True
 
     def _forget_oldest(self) -> None:
-        _, fingerprint = self._until.popleft()
-        if self._awaited.get(fingerprint):
-            self._take(fingerprint)
-
-    def _take(self, fingerprint: int) -> None:
-        self._awaited[fingerprint] -= 1
-        if not self._awaited[fingerprint]:
-            del self._awaited[fingerprint]
+        _, fingerprint = self._expiries.popleft()
+        if self._expected_retries.get(fingerprint):
+            self._drop_one(fingerprint)
+
+    def _drop_one(self, fingerprint: int) -> None:
+        self._expected_retries[fingerprint] -= 1
+        if not self._expected_retries[fingerprint]:
+            del self._expected_retries[fingerprint]
--- a/railsail/scheduling/returns.py
+++ b/railsail/scheduling/returns.py
@@ -26,47 +26,47 @@
 MAX_EXTRAPOLATED_SHARE = 0.5
 
 
-class ReturnPlan:
+class RetrySchedule:
     """The retries that callers of one cell were asked for, in prompt tokens by step of time."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._first = 0
+        self._current_step = 0
         self._steps: deque[float] = deque()
         # When a caller was last refused, and since when refusals have come without a pause.
-        self._refused_at = -math.inf
-        self._since = 0.0
+        self._last_refused_at = -math.inf
+        self._overloaded_since = 0.0
 
-    def _soonest(self, within: float, now: float) -> float:
+    def _min_delay(self, within: float, now: float) -> float:
         """Return the minimum time before the retry, in seconds.
 
         An overload that has lasted for a while is expected to last as long again.
         """
-        if now - self._refused_at > OVERLOAD_PAUSE_SECONDS:
-            self._since = now
-        self._refused_at = now
-        lasted = min(now - self._since, MAX_EXTRAPOLATED_SHARE * within)
+        if now - self._last_refused_at > OVERLOAD_PAUSE_SECONDS:
+            self._overloaded_since = now
+        self._last_refused_at = now
+        lasted = min(now - self._overloaded_since, MAX_EXTRAPOLATED_SHARE * within)
         return min(max(MIN_RETRY_SECONDS, lasted), within)
 
-    def promise(self, tokens: int, within: float, rate: float, now: float) -> float:
+    def schedule(self, tokens: int, within: float, rate: float, now: float) -> float:
         """Return after how many seconds a caller with a prompt of ``tokens`` should retry.
 
         The caller would retry ``within`` this many seconds or not at all. The replicas prefill
         ``rate`` tokens a second. ``now`` is in seconds of the dispatcher's clock.
         """
         self._advance(now)
-        latest = max(1, int(within / STEP_SECONDS))
-        least = self._soonest(within, now)
-        soonest = min(int(least / STEP_SECONDS), latest - 1)
-        while len(self._steps) < latest:
+        step_count = max(1, int(within / STEP_SECONDS))
+        min_delay = self._min_delay(within, now)
+        first_step = min(int(min_delay / STEP_SECONDS), step_count - 1)
+        while len(self._steps) < step_count:
             self._steps.append(0.0)
-        step = self._choose(soonest, latest, RETRY_SHARE * rate * STEP_SECONDS)
+        step = self._choose_step(first_step, step_count, RETRY_SHARE * rate * STEP_SECONDS)
         self._steps[step] += max(1, tokens)
-        after = (step + self._rng.random()) * STEP_SECONDS
-        return min(max(after, least), within)
+        delay = (step + self._rng.random()) * STEP_SECONDS
+        return min(max(delay, min_delay), within)
 
-    def _choose(self, soonest: int, latest: int, capacity: float) -> int:
-        steps = range(soonest, latest)
+    def _choose_step(self, first_step: int, step_count: int, capacity: float) -> int:
+        steps = range(first_step, step_count)
         for step in steps:
             if self._steps[step] < capacity:
                 return step
@@ -74,7 +74,7 @@
 
     def _advance(self, now: float) -> None:
         current = int(now / STEP_SECONDS)
-        while self._steps and self._first < current:
+        while self._steps and self._current_step < current:
             self._steps.popleft()
-            self._first += 1
-        self._first = current
+            self._current_step += 1
+        self._current_step = current
--- a/railsail/scheduling/usage.py
+++ b/railsail/scheduling/usage.py
@@ -24,11 +24,11 @@
 
 
 @dataclass
-class Half:
+class HalfWindow:
     """One half of the window: its start, and cost units by workspace."""
 
     since: float = 0.0
-    asked: Counter[str] = field(default_factory=Counter)
+    requested: Counter[str] = field(default_factory=Counter)
     served: Counter[str] = field(default_factory=Counter)
 
 
@@ -46,27 +46,27 @@
     def __init__(self, window: float, weight_of: Callable[[str], float]) -> None:
         self._window = window
         self._weight_of = weight_of
-        self._now = Half()
-        self._before = Half()
+        self._current = HalfWindow()
+        self._previous = HalfWindow()
         self._level = math.inf
         self._level_until = -math.inf
 
     @property
-    def follows(self) -> bool:
+    def is_enabled(self) -> bool:
         """Return True if there is a window, and with it a share for each workspace."""
         return self._window > 0
 
     def charge(self, workspace: str, cost: float, now: float) -> None:
         """Record ``cost`` charged to ``workspace``, negative where an estimate was too high."""
         if self._window:
-            self._turn(now)
-            self._now.served[workspace] += cost
+            self._rotate(now)
+            self._current.served[workspace] += cost
 
-    def asked(self, workspace: str, cost: float, now: float) -> None:
+    def record_request(self, workspace: str, cost: float, now: float) -> None:
         """Record that ``workspace`` requested service of ``cost``."""
         if self._window:
-            self._turn(now)
-            self._now.asked[workspace] += cost
+            self._rotate(now)
+            self._current.requested[workspace] += cost
 
     def over_share(self, workspace: str, now: float) -> bool:
         """Return True if ``workspace`` was served its max-min share of the window or more.
@@ -80,58 +80,59 @@
     def level(self, now: float) -> float:
         """Return what each workspace may be served in the window, in cost units per weight."""
         if now >= self._level_until:
-            self._turn(now)
+            self._rotate(now)
             self._level_until = now + LEVEL_INTERVAL_SECONDS
             shares = self._shares()
-            wanted = [(share.asked, self._weight_of(share.workspace)) for share in shares]
-            self._level = max_min_level(wanted, sum(share.served for share in shares))
+            demands = [(share.asked, self._weight_of(share.workspace)) for share in shares]
+            self._level = max_min_level(demands, sum(share.served for share in shares))
         return self._level
 
-    def largest(self, most: int, now: float) -> list[Share]:
-        """Return the shares of the ``most`` workspaces with the largest demands, sorted."""
-        self._turn(now)
-        return sorted(self._shares(), key=lambda share: share.asked, reverse=True)[:most]
+    def largest(self, count: int, now: float) -> list[Share]:
+        """Return the shares of the ``count`` workspaces with the largest demands, sorted."""
+        self._rotate(now)
+        return sorted(self._shares(), key=lambda share: share.asked, reverse=True)[:count]
 
     def _shares(self) -> list[Share]:
-        names = self._now.asked.keys() | self._before.asked.keys()
-        return [Share(name, self._asked(name), self._served(name)) for name in sorted(names)]
+        names = self._current.requested.keys() | self._previous.requested.keys()
+        return [Share(name, self._requested(name), self._served(name)) for name in sorted(names)]
 
-    def _asked(self, workspace: str) -> float:
-        return self._now.asked[workspace] + self._before.asked[workspace]
+    def _requested(self, workspace: str) -> float:
+        return self._current.requested[workspace] + self._previous.requested[workspace]
 
     def _served(self, workspace: str) -> float:
-        return self._now.served[workspace] + self._before.served[workspace]
+        return self._current.served[workspace] + self._previous.served[workspace]
 
     def credit(self, now: float) -> float:
         """Return how far a workspace without service in the window may be ahead of the others."""
         if not self._window:
             return 0.0
-        self._turn(now)
-        served = (self._now.served + self._before.served).items()
+        self._rotate(now)
+        served = (self._current.served + self._previous.served).items()
         levels = [cost / self._weight_of(name) for name, cost in served if cost > 0]
         return sum(levels) / len(levels) if levels else 0.0
 
-    def _turn(self, now: float) -> None:
-        passed = now - self._now.since
-        if passed < self._window / HALVES:
+    def _rotate(self, now: float) -> None:
+        elapsed = now - self._current.since
+        if elapsed < self._window / HALVES:
             return
         # After a pause of a whole window, nothing is recent.
-        self._before = self._now if passed < self._window else Half(now)
-        self._now = Half(now)
+        self._previous = self._current if elapsed < self._window else HalfWindow(now)
+        self._current = HalfWindow(now)
 
 
-def max_min_level(wanted: Iterable[tuple[float, float]], capacity: float) -> float:
+def max_min_level(weighted_demands: Iterable[tuple[float, float]], capacity: float) -> float:
     """Return the level per weight up to which demands are met when ``capacity`` is shared max-min.
 
-    ``wanted`` holds the demands with their weights. The level is infinite if all can be met.
+    Each of ``weighted_demands`` is a demand and its weight. The level is infinite if all can be
+    met.
     """
-    demands = sorted(wanted, key=lambda demand: demand[0] / demand[1])
-    left = capacity
+    demands = sorted(weighted_demands, key=lambda demand: demand[0] / demand[1])
+    remaining = capacity
     weights = sum(weight for _, weight in demands)
     for cost, weight in demands:
-        level = left / weights
+        level = remaining / weights
         if cost > level * weight:
             return level
-        left -= cost
+        remaining -= cost
         weights -= weight
     return math.inf
--- a/tests/scheduling/test_cells.py
+++ b/tests/scheduling/test_cells.py
@@ -9,17 +9,17 @@
 from railsail.membership import overlay, tree
 from railsail.membership.placement import choose, rank
 from railsail.scheduling.balance import FleetBalance
-from railsail.scheduling.cells import Cell, cut, cut_by_region, spread
+from railsail.scheduling.cells import Cell, cut_by_region, split_pool, spread
 from railsail.scheduling.totals import PoolTotals
 
 
-class CutTests(unittest.TestCase):
+class SplitPoolTests(unittest.TestCase):
     def test_small_pool_is_one_cell(self):
-        cells = cut("model", [f"r{n}" for n in range(16)], 16)
+        cells = split_pool("model", [f"r{n}" for n in range(16)], 16)
         self.assertEqual([cell.count for cell in cells], [1])
 
     def test_added_replicas_are_spread_and_no_other_one_moves(self):
-        cells = cut("model", [f"old{n:02}" for n in range(40)], 16)
+        cells = split_pool("model", [f"old{n:02}" for n in range(40)], 16)
         names = [f"old{n:02}" for n in range(40)] + [f"new{n:02}" for n in range(20)]
         found = spread(cells, dict.fromkeys(names, "west"))
         self.assertEqual(sorted(name for held in found.values() for name in held), sorted(names))
@@ -28,9 +28,9 @@
             self.assertIn(len(found[cell]) - len(held), (6, 7))
 
     def test_cells_are_unchanged_without_added_replicas(self):
-        cells = cut("model", [f"r{n}" for n in range(40)], 16)
+        cells = split_pool("model", [f"r{n}" for n in range(40)], 16)
         self.assertEqual(spread(cells, {f"r{n}": "west" for n in range(40)}), cells)
-        self.assertEqual(spread(cut("model", [], 16), {}), cut("model", [], 16))
+        self.assertEqual(spread(split_pool("model", [], 16), {}), split_pool("model", [], 16))
 
     def test_added_replica_joins_a_cell_of_its_region(self):
         regions = {f"r{n}": ("east", "west")[n % 2] for n in range(40)}
@@ -44,7 +44,7 @@
     @given(st.integers(0, 300), st.integers(1, 20))
     def test_every_replica_is_in_one_cell_and_no_cell_is_too_large(self, count, limit):
         replicas = [f"r{n}" for n in range(count)]
-        cells = cut("model", replicas, limit)
+        cells = split_pool("model", replicas, limit)
         self.assertEqual(sorted(r for part in cells.values() for r in part), sorted(replicas))
         self.assertTrue(all(len(part) <= limit for part in cells.values()))
 
@@ -54,22 +54,22 @@
 TWO_EACH = {f"r{number}": REGIONS[number % 3] for number in range(6)}
 
 
-class CutByRegionTests(unittest.TestCase):
-    def cut(self, regions: dict[str, str], limit: int = 16) -> dict[Cell, list[str]]:
+class SplitPoolByRegionTests(unittest.TestCase):
+    def split(self, regions: dict[str, str], limit: int = 16) -> dict[Cell, list[str]]:
         return cut_by_region("model", regions, limit, REGIONS)
 
     def test_each_region_is_a_cell(self):
-        cells = self.cut(TWO_EACH)
+        cells = self.split(TWO_EACH)
         self.assertEqual([(c.number, c.count, c.region) for c in cells], _numbered(REGIONS, 3))
         self.assertEqual(list(cells.values()), [["r0", "r3"], ["r1", "r4"], ["r2", "r5"]])
 
     def test_region_without_replicas_does_not_change_other_cells(self):
         without = {name: region for name, region in TWO_EACH.items() if region != "coast"}
-        self.assertEqual(list(self.cut(without)), list(self.cut(TWO_EACH))[1:])
+        self.assertEqual(list(self.split(without)), list(self.split(TWO_EACH))[1:])
 
     def test_large_region_has_several_cells_and_others_keep_their_numbers(self):
         large = TWO_EACH | {f"s{number:02}": "east" for number in range(20)}
-        cells = self.cut(large)
+        cells = self.split(large)
         self.assertEqual([c.number for c in cells], [0, 1, 2, 4])
         self.assertEqual([c.region for c in cells], ["coast", "east", "ridge", "east"])
         self.assertTrue(all(len(names) <= 16 for names in cells.values()))
@@ -80,20 +80,20 @@
         names = [f"r{number}" for number in range(count)]
         regions = dict.fromkeys(names, named[0] if named else "")
         found = cut_by_region("model", regions, limit, named)
-        self.assertEqual(found, cut("model", names, limit))
+        self.assertEqual(found, split_pool("model", names, limit))
         self.assertEqual({cell.region for cell in found}, {""})
 
     def test_unknown_region_does_not_divide_a_fleet_of_one_region(self):
         regions = {"r0": "one", "r1": "one", "r2": ""}
         found = cut_by_region("model", regions, 16, {"one"})
-        self.assertEqual(found, cut("model", list(regions), 16))
+        self.assertEqual(found, split_pool("model", list(regions), 16))
         self.assertEqual({cell.region for cell in found}, {""})
 
     @settings(deadline=None, derandomize=True)
     @given(st.lists(st.sampled_from(REGIONS), max_size=200), st.integers(1, 20))
     def test_every_replica_is_in_one_cell_of_its_region(self, found, limit):
         regions = {f"r{number}": region for number, region in enumerate(found)}
-        cells = self.cut(regions, limit)
+        cells = self.split(regions, limit)
         self.assertEqual(sorted(r for part in cells.values() for r in part), sorted(regions))
         self.assertTrue(all(regions[r] == cell.region for cell in cells for r in cells[cell]))
         self.assertTrue(all(len(part) <= limit for part in cells.values()))
--- a/tests/scheduling/test_usage.py
+++ b/tests/scheduling/test_usage.py
@@ -40,7 +40,7 @@
         self.usage = RecentUsage(4.0, lambda name: 1.0)
 
     def use(self, workspace: str, asked: float, served: float) -> None:
-        self.usage.asked(workspace, asked, 0.0)
+        self.usage.record_request(workspace, asked, 0.0)
         self.usage.charge(workspace, served, 0.0)
 
     def test_level_meets_small_demands_and_shares_the_rest(self):
