--- a/railsail/scheduling/dispatcher.py
+++ b/railsail/scheduling/dispatcher.py
@@ -56,21 +56,21 @@
         # The results of calls since the active order was given, ``None`` if there is no order.
         self.tallies: CellTallies | None = None
         self._retry_schedule = RetrySchedule(rng)
-        self._refused = RefusedCallers()
+        self._refusals = RefusedCallers()
         self._usage = RecentUsage(fair_window, weight_of)
         self._expired_at = -math.inf
-        self._bound = WarmupBound()
+        self._warmup_bound = WarmupBound()
         self._fleet_share = 1.0
         # The start of each replica, where it is known: it identifies the process behind the name.
-        self._lives: dict[str, int] = {}
+        self._start_ids: dict[str, int] = {}
         # The number of calls of each workspace whose answers have not started.
-        self._unread: Counter[str] = Counter()
+        self._pending_answers: Counter[str] = Counter()
 
     def set_replicas(
         self,
         slots: dict[str, int],
         leaving: Iterable[str] = (),
-        lives: Mapping[str, int] | None = None,
+        start_ids: Mapping[str, int] | None = None,
     ) -> None:
         """Use exactly the replicas in ``slots``; a number of slots of 0 is learnt.
 
@@ -79,19 +79,19 @@
         """
         for name in set(self.replicas) - set(slots):
             del self.replicas[name]
-        for name, life in (lives or {}).items():
-            self._set_life(name, life)
+        for name, start_id in (start_ids or {}).items():
+            self._set_start_id(name, start_id)
         for name, number in slots.items():
             if name not in self.replicas:
                 self._add_replica(name, number)
-        gone = set(leaving)
+        draining = set(leaving)
         for name, state in self.replicas.items():
-            state.leaving = name in gone
+            state.leaving = name in draining
 
-    def _set_life(self, name: str, life: int) -> None:
-        before = self._lives.get(name, 0)
-        self._lives[name] = life or before
-        if not life or not before or life == before:
+    def _set_start_id(self, name: str, start_id: int) -> None:
+        previous = self._start_ids.get(name, 0)
+        self._start_ids[name] = start_id or previous
+        if not start_id or not previous or start_id == previous:
             return
         # The replica was restarted under its name. It is empty: its record is created again, and
         # the calls that ran there belong to no replica any more.
@@ -125,13 +125,13 @@
 
     def set_bound(self, bound: WarmupBound, fleet_share: float = 1.0) -> None:
         """Set the load that a cold replica sustains, and this dispatcher's part of the fleet."""
-        self._bound = bound
+        self._warmup_bound = bound
         self._fleet_share = fleet_share
         for state in self.replicas.values():
-            self._bind_warmup(state)
+            self._apply_warmup_bound(state)
 
-    def _bind_warmup(self, state: ReplicaState) -> None:
-        state.warmup.bound = self._bound
+    def _apply_warmup_bound(self, state: ReplicaState) -> None:
+        state.warmup.bound = self._warmup_bound
         state.warmup.share = self._fleet_share
 
     def set_cold(self, replica: str, seconds: float, now: float) -> None:
@@ -142,14 +142,14 @@
 
     def _add_replica(self, name: str, slots: int) -> None:
         state = ReplicaState(name, slots)
-        self._bind_warmup(state)
+        self._apply_warmup_bound(state)
         for key, flight in self.flights.items():
             if flight.replica == name:
                 state.in_flight += 1
-                self._expect(state, key, flight)
+                self._record_pending(state, key, flight)
         self.replicas[name] = state
 
-    def _expect(self, state: ReplicaState, key: TicketKey, flight: Flight) -> None:
+    def _record_pending(self, state: ReplicaState, key: TicketKey, flight: Flight) -> None:
         if flight.unread:
             state.record_pending(key, flight.unread, flight.started_at)
 
@@ -158,7 +158,7 @@
         flight = self.flights.get(key)
         if flight is None:
             return
-        self._has_begun(flight)
+        self._clear_pending(flight)
         flight.begun_at = flight.begun_at or now
         state = self.replicas.get(flight.replica)
         if state is not None:
@@ -187,21 +187,21 @@
         if ticket.key in self.queue:
             self.queue.push(ticket)
             return []
-        came_back = self._refused.comes_back(ticket.fingerprint, now)
-        if came_back:
-            ticket = _returned(ticket)
+        is_retry = self._refusals.comes_back(ticket.fingerprint, now)
+        if is_retry:
+            ticket = _as_retry(ticket)
         self._usage.record_request(ticket.workspace, ticket.estimate, now)
         if self._is_excess(ticket, now):
             return [self._move_excess(ticket, now) or self._refuse(ticket, Reason.OVER_SHARE, now)]
         self.queue.push(ticket)
-        return [Hold(ticket)] if came_back else []
+        return [Hold(ticket)] if is_retry else []
 
     def _is_excess(self, ticket: Ticket, now: float) -> bool:
         """Return True if a ticket would displace others though its workspace has had its share."""
         if ticket.returned or not self.overloaded(now):
             return False
         # While a replica has a free slot, refusing the ticket would help nobody else.
-        return self._usage.over_share(ticket.workspace, now) and not self._fits(ticket, now)
+        return self._usage.over_share(ticket.workspace, now) and not self._can_place(ticket, now)
 
     def _move_excess(self, ticket: Ticket, now: float) -> Move | None:
         if self.overflow is None:
@@ -214,7 +214,7 @@
         """Remove the tickets that cells of other regions can start sooner."""
         if self.overflow is None or not len(self.queue):
             return []
-        if self.spare(now) and not self.overloaded(now):
+        if self.spare_slots(now) and not self.overloaded(now):
             return []
         self.overflow.record_overload(now)
         return [Move(ticket, cell) for ticket, cell in self.overflow.pop_moved(self.queue, now)]
@@ -231,7 +231,7 @@
         """Return the shares of the ``count`` workspaces with the largest recent demands, sorted."""
         return self._usage.largest(count, now)
 
-    def _fits(self, ticket: Ticket, now: float) -> bool:
+    def _can_place(self, ticket: Ticket, now: float) -> bool:
         available = self.versions.find_available(self.replicas.values(), now)
         return self.versions.choose(ticket, available, now) is not None
 
@@ -254,7 +254,7 @@
         retry_after = self._retry_schedule.schedule(
             ticket.prompt_tokens, ticket.returns_within, self._prefill_rate(now), now
         )
-        self._refused.refused(ticket.fingerprint, retry_after, now)
+        self._refusals.refused(ticket.fingerprint, retry_after, now)
         return Refusal(ticket, reason, retry_after)
 
     def _refuse_expired(self, now: float) -> list[Decision]:
@@ -296,7 +296,7 @@
             return False
         self._charge(flight.workspace, cost - flight.charged)
         self._usage.charge(flight.workspace, cost - flight.charged, now)
-        self._has_begun(flight)
+        self._clear_pending(flight)
         state = self.replicas.get(flight.replica)
         if self.tallies is not None:
             was_cold = state is not None and state.warmup.is_cold(flight.started_at)
@@ -311,10 +311,10 @@
             state.call_failed(now, result, self._health_of_others(state, now))
         return True
 
-    def _has_begun(self, flight: Flight) -> None:
+    def _clear_pending(self, flight: Flight) -> None:
         if flight.unread:
             flight.unread = 0
-            self._unread[flight.workspace] -= 1
+            self._pending_answers[flight.workspace] -= 1
 
     def _health_of_others(self, state: ReplicaState, now: float) -> GroupHealth:
         """Return the health of the replicas that the one of ``state`` is compared with.
@@ -349,11 +349,11 @@
         self.flights[key] = flight
         flight.software_version = self.versions.version_of(flight.replica)
         self.versions.record_grant(flight.replica, flight.started_at)
-        self._unread[flight.workspace] += bool(flight.unread)
+        self._pending_answers[flight.workspace] += bool(flight.unread)
         state = self.replicas.get(flight.replica)
         if state is not None:
             state.call_started(flight.started_at)
-            self._expect(state, key, flight)
+            self._record_pending(state, key, flight)
 
     def drop_entry(self, entry: str, now: float) -> None:
         """Drop all tickets and calls of an ``entry`` that is gone."""
@@ -403,8 +403,8 @@
             state = self.versions.choose(ticket, available, now, self._share_state(workspace, now))
             if state is not None:
                 self.queue.dequeue(ticket)
-                self._count(workspace, ticket.estimate)
-                return self._bind(ticket, state, now)
+                self._add_served(workspace, ticket.estimate)
+                return self._grant(ticket, state, now)
         return None
 
     def _share_state(self, workspace: str, now: float) -> ShareState:
@@ -413,7 +413,7 @@
             return ShareState.OVER_SHARE if over else ShareState.BELOW_SHARE
         return (
             ShareState.PENDING_PREFILL
-            if self._unread.get(workspace)
+            if self._pending_answers.get(workspace)
             else ShareState.NO_PENDING_PREFILL
         )
 
@@ -429,11 +429,11 @@
             return Refusal(ticket, Reason.NO_ROOM)
         self.queue.raise_counter(ticket.workspace)
         self._charge(ticket.workspace, ticket.estimate)
-        return self._bind(ticket, state, now)
+        return self._grant(ticket, state, now)
 
-    def _bind(self, ticket: Ticket, state: ReplicaState, now: float) -> Grant:
+    def _grant(self, ticket: Ticket, state: ReplicaState, now: float) -> Grant:
         # A call without a prompt counts as one token, because its answer has yet to start.
-        unread = max(1, state.prefill_tokens(ticket))
+        pending_tokens = max(1, state.prefill_tokens(ticket))
         state.record_prefix(ticket)
         flight = Flight(
             ticket.attempt,
@@ -441,7 +441,7 @@
             state.name,
             ticket.estimate,
             now,
-            unread,
+            pending_tokens,
             ticket.fingerprint,
             ticket.route,
             self.versions.version_of(state.name),
@@ -450,17 +450,17 @@
         stage = self.versions.record_grant(state.name, now)
         if self.tallies is not None:
             self.tallies.arrivals += 1
-        self._unread[ticket.workspace] += 1
+        self._pending_answers[ticket.workspace] += 1
         self._usage.charge(ticket.workspace, ticket.estimate, now)
         state.call_started(now)
-        self._expect(state, ticket.key, flight)
+        self._record_pending(state, ticket.key, flight)
         return Grant(ticket, state.name, self.queue.counter(ticket.workspace), stage)
 
     def _charge(self, workspace: str, cost: float) -> None:
         self.queue.charge(workspace, cost)
-        self._count(workspace, cost)
+        self._add_served(workspace, cost)
 
-    def _count(self, workspace: str, cost: float) -> None:
+    def _add_served(self, workspace: str, cost: float) -> None:
         self.served[workspace] = self.served.get(workspace, 0.0) + cost
 
     def holds(self, fingerprint: int) -> bool:
@@ -479,9 +479,9 @@
         """Return which cell of another region to request how many tickets from, or ``None``."""
         if self.overflow is None or not self.overflow.can_request(now):
             return None
-        return self.overflow.tickets_to_request(len(self.queue), self.spare(now), now)
+        return self.overflow.tickets_to_request(len(self.queue), self.spare_slots(now), now)
 
-    def spare(self, now: float) -> int:
+    def spare_slots(self, now: float) -> int:
         """Return how many more calls the replicas that are nearly idle could start now."""
         return sum(
             state.startable_calls(now)
@@ -490,7 +490,7 @@
         )
 
 
-def _returned(ticket: Ticket) -> Ticket:
+def _as_retry(ticket: Ticket) -> Ticket:
     """Return the ticket of a retry, with its place in the queue and its longer maximum wait."""
-    longest = min(RETRY_WAIT_OBJECTIVES * ticket.objective, ticket.returns_within)
-    return replace(ticket, returned=True, patience=max(ticket.patience, longest))
+    max_wait = min(RETRY_WAIT_OBJECTIVES * ticket.objective, ticket.returns_within)
+    return replace(ticket, returned=True, patience=max(ticket.patience, max_wait))
--- a/railsail/scheduling/overflow.py
+++ b/railsail/scheduling/overflow.py
@@ -74,13 +74,15 @@
         self._reported_at = now
         return max(1, waiting)
 
-    def tickets_to_request(self, waiting: int, spare: int, now: float) -> tuple[Cell, int] | None:
+    def tickets_to_request(
+        self, waiting: int, spare_slots: int, now: float
+    ) -> tuple[Cell, int] | None:
         """Return which cell to request how many tickets from, ``None`` for no request.
 
         ``spare`` is how many calls the cell's replicas could start at once.
         """
         overloaded = self._overloaded_cells(now)
-        number = min(spare - waiting, MAX_REQUESTED_TICKETS)
+        number = min(spare_slots - waiting, MAX_REQUESTED_TICKETS)
         if number < 1 or not overloaded:
             return None
         self._requested_at = now
--- a/railsail/scheduling/totals.py
+++ b/railsail/scheduling/totals.py
@@ -33,16 +33,16 @@
     """The sums of one pool at one node."""
 
     def __init__(self) -> None:
-        self._under: Sums = {}
+        self._subtree: Sums = {}
         self._children: dict[str, _Child] = {}
         self._parent: str | None = None
         self._epoch = 0
         self._base: Sums = {}
-        self._told: Sums = {}
+        self._sent_to_parent: Sums = {}
         self._root: tuple[str, int] | None = None
-        self._fleet: Sums = {}
-        self._fleet_told: Sums = {}
-        self._known: Sums = {}
+        self._fleet_sums: Sums = {}
+        self._sent_to_children: Sums = {}
+        self._counted: Sums = {}
 
     @property
     def epoch(self) -> int:
@@ -56,20 +56,20 @@
 
     def serve(self, workspace: int, cost: float) -> None:
         """Add the ``cost`` of service by a cell of this node."""
-        self._under[workspace] = self._under.get(workspace, 0.0) + cost
+        self._subtree[workspace] = self._subtree.get(workspace, 0.0) + cost
 
     def told_by_child(self, child: str, epoch: int, sums: Mapping[int, float]) -> None:
         """Merge the sums that a child sent."""
-        known = self._children.get(child)
-        if known is not None and epoch < known.epoch:
+        record = self._children.get(child)
+        if record is not None and epoch < record.epoch:
             return
-        if known is None or epoch > known.epoch:
-            known = self._children[child] = _Child(epoch)
+        if record is None or epoch > record.epoch:
+            record = self._children[child] = _Child(epoch)
         for workspace, value in sums.items():
-            gain = value - known.sums.get(workspace, 0.0)
+            gain = value - record.sums.get(workspace, 0.0)
             if gain > 0:
-                known.sums[workspace] = value
-                self._under[workspace] = self._under.get(workspace, 0.0) + gain
+                record.sums[workspace] = value
+                self._subtree[workspace] = self._subtree.get(workspace, 0.0) + gain
 
     def set_parent(self, parent: str | None, epoch: int) -> None:
         """Set the parent, ``None`` at the root; a new one starts a new epoch."""
@@ -77,53 +77,53 @@
             return
         self._parent = parent
         self._epoch = max(self._epoch + 1, epoch)
-        self._base = dict(self._under)
-        self._told = {}
-        self._fleet_told = {}
+        self._base = dict(self._subtree)
+        self._sent_to_parent = {}
+        self._sent_to_children = {}
 
     def news_for_parent(self) -> Sums:
         """Return the sums that have changed since they were last sent to the parent."""
-        sums = {name: value - self._base.get(name, 0.0) for name, value in self._under.items()}
-        return _changed(sums, self._told)
+        sums = {name: value - self._base.get(name, 0.0) for name, value in self._subtree.items()}
+        return _changed(sums, self._sent_to_parent)
 
     def told_by_root(self, root: tuple[str, int], sums: Mapping[int, float]) -> None:
         """Merge the sums of the whole pool; ``root`` is the root's node and epoch."""
         if root != self._root:
             self._root = root
-            self._fleet = {}
-            self._fleet_told = {}
-            self._known = {}
+            self._fleet_sums = {}
+            self._sent_to_children = {}
+            self._counted = {}
         for workspace, value in sums.items():
-            self._fleet[workspace] = max(self._fleet.get(workspace, 0.0), value)
+            self._fleet_sums[workspace] = max(self._fleet_sums.get(workspace, 0.0), value)
 
     def root_sums(self) -> Sums:
         """Return the sums that this node sends as the root: all service under it."""
-        return {name: value - self._base.get(name, 0.0) for name, value in self._under.items()}
+        return {name: value - self._base.get(name, 0.0) for name, value in self._subtree.items()}
 
     def news_for_children(self) -> Sums:
         """Return the sums of the pool that have changed since they were last sent down."""
-        return _changed(self._fleet, self._fleet_told)
+        return _changed(self._fleet_sums, self._sent_to_children)
 
     def forget_told(self) -> None:
         """Send all sums to the children again, because there are new ones."""
-        self._fleet_told = {}
+        self._sent_to_children = {}
 
     def fleet_gains(self) -> Sums:
         """Return the service of the whole pool that has become known since the last call."""
         gains = {}
-        for workspace, value in self._fleet.items():
+        for workspace, value in self._fleet_sums.items():
             # The first value of a root covers an unknown period; only its growth counts.
-            gain = value - self._known.get(workspace, value)
-            self._known[workspace] = value
+            gain = value - self._counted.get(workspace, value)
+            self._counted[workspace] = value
             if gain > 0:
                 gains[workspace] = gain
         return gains
 
 
-def _changed(sums: Sums, told: Sums) -> Sums:
-    news = {}
+def _changed(sums: Sums, sent: Sums) -> Sums:
+    changed = {}
     for workspace, value in sums.items():
-        if round(value) > round(told.get(workspace, 0.0)):
-            told[workspace] = value
-            news[workspace] = value
-    return news
+        if round(value) > round(sent.get(workspace, 0.0)):
+            sent[workspace] = value
+            changed[workspace] = value
+    return changed
--- a/tests/scheduling/test_cells.py
+++ b/tests/scheduling/test_cells.py
@@ -152,7 +152,7 @@
         self.nodes = tree.order("x", [f"n{n}" for n in range(size)])
         self.totals = {node: PoolTotals() for node in self.nodes}
         self.epoch = 0
-        self.mail: list = []
+        self.messages: list = []
 
     def round(self) -> None:
         for node in self.nodes:
@@ -167,22 +167,22 @@
             totals.told_by_root((node, totals.epoch), totals.root_sums())
         else:
             sums = totals.news_for_parent()
-            self.post(self.totals[parent].told_by_child, node, totals.epoch, sums)
-        news = totals.news_for_children()
+            self.send(self.totals[parent].told_by_child, node, totals.epoch, sums)
+        changed = totals.news_for_children()
         for child in tree.children(self.nodes, node):
-            self.post(self.totals[child].told_by_root, totals.root, news)
+            self.send(self.totals[child].told_by_root, totals.root, changed)
 
-    def post(self, method, *arguments) -> None:
+    def send(self, method, *arguments) -> None:
         if arguments[0] is not None:
-            self.mail += [(method, arguments)] * self.rng.choice([1, 1, 2])
+            self.messages += [(method, arguments)] * self.rng.choice([1, 1, 2])
 
     def deliver(self) -> None:
-        self.rng.shuffle(self.mail)
-        for method, arguments in self.mail:
+        self.rng.shuffle(self.messages)
+        for method, arguments in self.messages:
             method(*arguments)
-        self.mail = []
+        self.messages = []
 
-    def lose(self, node: str) -> None:
+    def remove(self, node: str) -> None:
         self.nodes.remove(node)
         del self.totals[node]
         self.epoch += 1
@@ -206,14 +206,14 @@
         self.assertEqual(sums, [100.0] * 20)
 
     def test_no_service_is_counted_twice_after_loss_of_inner_node_or_root(self):
-        for victim in (0, 1):
+        for lost in (0, 1):
             fleet = Fleet(20, random.Random(3))
             served = 0.0
             gained = 0.0
             watcher = fleet.nodes[-1]
             for turn in range(60):
                 if turn == 25:
-                    fleet.lose(fleet.nodes[victim])
+                    fleet.remove(fleet.nodes[lost])
                 fleet.totals[fleet.nodes[-2]].serve(1, 10.0)
                 served += 10.0
                 fleet.round()
--- a/tests/scheduling/test_fairqueue.py
+++ b/tests/scheduling/test_fairqueue.py
@@ -109,9 +109,9 @@
         self.queue = FairQueue(lambda name: 1.0)
 
     def serve(self, count: int) -> list[str]:
-        return [self.take(self.queue.first_workspace()).workspace for _ in range(count)]
+        return [self.dequeue(self.queue.first_workspace()).workspace for _ in range(count)]
 
-    def take(self, workspace: str) -> Ticket:
+    def dequeue(self, workspace: str) -> Ticket:
         ticket = self.queue.head(workspace)
         self.queue.dequeue(ticket)
         return ticket
@@ -129,14 +129,14 @@
         self.queue.push(ticket(1, rank=0.0, enqueued_at=0.0))
         self.queue.push(ticket(2, rank=1.0, enqueued_at=10.0))
         self.queue.push(ticket(3, rank=1.0, enqueued_at=40.0))
-        order = [self.take("a").number for _ in range(3)]
+        order = [self.dequeue("a").number for _ in range(3)]
         self.assertEqual(order, [2, 1, 3])
 
     def test_removed_ticket_is_not_served(self):
         self.queue.push(ticket(1))
         self.queue.push(ticket(2))
         self.queue.remove(("entry", 1))
-        self.assertEqual(self.take("a").number, 2)
+        self.assertEqual(self.dequeue("a").number, 2)
         self.assertEqual(len(self.queue), 0)
 
     def test_merge_bounds_how_far_a_workspace_is_behind(self):
--- a/tests/scheduling/test_health.py
+++ b/tests/scheduling/test_health.py
@@ -57,33 +57,33 @@
         self.dispatcher.set_replicas(dict.fromkeys("abcdef", 8))
         self.number = 0
 
-    def play(self, failing: set[str], share: float, seconds: float) -> dict[str, int]:
+    def simulate(self, failing: set[str], share: float, seconds: float) -> dict[str, int]:
         """Offer 200 calls of 50 ms per second, and return how many each replica was given."""
-        got = dict.fromkeys("abcdef", 0)
+        granted = dict.fromkeys("abcdef", 0)
         ends: list[tuple[float, int, str]] = []
         for step in range(int(seconds * 200)):
             now = step / 200
             for ended, number, replica in [end for end in ends if end[0] <= now]:
-                bad = replica in failing and self.rng.random() < share
-                result = CallResult.ERROR if bad else CallResult.GOOD
+                fails = replica in failing and self.rng.random() < share
+                result = CallResult.ERROR if fails else CallResult.GOOD
                 self.dispatcher.release(("e", number), 1.0, now, result)
                 ends.remove((ended, number, replica))
             self.number += 1
             ticket = Ticket("e", self.number, 1, "one", 0.0, 1.0, now, urgent=True)
             for decision in self.dispatcher.offer(ticket, now):
                 if isinstance(decision, Grant):
-                    got[decision.replica] += 1
+                    granted[decision.replica] += 1
                     ends.append((now + 0.05, self.number, decision.replica))
-        return got
+        return granted
 
     def test_cell_whose_replicas_all_fail_some_calls_continues_to_serve(self):
-        got = self.play(set("abcdef"), 0.45, 10.0)
-        self.assertGreater(sum(got.values()), 0.95 * 2000)
+        granted = self.simulate(set("abcdef"), 0.45, 10.0)
+        self.assertGreater(sum(granted.values()), 0.95 * 2000)
 
     def test_single_failing_replica_is_given_far_fewer_calls(self):
-        got = self.play({"a"}, 0.45, 10.0)
-        self.assertLess(got["a"], 0.5 * got["b"])
-        self.assertGreater(sum(got.values()), 0.95 * 2000)
+        granted = self.simulate({"a"}, 0.45, 10.0)
+        self.assertLess(granted["a"], 0.5 * granted["b"])
+        self.assertGreater(sum(granted.values()), 0.95 * 2000)
 
 
 if __name__ == "__main__":
--- a/tests/scheduling/test_losses.py
+++ b/tests/scheduling/test_losses.py
@@ -10,7 +10,7 @@
 from railsail.scheduling.warmup import WarmupBound
 
 
-class PeersTests(unittest.TestCase):
+class HealthOfOthersTests(unittest.TestCase):
     """One replica of a cell fails some of its calls while a failure domain is unavailable."""
 
     def setUp(self):
@@ -55,10 +55,10 @@
         self.assertFalse(self.ejected_when_faulty(0.1))
 
 
-class ReturnTests(unittest.TestCase):
+class RetryRateTests(unittest.TestCase):
     """Callers of refused requests retry at the rate of the replicas that will serve them."""
 
-    def read_rate(self, leaving: str = "", cold: str = "") -> float:
+    def prefill_rate(self, leaving: str = "", cold: str = "") -> float:
         """Return for how many prompt tokens per second retries are planned."""
         dispatcher = CellDispatcher(lambda w: 1.0, random.Random(4), use_prefixes=False)
         dispatcher.set_replicas(dict.fromkeys("abcd", 1), leaving=leaving)
@@ -68,14 +68,14 @@
         return dispatcher._prefill_rate(0.0)
 
     def test_draining_replicas_are_not_counted(self):
-        self.assertAlmostEqual(self.read_rate(leaving="abc"), self.read_rate() / 4)
+        self.assertAlmostEqual(self.prefill_rate(leaving="abc"), self.prefill_rate() / 4)
 
     def test_cold_replicas_are_not_counted_beside_warm_ones(self):
-        self.assertAlmostEqual(self.read_rate(cold="ab"), self.read_rate() / 2)
-        self.assertAlmostEqual(self.read_rate(cold="abcd"), self.read_rate())
+        self.assertAlmostEqual(self.prefill_rate(cold="ab"), self.prefill_rate() / 2)
+        self.assertAlmostEqual(self.prefill_rate(cold="abcd"), self.prefill_rate())
 
 
-class ColdRoomTests(unittest.TestCase):
+class ColdSlotsTests(unittest.TestCase):
     """How many calls a cell can start while the replicas of a failure domain are cold."""
 
     def setUp(self):
@@ -87,11 +87,11 @@
         for name in "abc":
             self.dispatcher.set_cold(name, 60.0, 0.0)
         self.assertEqual(self.dispatcher.room(0.0), 8 + 3)
-        self.assertEqual(self.dispatcher.spare(0.0), 8 + 3)
+        self.assertEqual(self.dispatcher.spare_slots(0.0), 8 + 3)
 
     def test_warm_replica_can_start_a_call_in_each_slot(self):
         self.assertEqual(self.dispatcher.room(0.0), 32)
-        self.assertEqual(self.dispatcher.spare(0.0), 32)
+        self.assertEqual(self.dispatcher.spare_slots(0.0), 32)
 
 
 if __name__ == "__main__":
--- a/tests/scheduling/test_overflow.py
+++ b/tests/scheduling/test_overflow.py
@@ -69,9 +69,9 @@
     def setUp(self):
         self.overflow = Overflow()
 
-    def request(self, waiting: int, spare: int, now: float = NOW) -> tuple[Cell, int] | None:
+    def request(self, waiting: int, spare_slots: int, now: float = NOW) -> tuple[Cell, int] | None:
         return (
-            self.overflow.tickets_to_request(waiting, spare, now)
+            self.overflow.tickets_to_request(waiting, spare_slots, now)
             if self.overflow.can_request(now)
             else None
         )
--- a/tests/scheduling/test_returning.py
+++ b/tests/scheduling/test_returning.py
@@ -47,7 +47,7 @@
         self.assertTrue(self.refused.comes_back(MAX_REMEMBERED + 10, 1.0))
 
 
-class FloodTests(unittest.TestCase):
+class OverloadTests(unittest.TestCase):
     """Twice what a cell can serve; each caller has a deadline of its own and retries once."""
 
     OBJECTIVE = 0.4
@@ -74,62 +74,62 @@
             fingerprint=fingerprint,
         )
 
-    def play(self, seconds: float, per_second: int) -> tuple[list[float], list[float], int]:
+    def simulate(self, seconds: float, per_second: int) -> tuple[list[float], list[float], int]:
         """Return the waits of refused first attempts and of refused retries, and the holds."""
-        coming = [(n / per_second, n + 1, False) for n in range(int(seconds * per_second))]
-        ending: list[tuple[float, Ticket]] = []
+        arrivals = [(n / per_second, n + 1, False) for n in range(int(seconds * per_second))]
+        running: list[tuple[float, Ticket]] = []
         waits: dict[bool, list[float]] = {False: [], True: []}
-        held = 0
+        holds = 0
         now = 0.0
-        repeats = set()
-        while coming or ending or len(self.dispatcher.queue):
+        retries = set()
+        while arrivals or running or len(self.dispatcher.queue):
             now += 0.005
-            due = [item for item in coming if item[0] <= now]
-            coming = [item for item in coming if item[0] > now]
-            for ticket in [t for at, t in ending if at <= now]:
+            due = [item for item in arrivals if item[0] <= now]
+            arrivals = [item for item in arrivals if item[0] > now]
+            for ticket in [t for at, t in running if at <= now]:
                 self.dispatcher.answered(ticket.key, now)
                 self.dispatcher.release(ticket.key, 100.0, now)
-            ending = [item for item in ending if item[0] > now]
+            running = [item for item in running if item[0] > now]
             decisions = []
-            for _, fingerprint, repeat in due:
+            for _, fingerprint, is_retry in due:
                 ticket = self.ticket(fingerprint, now)
-                if repeat:
-                    repeats.add(ticket.number)
+                if is_retry:
+                    retries.add(ticket.number)
                 decisions += self.dispatcher.put(ticket, now)
             decisions += self.dispatcher.pump(now)
             for decision in decisions:
                 ticket = decision.ticket
-                repeat = ticket.number in repeats
+                is_retry = ticket.number in retries
                 if isinstance(decision, Grant):
-                    ending.append((now + self.SECONDS, ticket))
+                    running.append((now + self.SECONDS, ticket))
                 elif isinstance(decision, Refusal):
-                    waits[repeat].append(now - ticket.enqueued_at)
-                    if not repeat:
-                        coming.append((now + decision.come_back, ticket.fingerprint, True))
+                    waits[is_retry].append(now - ticket.enqueued_at)
+                    if not is_retry:
+                        arrivals.append((now + decision.come_back, ticket.fingerprint, True))
                 else:
-                    held += repeat
-        return waits[False], waits[True], held
+                    holds += is_retry
+        return waits[False], waits[True], holds
 
     def test_first_attempts_are_refused_soon_and_retries_are_recognized(self):
-        first, again, held = self.play(6.0, 80)
-        self.assertTrue(first and again)
+        first, retries, holds = self.simulate(6.0, 80)
+        self.assertTrue(first and retries)
         # A first attempt is refused within its maximum wait and one step of the queue.
         self.assertLess(max(first), self.OBJECTIVE / 5 + 0.011)
-        self.assertLess(max(again), RETRY_WAIT_OBJECTIVES * self.OBJECTIVE + 0.011)
+        self.assertLess(max(retries), RETRY_WAIT_OBJECTIVES * self.OBJECTIVE + 0.011)
         # Each refused first attempt was retried, and the retry was recognized.
-        self.assertEqual(held, len(first))
+        self.assertEqual(holds, len(first))
 
     def test_retries_displace_no_tickets_that_can_be_in_time(self):
-        alone = self.play(4.0, 80)
+        recognized = self.simulate(4.0, 80)
         self.setUp()
-        self.dispatcher._refused.comes_back = lambda fingerprint, now: False
-        alike = self.play(4.0, 80)
+        self.dispatcher._refusals.comes_back = lambda fingerprint, now: False
+        unrecognized = self.simulate(4.0, 80)
         # Fewer first attempts are refused than where retries wait among them.
-        self.assertLess(len(alone[0]), len(alike[0]))
+        self.assertLess(len(recognized[0]), len(unrecognized[0]))
 
     def test_no_request_is_taken_for_a_retry_where_none_was_refused(self):
-        first, again, held = self.play(4.0, 30)
-        self.assertEqual((first, again, held), ([], [], 0))
+        first, retries, holds = self.simulate(4.0, 30)
+        self.assertEqual((first, retries, holds), ([], [], 0))
 
     def test_retry_is_given_a_longer_maximum_wait(self):
         for _ in range(9):
--- a/tests/scheduling/test_room.py
+++ b/tests/scheduling/test_room.py
@@ -12,7 +12,7 @@
     return Ticket("entry", number, 1, "one", 0.0, 1.0, **values)
 
 
-class ReadingTests(unittest.TestCase):
+class PrefillTests(unittest.TestCase):
     """How fast a replica prefills prompts, and whether it would start another answer in time."""
 
     def setUp(self):
@@ -74,7 +74,7 @@
         self.assertEqual(self.state.room(1.9), 0)
 
 
-class RoomTests(unittest.TestCase):
+class FreeSlotsTests(unittest.TestCase):
     def test_own_calls_in_a_late_report_are_not_counted_as_those_of_others(self):
         state = ReplicaState("r", 8)
         for _ in range(6):
--- a/tests/scheduling/test_speeds.py
+++ b/tests/scheduling/test_speeds.py
@@ -11,7 +11,7 @@
 from railsail.scheduling.tickets import Ticket, TicketKey
 
 SPEEDS = {"usual": 1.0, "fast": 1.3}
-READ_RATE = 60_000.0
+PREFILL_RATE = 60_000.0
 # The prompts have these three lengths in turn.
 LENGTHS = (800, 2400, 5800)
 TOKENS = sum(LENGTHS) / len(LENGTHS)
@@ -29,9 +29,9 @@
         self.cell.set_replicas(dict.fromkeys(SPEEDS, 12))
         self.granted: Counter[str] = Counter()
         self._free_at = dict.fromkeys(SPEEDS, 0.0)
-        self._begins: list[tuple[float, TicketKey]] = []
+        self._answers: list[tuple[float, TicketKey]] = []
 
-    def play(self, seconds: float, every: float) -> None:
+    def run(self, seconds: float, interval: float) -> None:
         """Offer a ticket ``every`` this many seconds."""
         steps = round(seconds / STEP_SECONDS)
         number, due = 0, 0.0
@@ -40,7 +40,7 @@
             self._answer(now)
             while due <= now:
                 number += 1
-                due += every
+                due += interval
                 self._grant(self.cell.offer(_ticket(number, now), now), now)
             self._grant(self.cell.pump(now), now)
 
@@ -49,18 +49,18 @@
             if isinstance(decision, Grant):
                 name = decision.replica
                 self.granted[name] += 1
-                seconds = decision.ticket.prompt_tokens / (READ_RATE * SPEEDS[name])
+                seconds = decision.ticket.prompt_tokens / (PREFILL_RATE * SPEEDS[name])
                 self._free_at[name] = max(self._free_at[name], now) + seconds
-                begins = self._free_at[name] + BASE_SECONDS
-                self._begins.append((begins, decision.ticket.key))
+                answer_at = self._free_at[name] + BASE_SECONDS
+                self._answers.append((answer_at, decision.ticket.key))
 
     def _answer(self, now: float) -> None:
-        for begins, key in sorted(self._begins):
-            if begins > now:
+        for answer_at, key in sorted(self._answers):
+            if answer_at > now:
                 return
-            self._begins.remove((begins, key))
-            self.cell.answered(key, begins)
-            self.cell.release(key, 1.0, begins, CallResult.GOOD)
+            self._answers.remove((answer_at, key))
+            self.cell.answered(key, answer_at)
+            self.cell.release(key, 1.0, answer_at, CallResult.GOOD)
 
 
 def _ticket(number: int, now: float) -> Ticket:
@@ -82,7 +82,7 @@
     def setUp(self):
         self.pool = Pool()
         # Nine tenths of what both can prefill.
-        self.pool.play(40.0, TOKENS / (0.9 * READ_RATE * sum(SPEEDS.values())))
+        self.pool.run(40.0, TOKENS / (0.9 * PREFILL_RATE * sum(SPEEDS.values())))
         self.states = self.pool.cell.replicas
 
     def test_prefill_rate_of_each_replica_is_learnt(self):
@@ -94,10 +94,10 @@
         self.assertGreater(granted["fast"], 1.15 * granted["usual"])
 
     def test_faster_replica_accepts_more_pending_prefill(self):
-        admitted = {name: self.admitted(state) for name, state in self.states.items()}
-        self.assertGreater(admitted["fast"], 1.15 * admitted["usual"])
+        accepted = {name: self.accepted(state) for name, state in self.states.items()}
+        self.assertGreater(accepted["fast"], 1.15 * accepted["usual"])
 
-    def admitted(self, state: ReplicaState) -> int:
+    def accepted(self, state: ReplicaState) -> int:
         """Return how many tokens ``state`` accepts before another prompt would be late there."""
         now, number = 1000.0, 0
         tokens = LENGTHS[0]
--- a/tests/scheduling/test_standing.py
+++ b/tests/scheduling/test_standing.py
@@ -24,22 +24,22 @@
 ANSWER_SECONDS = 0.05
 REPLICAS = 4
 SLOTS = 12
-PATIENCE_SECONDS = 0.06
+MAX_WAIT_SECONDS = 0.06
 SECONDS = 20.0
 # Requests are counted from this time.
-SETTLED_SECONDS = 6.0
+COUNTED_FROM_SECONDS = 6.0
 
 
-class Cell:
+class SimulatedCell:
     """A cell with calls of fixed length, and callers that send requests at fixed rates."""
 
     def __init__(self, slots: int = SLOTS, window: float = 4.0) -> None:
         self.dispatcher = CellDispatcher(lambda name: 1.0, random.Random(1), fair_window=window)
         self.dispatcher.set_replicas({f"r{number}": slots for number in range(REPLICAS)})
-        self.asked: dict[str, int] = {}
+        self.requested: dict[str, int] = {}
         self.served: dict[str, int] = {}
         self._running: list[tuple[float, tuple[str, int]]] = []
-        self._beginning: list[tuple[float, tuple[str, int]]] = []
+        self._starting: list[tuple[float, tuple[str, int]]] = []
         self._number = 0
         self._due: dict[str, float] = {}
 
@@ -48,44 +48,44 @@
         now = 0.0
         while now < SECONDS:
             now += STEP_SECONDS
-            self._go_on(now)
+            self._advance(now)
             for workspace, rate in rates.items():
                 self._due[workspace] = self._due.get(workspace, 0.0) + rate * STEP_SECONDS
                 while self._due[workspace] >= 1.0:
                     self._due[workspace] -= 1.0
-                    self._ask(workspace, now)
-            self._take(self.dispatcher.pump(now), now)
+                    self._send_request(workspace, now)
+            self._record_grants(self.dispatcher.pump(now), now)
 
-    def _ask(self, workspace: str, now: float) -> None:
+    def _send_request(self, workspace: str, now: float) -> None:
         self._number += 1
-        if now > SETTLED_SECONDS:
-            self.asked[workspace] = self.asked.get(workspace, 0) + 1
-        asked = ticket(self._number, workspace, patience=PATIENCE_SECONDS, enqueued_at=now)
-        self._take(self.dispatcher.put(asked, now), now)
+        if now > COUNTED_FROM_SECONDS:
+            self.requested[workspace] = self.requested.get(workspace, 0) + 1
+        sent = ticket(self._number, workspace, patience=MAX_WAIT_SECONDS, enqueued_at=now)
+        self._record_grants(self.dispatcher.put(sent, now), now)
 
-    def _take(self, decisions: list, now: float) -> None:
+    def _record_grants(self, decisions: list, now: float) -> None:
         for decision in decisions:
             if not isinstance(decision, Grant):
                 continue
             key = decision.ticket.key
             self._running.append((now + CALL_SECONDS, key))
-            self._beginning.append((now + ANSWER_SECONDS, key))
-            if now > SETTLED_SECONDS:
+            self._starting.append((now + ANSWER_SECONDS, key))
+            if now > COUNTED_FROM_SECONDS:
                 workspace = decision.ticket.workspace
                 self.served[workspace] = self.served.get(workspace, 0) + 1
 
-    def _go_on(self, now: float) -> None:
-        while self._beginning and self._beginning[0][0] <= now:
-            self.dispatcher.answered(self._beginning.pop(0)[1], now)
+    def _advance(self, now: float) -> None:
+        while self._starting and self._starting[0][0] <= now:
+            self.dispatcher.answered(self._starting.pop(0)[1], now)
         while self._running and self._running[0][0] <= now:
             self.dispatcher.release(self._running.pop(0)[1], 10.0, now)
 
 
-class StandingTests(unittest.TestCase):
+class SmallWorkspaceTests(unittest.TestCase):
     def served_share(self, rates: dict[str, float], workspace: str) -> float:
-        cell = Cell()
+        cell = SimulatedCell()
         cell.run(rates)
-        return cell.served[workspace] / cell.asked[workspace]
+        return cell.served[workspace] / cell.requested[workspace]
 
     def test_small_workspace_is_served_beside_an_overloading_one(self):
         # The cell serves 24 requests per second: 8 are a third of them.
@@ -98,31 +98,31 @@
                 self.assertGreater(self.served_share(rates, workspace), 0.95)
 
     def test_overloading_workspace_uses_what_others_leave(self):
-        cell = Cell()
+        cell = SimulatedCell()
         cell.run({"flood": 300.0, "light": 2.0})
-        seconds = SECONDS - SETTLED_SECONDS
+        seconds = SECONDS - COUNTED_FROM_SECONDS
         capacity = REPLICAS * SLOTS / CALL_SECONDS
         self.assertGreater(sum(cell.served.values()) / seconds, 0.85 * capacity)
 
     def test_single_workspace_uses_the_whole_cell(self):
-        cell = Cell()
+        cell = SimulatedCell()
         cell.run({"flood": 300.0})
         capacity = REPLICAS * SLOTS / CALL_SECONDS
-        self.assertGreater(cell.served["flood"] / (SECONDS - SETTLED_SECONDS), 0.9 * capacity)
+        self.assertGreater(cell.served["flood"] / (SECONDS - COUNTED_FROM_SECONDS), 0.9 * capacity)
 
     def test_no_workspace_is_limited_without_a_window(self):
-        cell = Cell(window=0.0)
+        cell = SimulatedCell(window=0.0)
         cell.run({"flood": 300.0})
         capacity = REPLICAS * SLOTS / CALL_SECONDS
-        self.assertGreater(cell.served["flood"] / (SECONDS - SETTLED_SECONDS), 0.95 * capacity)
+        self.assertGreater(cell.served["flood"] / (SECONDS - COUNTED_FROM_SECONDS), 0.95 * capacity)
 
     def test_all_slots_of_small_replicas_are_used(self):
         for slots in (1, 2, 6):
             with self.subTest(slots=slots):
-                cell = Cell(slots)
+                cell = SimulatedCell(slots)
                 cell.run({"flood": 300.0})
                 capacity = REPLICAS * slots / CALL_SECONDS
-                seconds = SECONDS - SETTLED_SECONDS
+                seconds = SECONDS - COUNTED_FROM_SECONDS
                 self.assertGreater(cell.served["flood"] / seconds, 0.9 * capacity)
 
 
--- a/tests/scheduling/test_usage.py
+++ b/tests/scheduling/test_usage.py
@@ -39,8 +39,8 @@
     def setUp(self):
         self.usage = RecentUsage(4.0, lambda name: 1.0)
 
-    def use(self, workspace: str, asked: float, served: float) -> None:
-        self.usage.record_request(workspace, asked, 0.0)
+    def use(self, workspace: str, demand: float, served: float) -> None:
+        self.usage.record_request(workspace, demand, 0.0)
         self.usage.charge(workspace, served, 0.0)
 
     def test_level_meets_small_demands_and_shares_the_rest(self):
@@ -55,10 +55,10 @@
     def test_level_shares_the_whole_capacity(self):
         rng = random.Random(3)
         for _ in range(300):
-            asked = [(rng.uniform(0, 100), rng.choice((0.5, 1.0, 4.0))) for _ in range(9)]
-            capacity = rng.uniform(0, sum(cost for cost, _ in asked) * 0.99)
-            level = max_min_level(asked, capacity)
-            met = sum(min(cost, level * weight) for cost, weight in asked)
+            demands = [(rng.uniform(0, 100), rng.choice((0.5, 1.0, 4.0))) for _ in range(9)]
+            capacity = rng.uniform(0, sum(cost for cost, _ in demands) * 0.99)
+            level = max_min_level(demands, capacity)
+            met = sum(min(cost, level * weight) for cost, weight in demands)
             self.assertAlmostEqual(met, capacity, places=6)
 
     def test_only_a_workspace_above_its_share_is_over_it(self):
@@ -124,7 +124,7 @@
 class ReturnFromIdleTests(unittest.TestCase):
     """One workspace is served all the time, and another one starts after a while."""
 
-    def served_of_the_light_one(self, window: float) -> int:
+    def grants_of_the_idle_one(self, window: float) -> int:
         """Return how many of the first 20 grants it gets when both have many waiting tickets."""
         dispatcher = CellDispatcher(lambda name: 1.0, random.Random(1), fair_window=window)
         dispatcher.set_replicas({"r0": 1})
@@ -148,10 +148,10 @@
     def test_idle_workspace_is_owed_what_it_was_below_its_share(self):
         # The steady workspace was granted 12 calls of 10 units each. This is the mean service of
         # the window, because no other workspace was served in it.
-        self.assertEqual(self.served_of_the_light_one(4.0), 16)
+        self.assertEqual(self.grants_of_the_idle_one(4.0), 16)
 
     def test_both_get_the_same_without_a_window(self):
-        self.assertEqual(self.served_of_the_light_one(0.0), 10)
+        self.assertEqual(self.grants_of_the_idle_one(0.0), 10)
 
 
 if __name__ == "__main__":
--- a/tests/scheduling/test_versions.py
+++ b/tests/scheduling/test_versions.py
@@ -215,7 +215,7 @@
         self.assertEqual(self.owners(400.0), before)
 
 
-class RoomTests(RolloutTestCase):
+class FreeSlotsTests(RolloutTestCase):
     def fill_others(self) -> None:
         for name in OLD:
             for _ in range(self.slots + 1):
--- a/tests/scheduling/test_warmup.py
+++ b/tests/scheduling/test_warmup.py
@@ -13,7 +13,7 @@
 MAX_IN_A_SECOND = BOUND.per_second * BOUND.overcommit + BOUND.slack
 
 
-def most_in_a_second(times: list[float]) -> int:
+def max_in_a_second(times: list[float]) -> int:
     return max((sum(t <= u < t + 1.0 for u in times) for t in times), default=0)
 
 
@@ -35,7 +35,7 @@
     def test_cold_replica_is_given_calls_at_its_rate(self):
         self.warmup.mark_cold(3.0, 0.0)
         times = self.calls(3.0)
-        self.assertLessEqual(2 * most_in_a_second(times), MAX_IN_A_SECOND)
+        self.assertLessEqual(2 * max_in_a_second(times), MAX_IN_A_SECOND)
         self.assertGreaterEqual(len(times), 2.8 * BOUND.rate)
 
     def test_two_dispatchers_together_stay_within_the_bound(self):
@@ -64,18 +64,18 @@
         self.names = [f"r{n}" for n in range(9)]
         self.dispatcher.set_bound(BOUND)
         self.dispatcher.set_replicas(
-            dict.fromkeys(self.names, 32), lives=dict.fromkeys(self.names, 1)
+            dict.fromkeys(self.names, 32), start_ids=dict.fromkeys(self.names, 1)
         )
 
-    def flood(self, begin: float, end: float, per_second: int = 600) -> None:
+    def overload(self, begin: float, end: float, per_second: int = 600) -> None:
         now = begin
         while now < end:
             self.number += 1
             ticket = Ticket("e", self.number, 1, "one", 0.0, 100.0, now, patience=0.05)
-            self.take(self.dispatcher.offer(ticket, now), now)
+            self.record_grants(self.dispatcher.offer(ticket, now), now)
             now += 1 / per_second
 
-    def take(self, decisions, now: float) -> None:
+    def record_grants(self, decisions, now: float) -> None:
         for decision in decisions:
             if isinstance(decision, Grant):
                 self.granted.setdefault(decision.replica, []).append(now)
@@ -87,15 +87,15 @@
         cold = self.names[:3]
         for name in cold:
             self.dispatcher.set_cold(name, 3.0, 0.0)
-        self.flood(0.0, 3.0)
+        self.overload(0.0, 3.0)
         for name in cold:
-            self.assertLessEqual(2 * most_in_a_second(self.granted[name]), MAX_IN_A_SECOND)
+            self.assertLessEqual(2 * max_in_a_second(self.granted[name]), MAX_IN_A_SECOND)
             self.assertGreaterEqual(len(self.granted[name]), 40)
 
     def test_replicas_are_fully_used_after_the_cold_time(self):
         for name in self.names[:3]:
             self.dispatcher.set_cold(name, 3.0, 0.0)
-        self.flood(3.1, 4.1)
+        self.overload(3.1, 4.1)
         shares = [len(self.granted[name]) for name in self.names]
         self.assertGreater(min(shares), 40)
 
@@ -110,8 +110,8 @@
         (grant,) = self.dispatcher.offer(ticket, 0.0)
         name = grant.replica
         self.assertEqual(self.dispatcher.replicas[name].in_flight, 1)
-        lives = dict.fromkeys(self.names, 1) | {name: 2}
-        self.dispatcher.set_replicas(dict.fromkeys(self.names, 32), lives=lives)
+        start_ids = dict.fromkeys(self.names, 1) | {name: 2}
+        self.dispatcher.set_replicas(dict.fromkeys(self.names, 32), start_ids=start_ids)
         state = self.dispatcher.replicas[name]
         self.assertEqual(state.in_flight, 0)
         self.assertFalse(state.has_prefix(7))
