--- a/benchmarks/regions.py
+++ b/benchmarks/regions.py
@@ -25,8 +25,8 @@
 from railsail.scheduling.dispatcher import CellDispatcher
 from railsail.scheduling.health import CallResult
 from railsail.scheduling.overflow import WAY_SECONDS, Overflow
-from railsail.scheduling.placing import AvailableReplicas, ReplicaSelector, ShareState
 from railsail.scheduling.room import LONG_PREFIX_TOKENS, ReplicaState
+from railsail.scheduling.selection import AvailableReplicas, ReplicaSelector, ShareState
 from railsail.scheduling.tickets import WAIT_SHARE, Ticket
 
 REGIONS = ("costa", "oriente", "sierra")
--- a/railsail/scheduling/dispatcher.py
+++ b/railsail/scheduling/dispatcher.py
@@ -14,10 +14,10 @@
 from railsail.scheduling.fairqueue import CATCH_UP_CHARGES, FairQueue
 from railsail.scheduling.health import CallResult, GroupHealth
 from railsail.scheduling.overflow import Overflow
-from railsail.scheduling.placing import NEARLY_IDLE_SECONDS, ShareState
 from railsail.scheduling.returning import RETRY_WAIT_OBJECTIVES, RefusedCallers
 from railsail.scheduling.returns import RetrySchedule
 from railsail.scheduling.room import LoadReport, ReplicaState
+from railsail.scheduling.selection import NEARLY_IDLE_SECONDS, ShareState
 from railsail.scheduling.tickets import Ticket, TicketKey
 from railsail.scheduling.usage import RecentUsage, Share
 from railsail.scheduling.versions import VersionSelector
--- a/railsail/scheduling/versions.py
+++ b/railsail/scheduling/versions.py
@@ -7,13 +7,13 @@
 from railsail.rollouts.orders import Order
 from railsail.rollouts.stages import Stage
 from railsail.scheduling.exposure import Exposure
-from railsail.scheduling.placing import (
+from railsail.scheduling.room import ReplicaState
+from railsail.scheduling.selection import (
     AvailableReplicas,
     ReplicaSelector,
     ShareState,
     find_available,
 )
-from railsail.scheduling.room import ReplicaState
 from railsail.scheduling.tickets import Ticket
 
 
--- a/tests/dispatch/test_cellmap.py
+++ b/tests/dispatch/test_cellmap.py
@@ -8,8 +8,8 @@
 from railsail.dispatch.cellmap import CellMap
 from railsail.dispatch.regions import WAY_SECONDS, FleetRegions
 from railsail.scheduling.cells import Cell
-from railsail.scheduling.placing import _highest_score
 from railsail.scheduling.room import ReplicaState
+from railsail.scheduling.selection import _highest_score
 from railsail.scheduling.tickets import Ticket
 from railsail.store.base import Listing, StoredObject
 from railsail.upstreams.directory import UpstreamDirectory
--- a/tests/scheduling/test_placing.py
+++ b/tests/scheduling/test_selection.py
@@ -4,18 +4,18 @@
 import unittest
 from dataclasses import replace
 
-from railsail.scheduling.placing import (
-    OWNER_WAIT_SHARE,
-    ReplicaSelector,
-    _highest_score,
-    find_available,
-)
 from railsail.scheduling.room import (
     INITIAL_PREFILL_RATE,
     MAX_OWN_PREFILL_SHARE,
     PREFILL_SHARE,
     ReplicaState,
 )
+from railsail.scheduling.selection import (
+    OWNER_WAIT_SHARE,
+    ReplicaSelector,
+    _highest_score,
+    find_available,
+)
 from railsail.scheduling.tickets import Ticket
 
 OBJECTIVE = 0.4
