--- a/railsail/scheduling/dispatcher.py
+++ b/railsail/scheduling/dispatcher.py
@@ -14,8 +14,8 @@
 from railsail.scheduling.fairqueue import CATCH_UP_CHARGES, FairQueue
 from railsail.scheduling.health import CallResult, GroupHealth
 from railsail.scheduling.overflow import Overflow
+from railsail.scheduling.retryschedule import RetrySchedule
 from railsail.scheduling.returning import RETRY_WAIT_OBJECTIVES, RefusedCallers
-from railsail.scheduling.returns import RetrySchedule
 from railsail.scheduling.room import LoadReport, ReplicaState
 from railsail.scheduling.selection import NEARLY_IDLE_SECONDS, ShareState
 from railsail.scheduling.tickets import Ticket, TicketKey
--- a/tests/scheduling/test_returns.py
+++ b/tests/scheduling/test_retryschedule.py
@@ -3,7 +3,12 @@
 import random
 import unittest
 
-from railsail.scheduling.returns import MIN_RETRY_SECONDS, RETRY_SHARE, STEP_SECONDS, RetrySchedule
+from railsail.scheduling.retryschedule import (
+    MIN_RETRY_SECONDS,
+    RETRY_SHARE,
+    STEP_SECONDS,
+    RetrySchedule,
+)
 
 RATE = 100_000.0
 
