--- a/railsail/scheduling/balance.py
+++ b/railsail/scheduling/balance.py
@@ -36,7 +36,8 @@
         """Return the factor on the weight of each workspace in ``waiting``.
 
         ``gains`` is the service of the whole fleet, in cost units, that became known in the last
-        ``seconds``; ``delay`` is the age of these sums in seconds.
+        ``seconds``; ``delay`` is the age of these sums in seconds. The result is empty if fewer
+        than two of the workspaces were waiting at the last update, too.
         """
         still_waiting = [name for name in waiting if name in self._deficits]
         self._deficits = {name: self._deficits.get(name, 0.0) for name in waiting}
--- a/railsail/scheduling/cells.py
+++ b/railsail/scheduling/cells.py
@@ -13,9 +13,10 @@
 
 @dataclass(frozen=True, order=True)
 class Cell:
-    """A part of a pool, identified by its number among the ``count`` cells of the pool.
+    """A part of a pool, identified by its ``number``, which is less than ``count``.
 
-    ``region`` is the region of its replicas; it is empty if the fleet has only one region.
+    ``region`` is the region of its replicas; it is empty if the fleet has only one region. If there
+    are several, some numbers have no cell.
     """
 
     pool: str
--- a/railsail/scheduling/dispatcher.py
+++ b/railsail/scheduling/dispatcher.py
@@ -28,15 +28,16 @@
 # (docs/topics/decisions-under-load.md).
 MAX_WORKSPACES_TRIED = 4
 # For this many seconds after a ticket has expired, tickets of workspaces that have had their share
-# are refused at once. Tickets usually wait for less than this.
+# are refused at once. This is longer than tickets usually wait for a slot.
 OVERLOAD_SECONDS = 0.25
 
 
 class CellDispatcher:
-    """Orders the tickets of one cell fairly, and binds each to a replica when it has a free slot.
+    """The dispatcher of one cell: it orders tickets fairly, and assigns them to free replicas.
 
-    ``overflow`` is given if cells of other regions may take tickets. Every method takes ``now`` in
-    seconds of a monotonic clock, and none does I/O.
+    A ticket is assigned as late as possible, when a replica has a free slot. ``overflow`` is given
+    if cells of other regions may take tickets. Every method takes ``now`` in seconds of a monotonic
+    clock, and none does I/O.
     """
 
     def __init__(
@@ -61,7 +62,8 @@
         self._expired_at = -math.inf
         self._warmup_bound = WarmupBound()
         self._fleet_share = 1.0
-        # The start of each replica, where it is known: it identifies the process behind the name.
+        # When each replica started, if that is known. Another value under the same name is a
+        # restart.
         self._start_ids: dict[str, int] = {}
         # The number of calls of each workspace whose answers have not started.
         self._pending_answers: Counter[str] = Counter()
@@ -72,10 +74,10 @@
         leaving: Iterable[str] = (),
         start_ids: Mapping[str, int] | None = None,
     ) -> None:
-        """Use exactly the replicas in ``slots``; a number of slots of 0 is learnt.
+        """Set the replicas of the cell and their slots; 0 slots means that the limit is learnt.
 
-        ``leaving`` names those that are draining before they stop. ``lives`` maps replicas to the
-        time of their start, 0 or missing where it is not known.
+        ``leaving`` names those that are draining before they stop. ``start_ids`` maps replicas to
+        the time of their start, 0 or missing where it is not known.
         """
         for name in set(self.replicas) - set(slots):
             del self.replicas[name]
@@ -93,8 +95,8 @@
         self._start_ids[name] = start_id or previous
         if not start_id or not previous or start_id == previous:
             return
-        # The replica was restarted under its name. It is empty: its record is created again, and
-        # the calls that ran there belong to no replica any more.
+        # The replica was restarted under its name. It is empty: its state is created again, and the
+        # calls that ran there belong to no replica any more.
         self.replicas.pop(name, None)
         for flight in self.flights.values():
             if flight.replica == name:
@@ -170,10 +172,10 @@
         return decisions + self.pump(now)
 
     def put(self, ticket: Ticket, now: float) -> list[Decision]:
-        """Add a ticket without granting any that wait; an urgent one is decided at once.
+        """Add a ticket without granting any waiting ones; an urgent one is decided at once.
 
-        If the workspace of the ticket has had its share of an overloaded cell, the ticket is moved
-        to another cell or refused. A retry of a refused request gets more time to wait.
+        If the cell is overloaded and the workspace of the ticket has had its share, the ticket is
+        moved to another cell or refused. The retry of a refused request may wait for longer.
         """
         flight = self.flights.get(ticket.key)
         if flight is not None and flight.attempt >= ticket.attempt:
@@ -240,7 +242,7 @@
         return self.versions.open_rooms(self.replicas.values(), now)
 
     def _prefill_rate(self, now: float) -> float:
-        """Return the prompt tokens per second that the replicas prefill which will serve retries.
+        """Return the prefill rate of the replicas that will serve retries, in tokens per second.
 
         Cold replicas sustain too few calls to be counted beside warm ones.
         """
@@ -491,6 +493,6 @@
 
 
 def _as_retry(ticket: Ticket) -> Ticket:
-    """Return the ticket of a retry, with its place in the queue and its longer maximum wait."""
+    """Return ``ticket`` marked as the retry of a refused request, with a longer maximum wait."""
     max_wait = min(RETRY_WAIT_OBJECTIVES * ticket.objective, ticket.returns_within)
     return replace(ticket, returned=True, patience=max(ticket.patience, max_wait))
--- a/railsail/scheduling/estimates.py
+++ b/railsail/scheduling/estimates.py
@@ -30,7 +30,7 @@
 
 
 class ChargeMeter:
-    """Decide when a running request has to be charged more.
+    """The charge of a running request, which grows in steps with its cost.
 
     The charge is kept ahead of the cost by at most one step. So a dispatcher never counts less than
     was served, and receives messages only about requests that exceed their estimate.
--- a/railsail/scheduling/exposure.py
+++ b/railsail/scheduling/exposure.py
@@ -93,7 +93,11 @@
         return not self._allowance.replicas or replica in self._allowance.replicas
 
     def is_canary_due(self, now: float) -> bool:
-        """Return True if the next call should be a canary call."""
+        """Return True if the next call should be a canary call.
+
+        A group of calls is due as soon as the calls earned since the last one are enough for all of
+        it.
+        """
         if self.stage(now) is not Stage.CANARY:
             return False
         self._refill_credit(now)
--- a/railsail/scheduling/health.py
+++ b/railsail/scheduling/health.py
@@ -1,9 +1,10 @@
-"""When a replica that fails calls is ejected, which means that it is given none for a while.
+"""When a replica is ejected, so that it is given no calls for a while.
 
-A replica that cannot be reached is ejected whatever the others do, for a time that doubles; then a
-single call probes it. A replica that answers with errors is ejected only while its error rate is
-higher than that of the other replicas of its cell, and only while at least half of them stay in
-service: if all of them fail some of their calls, ejecting them removes capacity that still works.
+A replica is ejected after two failed calls in a row. The time doubles with each ejection; at its
+end a single call probes the replica. If the calls failed because the replica could not be reached,
+this holds without further conditions. If it answered with errors, its error rate must also be
+higher than that of the other replicas of its cell, and at least half of them must stay in service:
+if all of them fail some of their calls, ejecting them removes capacity that still works.
 """
 
 import enum
@@ -88,7 +89,7 @@
 
     @property
     def tripped(self) -> bool:
-        """Return True if the replica was ejected and no call has succeeded since."""
+        """Return True if the replica was ejected and has not started a good answer since."""
         return self._tripped
 
     @property
--- a/railsail/scheduling/newversions.py
+++ b/railsail/scheduling/newversions.py
@@ -28,8 +28,9 @@
     def observe(self, pool: str, ages: Mapping[str, float], now: float) -> None:
         """Record the versions that run in ``pool``, and the age of each in seconds.
 
-        The versions of the first call are not held, because a starting process learns of the orders
-        before it dispatches. Neither is a version whose replicas have run for a while.
+        Versions that the first call for a pool names are not held, because a starting process
+        learns of the orders before it dispatches. Neither is a version whose replicas have run for
+        a while.
         """
         known = self._held_until.setdefault(pool, {})
         is_first = not known
--- a/railsail/scheduling/overflow.py
+++ b/railsail/scheduling/overflow.py
@@ -15,8 +15,8 @@
 from railsail.scheduling.fairqueue import FairQueue
 from railsail.scheduling.tickets import Ticket
 
-# Round trip between two regions, which a ticket spends when it is decided in another region than
-# its entry's: links between the regions of one fleet take 5 to 25 ms one way.
+# Round trip to another region, which a ticket needs if it is decided there. The links between the
+# regions of a fleet take 5 to 25 ms one way.
 WAY_SECONDS = 0.04
 # A cell counts as overloaded for this many seconds after the last sign of it.
 OVERLOAD_LINGER_SECONDS = 0.5
@@ -79,7 +79,7 @@
     ) -> tuple[Cell, int] | None:
         """Return which cell to request how many tickets from, ``None`` for no request.
 
-        ``spare`` is how many calls the cell's replicas could start at once.
+        ``spare_slots`` is how many calls the cell's replicas could start at once.
         """
         overloaded = self._overloaded_cells(now)
         number = min(spare_slots - waiting, MAX_REQUESTED_TICKETS)
--- a/railsail/scheduling/retries.py
+++ b/railsail/scheduling/retries.py
@@ -5,7 +5,7 @@
 
 
 class RetryBudget:
-    """Allow one retry for every ten requests, and at most ten at once."""
+    """A budget of one retry for every ten requests, and of ten retries at once."""
 
     def __init__(self) -> None:
         self._tokens = MAX_TOKENS
--- a/railsail/scheduling/retryschedule.py
+++ b/railsail/scheduling/retryschedule.py
@@ -1,10 +1,9 @@
 """When the callers of refused requests should retry.
 
 Callers that are refused together must not retry together, or they are refused again. The dispatcher
-of a cell therefore records the prompt tokens of the retries that it has asked for, by time, and
-gives each caller the earliest time at which the replicas have prefill capacity to spare. If they
-have none within the time that the caller would wait, the caller gets the time with the fewest
-tokens.
+of a cell therefore plans the retries by the prompt tokens that they bring, in steps of time. Each
+caller gets the earliest step in which the replicas have prefill capacity to spare, or the step with
+the fewest tokens if there is none before the caller would give up.
 """
 
 import math
@@ -21,13 +20,13 @@
 RETRY_SHARE = 0.1
 # An overload has ended when no caller was refused for this many seconds.
 OVERLOAD_PAUSE_SECONDS = 1.0
-# However long an overload has lasted, the minimum delay that follows from it is at most this part
-# of the time within which the caller would retry.
+# An overload is expected to last as long again as it has lasted. The delay that follows from this
+# is at most this part of the time within which the caller would retry.
 MAX_EXTRAPOLATED_SHARE = 0.5
 
 
 class RetrySchedule:
-    """The retries that callers of one cell were asked for, in prompt tokens by step of time."""
+    """The retries that the callers of one cell were asked for, in prompt tokens per step."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
@@ -38,10 +37,7 @@
         self._overloaded_since = 0.0
 
     def _min_delay(self, within: float, now: float) -> float:
-        """Return the minimum time before the retry, in seconds.
-
-        An overload that has lasted for a while is expected to last as long again.
-        """
+        """Return the minimum delay before the retry, in seconds, and record the refusal."""
         if now - self._last_refused_at > OVERLOAD_PAUSE_SECONDS:
             self._overloaded_since = now
         self._last_refused_at = now
@@ -49,10 +45,11 @@
         return min(max(MIN_RETRY_SECONDS, lasted), within)
 
     def schedule(self, tokens: int, within: float, rate: float, now: float) -> float:
-        """Return after how many seconds a caller with a prompt of ``tokens`` should retry.
+        """Plan a retry, and return after how many seconds its caller should make it.
 
-        The caller would retry ``within`` this many seconds or not at all. The replicas prefill
-        ``rate`` tokens a second. ``now`` is in seconds of the dispatcher's clock.
+        ``tokens`` is the length of its prompt. The caller would retry ``within`` this many seconds
+        or not at all. The replicas prefill ``rate`` tokens a second. ``now`` is in seconds of the
+        dispatcher's clock.
         """
         self._advance(now)
         step_count = max(1, int(within / STEP_SECONDS))
--- a/railsail/scheduling/returning.py
+++ b/railsail/scheduling/returning.py
@@ -1,14 +1,14 @@
 """A dispatcher's record of the requests that it refused, by which it recognizes retries.
 
-In an overload most requests are refused once. The retry of a refused request is late from its first
-attempt on, so that nothing is lost by serving it after those that can still be in time. But its
-caller will hardly retry again, so that it may wait for longer than they do.
-
-A dispatcher can't recognize retries by the deadline that the caller states. In a load test of 62
-nodes whose callers had different deadlines, this took nine of ten first attempts for retries and
-let all of them wait, so that 99 of 100 refusals came 0.6 s late. A retry has the fingerprint of its
-first attempt, and it arrives at the time that the refusal named, so that a refusal is remembered
-until shortly after that time.
+In an overload most requests are refused once. The retry of a refused request has missed its
+objective already, so that nothing is lost by serving it after the requests that can still meet
+theirs. But its caller will hardly retry again, so that it may wait for longer than they do.
+
+A retry has the fingerprint of its first attempt, and it arrives at the time that the refusal named,
+so that a refusal is remembered until shortly after that time. The deadline that a caller states is
+no sign of a retry: in a load test of 62 nodes, whose callers had different deadlines, nine of ten
+first attempts were taken for retries. All of them waited for longer, and 99 of 100 refusals came
+0.6 s late.
 """
 
 from collections import Counter, deque
--- a/railsail/scheduling/room.py
+++ b/railsail/scheduling/room.py
@@ -21,8 +21,8 @@
 SLOTS_PER_QUEUED_CALL = 24
 # In an overload, one of this many slots is reserved for workspaces below their share, whose
 # requests are rare and can wait only for a moment. Without the reserve, a workspace that requested
-# a third of a cell was served an eighth of its requests beside one that overloaded the cell, with
-# it over 95% (simulated cell of 48 slots).
+# a third of a simulated cell of 48 slots was served an eighth of its requests beside one that
+# overloaded the cell; with the reserve it was served over 95%.
 SLOTS_PER_RESERVED_ONE = 12
 # The limit on calls of a replica that does not report its slots: its initial value, its maximum,
 # and its factor after a slow or failed call.
@@ -53,11 +53,11 @@
 # prompt whose long prefix is cached may as well, because it adds little to the pending prefill
 # here, and would add all of its tokens elsewhere.
 RAISED_PREFILL_SHARE = 0.6
-# Everything that passes before the answer starts may take this part of the objective.
+# All the time before the answer starts, waiting included, may take this part of the objective.
 ANSWER_SHARE = 0.8
 # In an overload, a workspace that has had its share may use only this part. That leaves the rest to
-# others and keeps a replica busy: it is 40 ms of the shortest objectives, and a round trip takes 10
-# ms.
+# others, and still keeps a replica busy: with the shortest objectives it is 40 ms, four times a
+# round trip of 10 ms.
 REDUCED_PREFILL_SHARE = 0.15
 # A prompt whose own prefill takes longer than this part of the objective would never find a replica
 # that can start its answer in time. It counts as this part only, so that it is answered, although
--- a/railsail/scheduling/selection.py
+++ b/railsail/scheduling/selection.py
@@ -24,14 +24,14 @@
 # loaded by at most this much.
 AFFINITY_SLACK = 0.25
 # For this part of its objective, a ticket with a long prefix waits for the owner of the prefix, and
-# goes to other replicas only if they are nearly idle.
+# goes to a replica without the prefix only if that is nearly idle.
 PREFIX_WAIT_SHARE = 1.0
-# A replica with less pending prefill than this, in seconds, is nearly idle. It may run a ticket
-# whose prefix it does not own.
+# A replica with less pending prefill than this, in seconds, is nearly idle. So that it does not
+# become idle, it may run tickets whose prefixes other replicas own.
 NEARLY_IDLE_SECONDS = 0.03
-# But for this part of its objective, a ticket waits if the owner of its prefix can accept it by
-# then. Without this wait 572 of 2,600 long prompts (22%) of a loaded cell went to a replica that
-# had to prefill them whole.
+# Even then, for this part of its objective a ticket waits for the owner of its prefix, if the owner
+# can accept it within that time. Without this wait, 572 of 2,600 long prompts (22%) of a loaded
+# cell went to a replica that had to prefill them whole.
 OWNER_WAIT_SHARE = 0.1
 # Prefixes whose owners are remembered; all of them are dropped when there are more.
 MAX_PREFIX_OWNERS = 65_536
@@ -82,7 +82,10 @@
 
 
 class ReplicaSelector:
-    """Chooses replicas; ``use_prefixes`` prefers those that have a prompt prefix cached."""
+    """The choice of a replica for each ticket.
+
+    If ``use_prefixes`` is True, replicas that have the prompt prefix cached are preferred.
+    """
 
     def __init__(self, rng: random.Random, use_prefixes: bool) -> None:
         self._rng = rng
--- a/railsail/scheduling/tickets.py
+++ b/railsail/scheduling/tickets.py
@@ -7,11 +7,12 @@
 SECONDS_PER_RANK = 30.0
 # The part of its objective that a request can spend waiting for a slot.
 WAIT_SHARE = 0.2
-# A retry of a refused request is ordered as if it had arrived this many seconds later, which is
-# longer than any other ticket of its workspace waits: it is served after all of them. A retry has
-# missed its objective already, while the others can still meet theirs, and a late answer is better
-# than another refusal. In a load test with 62 nodes, of 7,729 requests to an overloaded route 2,913
-# were answered in time where retries were served first, and 4,516 where they were served last.
+# A retry of a refused request is ordered as if it had arrived this many seconds later. That is
+# longer than any ticket waits, so that a retry is served after all other tickets of its workspace.
+# It has missed its objective already, while the others can still meet theirs, and a late answer is
+# better than another refusal. In a load test with 62 nodes, of 7,729 requests to an overloaded
+# route 2,913 were answered in time where retries were served first, and 4,516 where they were
+# served last.
 RETRY_DEFERRAL_SECONDS = 60.0
 
 TicketKey = tuple[str, int]
--- a/railsail/scheduling/usage.py
+++ b/railsail/scheduling/usage.py
@@ -5,8 +5,8 @@
 over any window. Its credit is the mean service, per weight, of the workspaces that were served in
 the window.
 
-While not all can be served, requests of a workspace that has had its max-min share of the window
-are refused first.
+While not all can be served, a workspace that has had its max-min share of the window gives way to
+the others.
 """
 
 import math
--- a/railsail/scheduling/versions.py
+++ b/railsail/scheduling/versions.py
@@ -18,7 +18,7 @@
 
 
 class VersionSelector:
-    """Chooses replicas like ``ReplicaSelector``, of a version that the ticket may run on.
+    """The choice of a replica for each ticket, among those of a version that it may run on.
 
     A rollout divides the replicas into two sides: those of the target version, and the others. Each
     side has its own ``ReplicaSelector``, which remembers the owners of prompt prefixes among one
@@ -121,7 +121,12 @@
         now: float,
         share_state: ShareState = ShareState.PENDING_PREFILL,
     ) -> ReplicaState | None:
-        """Return the replica that runs ``ticket`` now, or ``None`` if the ticket has to wait."""
+        """Return the replica that runs ``ticket`` now, or ``None`` if the ticket has to wait.
+
+        In a drain only the target version is used while any of its replicas serves. In a shift it
+        is used first, and in a canary stage for the canary calls that are due; otherwise the others
+        are used. A ticket that failed on the target version goes to the others, except in a drain.
+        """
         if self.exposure is None:
             return self._others.choose(ticket, available, now, share_state)
         target, others = self._split(available)
