--- a/tests/scheduling/test_exposure.py
+++ b/tests/scheduling/test_exposure.py
@@ -18,11 +18,11 @@
     def setUp(self):
         self.exposure = Exposure(ORDER)
 
-    def send(self, begin: float, end: float, step: float = 0.002) -> list[float]:
+    def send(self, start: float, end: float, step: float = 0.002) -> list[float]:
         """Send a call whenever one is due, and return the times of the calls."""
         times = []
-        for number in range(round((end - begin) / step)):
-            now = begin + number * step
+        for number in range(round((end - start) / step)):
+            now = start + number * step
             if self.exposure.is_canary_due(now):
                 self.exposure.record_call(now)
                 times.append(now)
--- a/tests/scheduling/test_fairqueue.py
+++ b/tests/scheduling/test_fairqueue.py
@@ -33,7 +33,7 @@
         self.running: dict[int, tuple[str, float]] = {}
         self.number = 0
         self.now = 0.0
-        self.most_running = 0
+        self.max_running = 0
 
     def fill(self, depth: int = 10) -> None:
         for name in self.weights:
@@ -48,7 +48,7 @@
         for grant in decisions:
             cost = self.rng.uniform(0.0, LARGEST)
             self.running[grant.ticket.number] = (grant.ticket.workspace, cost)
-        self.most_running = max(self.most_running, len(self.running))
+        self.max_running = max(self.max_running, len(self.running))
 
     def step(self) -> None:
         self.now += 1.0
@@ -67,8 +67,8 @@
         return max(shares) - min(shares)
 
     def bound(self) -> float:
-        lightest = min(self.weights.values())
-        return 2 * (LARGEST + self.most_running * LARGEST) / lightest
+        min_weight = min(self.weights.values())
+        return 2 * (LARGEST + self.max_running * LARGEST) / min_weight
 
 
 class BoundTests(unittest.TestCase):
--- a/tests/scheduling/test_speeds.py
+++ b/tests/scheduling/test_speeds.py
@@ -32,7 +32,7 @@
         self._answers: list[tuple[float, TicketKey]] = []
 
     def run(self, seconds: float, interval: float) -> None:
-        """Offer a ticket ``every`` this many seconds."""
+        """Offer a ticket every ``interval`` seconds."""
         steps = round(seconds / STEP_SECONDS)
         number, due = 0, 0.0
         for step in range(steps):
--- a/tests/scheduling/test_standing.py
+++ b/tests/scheduling/test_standing.py
@@ -1,14 +1,14 @@
 """A workspace that requests less than its share is served beside one that requests far more.
 
 Guards against refusals of the smaller workspace. In one case it requested 0.5 million tokens a
-second over six seconds and was served 0.23, beside a workspace that requested several times as much
-and was served 1.29; in another 114 of its 350 requests were refused after their maximum wait, and
-77 as excess.
-
-All slots of the cell were in use (173 to 192 of 180, with an overlap of 15), and one became free
-every 15 ms or so. A request waits for a slot for a fifth of its objective, 50 to 80 ms. The fair
-queue decides only among waiting tickets. The larger workspace had dozens of them at any moment,
-while the smaller one seldom had a waiting ticket when a slot became free.
+second over six seconds and was served 0.23 million, beside a workspace that requested several times
+as much and was served 1.29 million. In another, 114 of its 350 requests were refused after their
+maximum wait, and 77 as excess.
+
+All slots of the cell were in use: 173 to 192 calls in flight, with 180 slots and 15 more calls that
+may be queued. A slot became free every 15 ms or so, and a request waits for one for a fifth of its
+objective, 50 to 80 ms. The fair queue decides only among waiting tickets. The larger workspace had
+dozens of them at any moment, while the smaller one seldom had one when a slot became free.
 """
 
 import random
@@ -19,7 +19,7 @@
 from tests.scheduling.test_fairqueue import ticket
 
 STEP_SECONDS = 0.005
-# Each call uses its slot for this time, and its answer starts after the second one.
+# How long a call uses its slot, and when its answer starts.
 CALL_SECONDS = 2.0
 ANSWER_SECONDS = 0.05
 REPLICAS = 4
--- a/tests/scheduling/test_versions.py
+++ b/tests/scheduling/test_versions.py
@@ -60,13 +60,13 @@
         """End the newest call."""
         self.dispatcher.release(("e", self.number), 10.0, now, result)
 
-    def serve(self, count: int, begin: float, gap: float = 0.01, **fields) -> Counter:
+    def serve(self, count: int, start: float, gap: float = 0.01, **fields) -> Counter:
         """Offer ``count`` tickets that end at once; count the calls of each version."""
         served: Counter[str] = Counter()
         for step in range(count):
-            replica = self.offer(begin + step * gap, **fields)
+            replica = self.offer(start + step * gap, **fields)
             served[VERSIONS.get(replica, "none")] += 1
-            self.end(begin + step * gap)
+            self.end(start + step * gap)
         return served
 
 
@@ -90,14 +90,14 @@
 
     def test_canary_calls_run_together(self):
         self.allow(Stage.CANARY, 20)
-        most = 0
+        max_in_flight = 0
         for step in range(100):
             self.offer(step * 0.004)
             state = self.dispatcher.replicas["new0"]
-            most = max(most, state.in_flight)
+            max_in_flight = max(max_in_flight, state.in_flight)
             # Each call takes four steps.
             self.dispatcher.release(("e", self.number - 3), 10.0, step * 0.004, CallResult.GOOD)
-        self.assertGreaterEqual(most, 2)
+        self.assertGreaterEqual(max_in_flight, 2)
 
     def test_calls_of_a_group_go_to_a_single_canary(self):
         allowance = Allowance(1, 1, Stage.CANARY, 8, 100.0, frozenset(NEW))
@@ -189,11 +189,11 @@
 
 
 class PrefixOwnerTests(RolloutTestCase):
-    def owners(self, begin: float) -> dict[int, str]:
+    def owners(self, start: float) -> dict[int, str]:
         """Return the replica that a prompt with each of some long prefixes goes to."""
         found = {}
         for prefix in range(1, 40):
-            now = begin + prefix
+            now = start + prefix
             fields = {"prefix": prefix, "objective": 1.0, "returned": True}
             tokens = {"prompt_tokens": 2 * LONG_PREFIX_TOKENS, "shared_tokens": LONG_PREFIX_TOKENS}
             found[prefix] = self.offer(now, **fields, **tokens)
@@ -259,9 +259,9 @@
         failed = 0
         for step in range(400):
             replica = self.offer(step * 0.01)
-            bad = VERSIONS.get(replica) == "v2"
-            failed += bad
-            self.end(step * 0.01, CallResult.ERROR if bad else CallResult.GOOD)
+            failing = VERSIONS.get(replica) == "v2"
+            failed += failing
+            self.end(step * 0.01, CallResult.ERROR if failing else CallResult.GOOD)
         self.assertGreater(failed, 30)
         self.assertFalse(self.dispatcher.replicas["new0"].health.tripped)
 
@@ -283,8 +283,8 @@
         self.allow(Stage.CANARY, 100)
         for step in range(100):
             replica = self.offer(step * 0.01)
-            bad = replica == "new0"
-            self.end(step * 0.01, CallResult.UNREACHABLE if bad else CallResult.GOOD)
+            failing = replica == "new0"
+            self.end(step * 0.01, CallResult.UNREACHABLE if failing else CallResult.GOOD)
         self.assertTrue(self.dispatcher.replicas["new0"].health.tripped)
 
 
--- a/tests/scheduling/test_warmup.py
+++ b/tests/scheduling/test_warmup.py
@@ -67,8 +67,8 @@
             dict.fromkeys(self.names, 32), start_ids=dict.fromkeys(self.names, 1)
         )
 
-    def overload(self, begin: float, end: float, per_second: int = 600) -> None:
-        now = begin
+    def overload(self, start: float, end: float, per_second: int = 600) -> None:
+        now = start
         while now < end:
             self.number += 1
             ticket = Ticket("e", self.number, 1, "one", 0.0, 100.0, now, patience=0.05)
