--- a/railsail/scheduling/balance.py
+++ b/railsail/scheduling/balance.py
@@ -27,6 +27,8 @@
 
     def __init__(self, weight_of: Callable[[str], float]) -> None:
         self._weight_of = weight_of
+        # How far each workspace is behind the mean, and the mean service per second, both in cost
+        # units per weight.
         self._deficits: dict[str, float] = {}
         self._rate = 0.0
 
--- a/railsail/scheduling/dispatcher.py
+++ b/railsail/scheduling/dispatcher.py
@@ -435,7 +435,7 @@
 
     def _grant(self, ticket: Ticket, state: ReplicaState, now: float) -> Grant:
         # A call without a prompt counts as one token, because its answer has yet to start.
-        pending_tokens = max(1, state.prefill_tokens(ticket))
+        pending_tokens = max(1, state.uncached_tokens(ticket))
         state.record_prefix(ticket)
         flight = Flight(
             ticket.attempt,
--- a/railsail/scheduling/exposure.py
+++ b/railsail/scheduling/exposure.py
@@ -47,6 +47,7 @@
         self.exposed = 0
         self._allowance = _NO_ALLOWANCE
         self._rate = 0.0
+        # The canary calls that may be sent now; ``_rate`` is added per second, up to a group.
         self._credit = float(GROUP_CALLS)
         self._credited_at = -math.inf
         self._in_group = False
--- a/railsail/scheduling/overflow.py
+++ b/railsail/scheduling/overflow.py
@@ -52,6 +52,7 @@
         self._reported_at = -math.inf
         self._overloaded_at = -math.inf
         self._requested_at = -math.inf
+        # How many waiting tickets each other cell has reported, and when the report was received.
         self._waiting: dict[Cell, int] = {}
         self._received_at: dict[Cell, float] = {}
         self._offers: dict[Cell, _Offer] = {}
--- a/railsail/scheduling/retries.py
+++ b/railsail/scheduling/retries.py
@@ -1,6 +1,6 @@
 """A budget that keeps retries from multiplying the load of a fleet that fails."""
 
-RATIO = 0.1
+TOKENS_PER_REQUEST = 0.1
 MAX_TOKENS = 10.0
 
 
@@ -12,7 +12,7 @@
 
     def request(self) -> None:
         """Record the first attempt of a request."""
-        self._tokens = min(MAX_TOKENS, self._tokens + RATIO)
+        self._tokens = min(MAX_TOKENS, self._tokens + TOKENS_PER_REQUEST)
 
     def allow(self) -> bool:
         """Return True if a retry may be made, and take it out of the budget."""
--- a/railsail/scheduling/room.py
+++ b/railsail/scheduling/room.py
@@ -23,7 +23,7 @@
 # requests are rare and can wait only for a moment. Without the reserve, a workspace that requested
 # a third of a simulated cell of 48 slots was served an eighth of its requests beside one that
 # overloaded the cell; with the reserve it was served over 95%.
-SLOTS_PER_RESERVED_ONE = 12
+SLOTS_PER_RESERVED_SLOT = 12
 # The limit on calls of a replica that does not report its slots: its initial value, its maximum,
 # and its factor after a slow or failed call.
 INITIAL_LIMIT = 4.0
@@ -41,7 +41,7 @@
 INITIAL_PREFILL_RATE = 120_000.0
 MIN_PREFILL_RATE = 10_000.0
 # The part of the earlier prefill observations that is kept at each new answer.
-PREFILL_MEMORY = 0.98
+PREFILL_DECAY = 0.98
 # The base latency is the shortest time to the start of an answer. It grows by this factor with each
 # answer, so that it follows a replica that becomes slower.
 BASE_LATENCY_GROWTH = 1.002
@@ -117,12 +117,14 @@
         self.health = ReplicaHealth()
         self.warmup = Warmup()
         self._mean_duration = 0.0
+        # Numbers of own calls in flight, each with the time when it was recorded.
         self._recent_in_flight: deque[tuple[float, int]] = deque()
         self._pending: dict[TicketKey, PendingPrefill] = {}
         self._pending_tokens = 0
         self._base_latency = 0.0
-        self._prefill_tokens = INITIAL_PREFILL_RATE
-        self._prefill_seconds = 1.0
+        # Decaying sums of the tokens that were prefilled and of the time that this took.
+        self._observed_tokens = INITIAL_PREFILL_RATE
+        self._observed_seconds = 1.0
         self._last_answer_at = 0.0
         self._prefixes: OrderedDict[int, None] = OrderedDict()
 
@@ -137,7 +139,7 @@
 
     def reserved_slots(self) -> int:
         """Return the slots reserved in an overload for workspaces below their share."""
-        return int(self.limit) // SLOTS_PER_RESERVED_ONE
+        return int(self.limit) // SLOTS_PER_RESERVED_SLOT
 
     def serves(self, now: float) -> bool:
         """Return True if the replica may be given calls at all."""
@@ -169,9 +171,9 @@
     @property
     def prefill_rate(self) -> float:
         """Return the prompt tokens that the replica prefills per second."""
-        return max(MIN_PREFILL_RATE, self._prefill_tokens / self._prefill_seconds)
+        return max(MIN_PREFILL_RATE, self._observed_tokens / self._observed_seconds)
 
-    def prefill_tokens(self, ticket: Ticket) -> int:
+    def uncached_tokens(self, ticket: Ticket) -> int:
         """Return the tokens of a prompt that the replica probably does not have cached."""
         if ticket.prefix and ticket.prefix in self._prefixes:
             return max(1, ticket.prompt_tokens - ticket.shared_tokens)
@@ -190,7 +192,7 @@
             return True
         share = share or self._default_share(ticket)
         own_seconds = min(
-            self.prefill_tokens(ticket) / self.prefill_rate,
+            self.uncached_tokens(ticket) / self.prefill_rate,
             MAX_OWN_PREFILL_SHARE * ticket.objective,
         )
         total_seconds = max(0.0, self.unread_seconds - after) + own_seconds
@@ -235,9 +237,9 @@
         seconds = now - pending.since
         base_latency = self._base_latency * BASE_LATENCY_GROWTH
         self._base_latency = min(seconds, base_latency) if base_latency else seconds
-        self._prefill_tokens = self._prefill_tokens * PREFILL_MEMORY + pending.total_tokens
-        self._prefill_seconds *= PREFILL_MEMORY
-        self._prefill_seconds += max(0.0, seconds - self._base_latency)
+        self._observed_tokens = self._observed_tokens * PREFILL_DECAY + pending.total_tokens
+        self._observed_seconds *= PREFILL_DECAY
+        self._observed_seconds += max(0.0, seconds - self._base_latency)
 
     def drop_pending(self, key: TicketKey) -> None:
         """Record that no answer to a call is expected any more."""
--- a/railsail/scheduling/selection.py
+++ b/railsail/scheduling/selection.py
@@ -109,12 +109,12 @@
         if not candidates:
             return None
         if not self._use_prefixes or not ticket.prefix:
-            return self._least_loaded(candidates)
+            return self._choose_least_loaded(candidates)
         if ticket.shared_tokens < LONG_PREFIX_TOKENS:
-            return self._by_affinity(ticket, candidates)
+            return self._choose_by_affinity(ticket, candidates)
         owner = self._prefix_owner(ticket, available, now)
-        found = self._with_prefix(ticket, candidates, owner)
-        return found or self._without_prefix(ticket, candidates, owner, now)
+        found = self._choose_with_prefix(ticket, candidates, owner)
+        return found or self._choose_without_prefix(ticket, candidates, owner, now)
 
     def _candidates(
         self, ticket: Ticket, available: AvailableReplicas, now: float, share_state: ShareState
@@ -129,17 +129,17 @@
         others = [state for state in free if state.name != ticket.avoid]
         return others or free
 
-    def _least_loaded(self, candidates: list[ReplicaState]) -> ReplicaState:
+    def _choose_least_loaded(self, candidates: list[ReplicaState]) -> ReplicaState:
         lowest = min(state.utilization() for state in candidates)
         return self._rng.choice([state for state in candidates if state.utilization() == lowest])
 
-    def _by_affinity(self, ticket: Ticket, candidates: list[ReplicaState]) -> ReplicaState:
+    def _choose_by_affinity(self, ticket: Ticket, candidates: list[ReplicaState]) -> ReplicaState:
         limit = min(state.utilization() for state in candidates) + AFFINITY_SLACK
         near = [state for state in candidates if state.utilization() <= limit]
         near = [state for state in near if state.has_prefix(ticket.prefix)] or near
         return _highest_score(ticket, near)
 
-    def _with_prefix(
+    def _choose_with_prefix(
         self, ticket: Ticket, candidates: list[ReplicaState], owner: ReplicaState | None
     ) -> ReplicaState | None:
         """Return the owner of a long prefix, or a candidate that has the prefix cached."""
@@ -148,7 +148,7 @@
         holders = [state for state in candidates if state.has_prefix(ticket.prefix)]
         return _highest_score(ticket, holders) if holders else None
 
-    def _without_prefix(
+    def _choose_without_prefix(
         self,
         ticket: Ticket,
         candidates: list[ReplicaState],
@@ -168,7 +168,7 @@
             candidates = [
                 state for state in candidates if state.unread_seconds < NEARLY_IDLE_SECONDS
             ]
-        return self._least_loaded(candidates) if candidates else None
+        return self._choose_least_loaded(candidates) if candidates else None
 
     def _prefix_owner(
         self, ticket: Ticket, available: AvailableReplicas, now: float
--- a/railsail/scheduling/totals.py
+++ b/railsail/scheduling/totals.py
@@ -33,15 +33,18 @@
     """The sums of one pool at one node."""
 
     def __init__(self) -> None:
+        # All service of this node's cells, and of the nodes below it.
         self._subtree: Sums = {}
         self._children: dict[str, _Child] = {}
         self._parent: str | None = None
         self._epoch = 0
+        # ``_subtree`` at the start of the epoch; only what was added since is sent to the parent.
         self._base: Sums = {}
         self._sent_to_parent: Sums = {}
         self._root: tuple[str, int] | None = None
         self._fleet_sums: Sums = {}
         self._sent_to_children: Sums = {}
+        # The sums of the pool at the last call of ``fleet_gains``.
         self._counted: Sums = {}
 
     @property
@@ -105,7 +108,7 @@
         return _changed(self._fleet_sums, self._sent_to_children)
 
     def forget_told(self) -> None:
-        """Send all sums to the children again, because there are new ones."""
+        """Make ``news_for_children`` return all sums again, because there are new children."""
         self._sent_to_children = {}
 
     def fleet_gains(self) -> Sums:
--- a/tests/scheduling/test_room.py
+++ b/tests/scheduling/test_room.py
@@ -59,9 +59,9 @@
 
     def test_cached_prefix_is_not_prefilled_again(self):
         shared = ticket(tokens=10_000, prefix=7, shared_tokens=9_000)
-        self.assertEqual(self.state.prefill_tokens(shared), 10_000)
+        self.assertEqual(self.state.uncached_tokens(shared), 10_000)
         self.state.record_prefix(shared)
-        self.assertEqual(self.state.prefill_tokens(shared), 1_000)
+        self.assertEqual(self.state.uncached_tokens(shared), 1_000)
 
     def test_silent_replica_is_given_no_calls_until_it_answers(self):
         keys: list[TicketKey] = [("e", 1), ("e", 2)]
