--- a/railsail/scheduling/dispatcher.py
+++ b/railsail/scheduling/dispatcher.py
@@ -164,7 +164,7 @@
         flight.begun_at = flight.begun_at or now
         state = self.replicas.get(flight.replica)
         if state is not None:
-            state.answered(key, now)
+            state.answer_started(key, now)
 
     def offer(self, ticket: Ticket, now: float) -> list[Decision]:
         """Add a ticket, and return all decisions that can be made now."""
--- a/railsail/scheduling/room.py
+++ b/railsail/scheduling/room.py
@@ -223,7 +223,7 @@
         self._pending_tokens += tokens
         self._pending[key] = PendingPrefill(tokens, self._pending_tokens, now)
 
-    def answered(self, key: TicketKey, now: float) -> None:
+    def answer_started(self, key: TicketKey, now: float) -> None:
         """Record the start of a good answer, which shows that its prompt was prefilled."""
         if self.health.was_unreachable:
             # It may be a new process under the old name that the platform has not reported yet.
--- a/tests/scheduling/test_room.py
+++ b/tests/scheduling/test_room.py
@@ -23,7 +23,7 @@
         for number in range(600):
             tokens = 100 if number % 2 else 10_000
             self.state.record_pending(("e", number), tokens, float(number))
-            self.state.answered(("e", number), number + 0.03 + tokens / 100_000)
+            self.state.answer_started(("e", number), number + 0.03 + tokens / 100_000)
 
     def test_prefill_rate_is_learnt_without_the_base_latency(self):
         self.learn()
@@ -69,7 +69,7 @@
             self.state.record_pending(key, 100, 0.0)
         self.assertGreater(self.state.room(0.7), 0)
         self.assertEqual(self.state.room(0.9), 0)
-        self.state.answered(keys[0], 1.0)
+        self.state.answer_started(keys[0], 1.0)
         self.assertGreater(self.state.room(1.5), 0)
         self.assertEqual(self.state.room(1.9), 0)
 
--- a/tests/scheduling/test_warmup.py
+++ b/tests/scheduling/test_warmup.py
@@ -126,7 +126,7 @@
         for _ in range(2):
             state.call_failed(0.0, CallResult.UNREACHABLE, GroupHealth())
         state.call_started(1.0)
-        state.answered(("e", 1), 1.0)
+        state.answer_started(("e", 1), 1.0)
         self.assertTrue(state.warmup.is_cold(1.1))
         self.assertFalse(state.warmup.is_cold(1.0 + BOUND.seconds))
 
@@ -134,7 +134,7 @@
         state = self.dispatcher.replicas["r0"]
         for _ in range(2):
             state.call_failed(0.0, CallResult.ERROR, GroupHealth())
-        state.answered(("e", 1), 1.0)
+        state.answer_started(("e", 1), 1.0)
         self.assertFalse(state.warmup.is_cold(1.1))
 
 
