--- a/benchmarks/regions.py
+++ b/benchmarks/regions.py
@@ -20,13 +20,13 @@
 import fire
 
 from railsail.membership.placement import choose
-from railsail.scheduling.cells import Cell, cut, cut_by_region
+from railsail.scheduling.cells import Cell, cut_by_region, split_pool
 from railsail.scheduling.decisions import Decision, Grant, Move
 from railsail.scheduling.dispatcher import CellDispatcher
 from railsail.scheduling.health import CallResult
 from railsail.scheduling.overflow import WAY_SECONDS, Overflow
-from railsail.scheduling.placing import Openings, Placing, ShareState
-from railsail.scheduling.room import LONG_PREFIX_TOKENS, ReplicaRoom
+from railsail.scheduling.room import LONG_PREFIX_TOKENS, ReplicaState
+from railsail.scheduling.selection import AvailableReplicas, ReplicaSelector, ShareState
 from railsail.scheduling.tickets import WAIT_SHARE, Ticket
 
 REGIONS = ("costa", "oriente", "sierra")
@@ -107,20 +107,20 @@
     flood: float
 
 
-class NearFirst(Placing):
-    """Choose a replica in the region of the ticket's entry, another one where none has room."""
+class NearFirst(ReplicaSelector):
+    """Choose a replica in the region of the ticket's entry, or another one if none is free."""
 
     def choose(
         self,
         ticket: Ticket,
-        openings: Openings,
+        available: AvailableReplicas,
         now: float,
-        standing: ShareState = ShareState.EVEN,
-    ) -> ReplicaRoom | None:
-        """Return the replica that ``ticket`` is bound to, as ``Placing`` does."""
+        share_state: ShareState = ShareState.PENDING_PREFILL,
+    ) -> ReplicaState | None:
+        """Return the replica that ``ticket`` is bound to, as ``ReplicaSelector`` does."""
         near = dataclasses.replace(ticket, regions=(ticket.entry,))
-        found = super().choose(near, openings, now, standing)
-        return found or super().choose(ticket, openings, now, standing)
+        found = super().choose(near, available, now, share_state)
+        return found or super().choose(ticket, available, now, share_state)
 
 
 @dataclass
@@ -173,7 +173,7 @@
         self.cells = (
             cut_by_region("model", regions, 64, REGIONS)
             if way.by_region
-            else cut("model", list(regions), 64)
+            else split_pool("model", list(regions), 64)
         )
         self.dispatchers = {cell: self._dispatcher(names) for cell, names in self.cells.items()}
         self._looking: set[Cell] = set()
--- a/railsail/scheduling/dispatcher.py
+++ b/railsail/scheduling/dispatcher.py
@@ -12,30 +12,32 @@
 from railsail.scheduling.cells import Cell
 from railsail.scheduling.decisions import Decision, Flight, Grant, Hold, Move, Refusal
 from railsail.scheduling.fairqueue import CATCH_UP_CHARGES, FairQueue
-from railsail.scheduling.health import CallResult, Peers
+from railsail.scheduling.health import CallResult, GroupHealth
 from railsail.scheduling.overflow import Overflow
-from railsail.scheduling.placing import HUNGRY_SECONDS, ShareState
-from railsail.scheduling.returning import RETURN_WAIT_OBJECTIVES, RefusedCallers
-from railsail.scheduling.returns import ReturnPlan
-from railsail.scheduling.room import LoadReport, ReplicaRoom
+from railsail.scheduling.retryschedule import RetrySchedule
+from railsail.scheduling.returning import RETRY_WAIT_OBJECTIVES, RefusedCallers
+from railsail.scheduling.room import LoadReport, ReplicaState
+from railsail.scheduling.selection import NEARLY_IDLE_SECONDS, ShareState
 from railsail.scheduling.tickets import Ticket, TicketKey
 from railsail.scheduling.usage import RecentUsage, Share
-from railsail.scheduling.versions import VersionPlacing
+from railsail.scheduling.versions import VersionSelector
 from railsail.scheduling.warmup import WarmupBound
 
-# So many workspaces are looked at for a ticket that can be granted now. To look at more, or at more
-# tickets of each, let more in and fewer of them in time (docs/topics/decisions-under-load.md).
-MOST_HEADS = 4
-# For so many seconds after a ticket has expired, those of workspaces that had their share are
-# refused at once: a quarter of a second is longer than the usual waits for a place.
+# Only the first tickets of this many workspaces are tried for a grant. Trying more workspaces, or
+# more tickets of each, granted more requests and answered fewer of them in time
+# (docs/topics/decisions-under-load.md).
+MAX_WORKSPACES_TRIED = 4
+# For this many seconds after a ticket has expired, tickets of workspaces that have had their share
+# are refused at once. This is longer than tickets usually wait for a slot.
 OVERLOAD_SECONDS = 0.25
 
 
 class CellDispatcher:
-    """Order the tickets of one cell fairly, and bind each late to a replica with room.
+    """The dispatcher of one cell: it orders tickets fairly, and assigns them to free replicas.
 
-    ``overflow`` is given where cells of other regions may take tickets. Every method takes ``now``
-    in seconds of a monotonic clock and does no input or output.
+    A ticket is assigned as late as possible, when a replica has a free slot. ``overflow`` is given
+    if cells of other regions may take tickets. Every method takes ``now`` in seconds of a monotonic
+    clock, and none does I/O.
     """
 
     def __init__(
@@ -47,52 +49,54 @@
         overflow: Overflow | None = None,
     ) -> None:
         self.queue = FairQueue(weight_of)
-        self.replicas: dict[str, ReplicaRoom] = {}
+        self.replicas: dict[str, ReplicaState] = {}
         self.flights: dict[TicketKey, Flight] = {}
         self.served: dict[str, float] = {}
         self.overflow = overflow
-        self.versions = VersionPlacing(rng, use_prefixes)
-        # What became of calls since the order that runs was given, ``None`` while none does.
+        self.versions = VersionSelector(rng, use_prefixes)
+        # The results of calls since the active order was given, ``None`` if there is no order.
         self.tallies: CellTallies | None = None
-        self._returns = ReturnPlan(rng)
-        self._refused = RefusedCallers()
+        self._retry_schedule = RetrySchedule(rng)
+        self._refusals = RefusedCallers()
         self._usage = RecentUsage(fair_window, weight_of)
         self._expired_at = -math.inf
-        self._bound = WarmupBound()
+        self._warmup_bound = WarmupBound()
         self._fleet_share = 1.0
-        # When each replica started, where it says so: the start tells its lives apart.
-        self._lives: dict[str, int] = {}
-        # How many calls of each workspace have not begun to be answered.
-        self._unread: Counter[str] = Counter()
+        # When each replica started, if that is known. Another value under the same name is a
+        # restart.
+        self._start_ids: dict[str, int] = {}
+        # The number of calls of each workspace whose answers have not started.
+        self._pending_answers: Counter[str] = Counter()
 
     def set_replicas(
         self,
         slots: dict[str, int],
         leaving: Iterable[str] = (),
-        lives: Mapping[str, int] | None = None,
+        start_ids: Mapping[str, int] | None = None,
     ) -> None:
-        """Serve exactly the replicas in ``slots``; a slot number of 0 is learnt.
+        """Set the replicas of the cell and their slots; 0 slots means that the limit is learnt.
 
-        ``lives`` tells when each replica started, 0 or nothing where that is not known.
+        ``leaving`` names those that are draining before they stop. ``start_ids`` maps replicas to
+        the time of their start, 0 or missing where it is not known.
         """
         for name in set(self.replicas) - set(slots):
             del self.replicas[name]
-        for name, life in (lives or {}).items():
-            self._set_life(name, life)
+        for name, start_id in (start_ids or {}).items():
+            self._set_start_id(name, start_id)
         for name, number in slots.items():
             if name not in self.replicas:
                 self._add_replica(name, number)
-        gone = set(leaving)
-        for name, room in self.replicas.items():
-            room.leaving = name in gone
-
-    def _set_life(self, name: str, life: int) -> None:
-        before = self._lives.get(name, 0)
-        self._lives[name] = life or before
-        if not life or not before or life == before:
+        draining = set(leaving)
+        for name, state in self.replicas.items():
+            state.leaving = name in draining
+
+    def _set_start_id(self, name: str, start_id: int) -> None:
+        previous = self._start_ids.get(name, 0)
+        self._start_ids[name] = start_id or previous
+        if not start_id or not previous or start_id == previous:
             return
-        # The replica started again under its name. It is empty: its room is made anew, and what
-        # ran there belongs to nothing any more.
+        # The replica was restarted under its name. It is empty: its state is created again, and the
+        # calls that ran there belong to no replica any more.
         self.replicas.pop(name, None)
         for flight in self.flights.values():
             if flight.replica == name:
@@ -100,18 +104,21 @@
 
     def set_regions(self, regions: Mapping[str, str]) -> None:
         """Set the region of each replica."""
-        for name, room in self.replicas.items():
-            room.region = regions.get(name, "")
+        for name, state in self.replicas.items():
+            state.region = regions.get(name, "")
 
     def set_versions(self, versions: dict[str, str], held_until: Mapping[str, float]) -> None:
-        """Set the software version of each replica, and until when each version is held."""
+        """Set the software version of each replica, and the time until which versions are held."""
         self.versions.set_versions(versions)
-        for name, room in self.replicas.items():
+        for name, state in self.replicas.items():
             held = held_until.get(versions.get(name, ""), -math.inf)
-            room.held_until = -math.inf if self.versions.is_target(name) else held
+            state.held_until = -math.inf if self.versions.is_target(name) else held
 
     def set_order(self, order: Order | None, start: int) -> None:
-        """Follow the rollout of ``order``, ``None`` for none; ``start`` names sums begun now."""
+        """Set the ``order`` of the active rollout, ``None`` for none.
+
+        ``start`` identifies tallies that are started now.
+        """
         self.versions.set_order(order)
         if order is None:
             self.tallies = None
@@ -119,53 +126,57 @@
             self.tallies = CellTallies(order.version, order.target_version, start)
 
     def set_bound(self, bound: WarmupBound, fleet_share: float = 1.0) -> None:
-        """Set what a cold replica bears, and the part of the fleet that is dispatched here."""
-        self._bound = bound
+        """Set the load that a cold replica sustains, and this dispatcher's part of the fleet."""
+        self._warmup_bound = bound
         self._fleet_share = fleet_share
-        for room in self.replicas.values():
-            self._bind_warmup(room)
+        for state in self.replicas.values():
+            self._apply_warmup_bound(state)
 
-    def _bind_warmup(self, room: ReplicaRoom) -> None:
-        room.warmup.bound = self._bound
-        room.warmup.share = self._fleet_share
+    def _apply_warmup_bound(self, state: ReplicaState) -> None:
+        state.warmup.bound = self._warmup_bound
+        state.warmup.share = self._fleet_share
 
     def set_cold(self, replica: str, seconds: float, now: float) -> None:
-        """Take note that ``replica`` is cold for ``seconds`` from ``now`` on."""
-        room = self.replicas.get(replica)
-        if room is not None:
-            room.warmup.cold_for(seconds, now)
+        """Record that ``replica`` is cold for ``seconds`` from ``now`` on."""
+        state = self.replicas.get(replica)
+        if state is not None:
+            state.warmup.mark_cold(seconds, now)
 
     def _add_replica(self, name: str, slots: int) -> None:
-        room = ReplicaRoom(name, slots)
-        self._bind_warmup(room)
+        state = ReplicaState(name, slots)
+        self._apply_warmup_bound(state)
         for key, flight in self.flights.items():
             if flight.replica == name:
-                room.in_flight += 1
-                self._expect(room, key, flight)
-        self.replicas[name] = room
+                state.in_flight += 1
+                self._record_pending(state, key, flight)
+        self.replicas[name] = state
 
-    def _expect(self, room: ReplicaRoom, key: TicketKey, flight: Flight) -> None:
+    def _record_pending(self, state: ReplicaState, key: TicketKey, flight: Flight) -> None:
         if flight.unread:
-            room.expect(key, flight.unread, flight.started_at)
+            state.record_pending(key, flight.unread, flight.started_at)
 
     def answered(self, key: TicketKey, now: float) -> None:
-        """Take note that the answer to a request in flight has begun."""
+        """Record that the answer to a call in flight has started."""
         flight = self.flights.get(key)
         if flight is None:
             return
-        self._has_begun(flight)
+        self._clear_pending(flight)
         flight.begun_at = flight.begun_at or now
-        room = self.replicas.get(flight.replica)
-        if room is not None:
-            room.answered(key, now)
+        state = self.replicas.get(flight.replica)
+        if state is not None:
+            state.answer_started(key, now)
 
     def offer(self, ticket: Ticket, now: float) -> list[Decision]:
-        """Take a ticket in, and grant what can be granted now."""
+        """Add a ticket, and return all decisions that can be made now."""
         decisions = self.put(ticket, now)
         return decisions + self.pump(now)
 
     def put(self, ticket: Ticket, now: float) -> list[Decision]:
-        """Take a ticket in; only urgent ones are decided."""
+        """Add a ticket without granting any waiting ones; an urgent one is decided at once.
+
+        If the cell is overloaded and the workspace of the ticket has had its share, the ticket is
+        moved to another cell or refused. The retry of a refused request may wait for longer.
+        """
         flight = self.flights.get(ticket.key)
         if flight is not None and flight.attempt >= ticket.attempt:
             return []
@@ -174,79 +185,79 @@
         if ticket.urgent:
             return [self._decide_urgent(ticket, now)]
         self.queue.credit = self._usage.credit(now)
-        # One that waits already is told again when its entry tells everything anew.
+        # A waiting ticket arrives again when its entry sends all of its tickets again.
         if ticket.key in self.queue:
             self.queue.push(ticket)
             return []
-        came_back = self._refused.comes_back(ticket.fingerprint, now)
-        if came_back:
-            ticket = _returned(ticket)
-        self._usage.asked(ticket.workspace, ticket.estimate, now)
+        is_retry = self._refusals.comes_back(ticket.fingerprint, now)
+        if is_retry:
+            ticket = _as_retry(ticket)
+        self._usage.record_request(ticket.workspace, ticket.estimate, now)
         if self._is_excess(ticket, now):
             return [self._move_excess(ticket, now) or self._refuse(ticket, Reason.OVER_SHARE, now)]
         self.queue.push(ticket)
-        return [Hold(ticket)] if came_back else []
+        return [Hold(ticket)] if is_retry else []
 
     def _is_excess(self, ticket: Ticket, now: float) -> bool:
-        """Say whether a ticket would wait in place of others though its workspace had its share."""
+        """Return True if a ticket would displace others though its workspace has had its share."""
         if ticket.returned or not self.overloaded(now):
             return False
-        # Where a replica has room now, nobody else is served instead of the one that is refused.
-        return self._usage.over_share(ticket.workspace, now) and not self._fits(ticket, now)
+        # While a replica has a free slot, refusing the ticket would help nobody else.
+        return self._usage.over_share(ticket.workspace, now) and not self._can_place(ticket, now)
 
     def _move_excess(self, ticket: Ticket, now: float) -> Move | None:
         if self.overflow is None:
             return None
-        self.overflow.pressed(now)
-        cell = self.overflow.taker(ticket, now)
+        self.overflow.record_overload(now)
+        cell = self.overflow.use_offer(ticket, now)
         return Move(ticket, cell) if cell is not None else None
 
     def _move_waiting(self, now: float) -> list[Decision]:
-        """Take out the tickets that cells of other regions begin sooner."""
+        """Remove the tickets that cells of other regions can start sooner."""
         if self.overflow is None or not len(self.queue):
             return []
-        if self.spare(now) and not self.overloaded(now):
+        if self.spare_slots(now) and not self.overloaded(now):
             return []
-        self.overflow.pressed(now)
-        return [Move(ticket, cell) for ticket, cell in self.overflow.passed_on(self.queue, now)]
+        self.overflow.record_overload(now)
+        return [Move(ticket, cell) for ticket, cell in self.overflow.pop_moved(self.queue, now)]
 
     def overloaded(self, now: float) -> bool:
-        """Say whether a ticket expired so lately that not all can be served."""
+        """Return True if a ticket expired a moment ago, so that not all can be served."""
         return now - self._expired_at <= OVERLOAD_SECONDS
 
     def level(self, now: float) -> float:
-        """Return what each workspace may be served in a window, in cost units per weight."""
+        """Return what each workspace may be served in the window, in cost units per weight."""
         return self._usage.level(now)
 
-    def largest_shares(self, most: int, now: float) -> list[Share]:
-        """Return what those that asked for most were served lately, the largest demand first."""
-        return self._usage.largest(most, now)
+    def largest_shares(self, count: int, now: float) -> list[Share]:
+        """Return the shares of the ``count`` workspaces with the largest recent demands, sorted."""
+        return self._usage.largest(count, now)
 
-    def _fits(self, ticket: Ticket, now: float) -> bool:
-        openings = self.versions.look(self.replicas.values(), now)
-        return self.versions.choose(ticket, openings, now) is not None
+    def _can_place(self, ticket: Ticket, now: float) -> bool:
+        available = self.versions.find_available(self.replicas.values(), now)
+        return self.versions.choose(ticket, available, now) is not None
 
-    def open_rooms(self, now: float) -> Collection[ReplicaRoom]:
-        """Return the rooms of replicas whose software version is sent requests."""
+    def open_rooms(self, now: float) -> Collection[ReplicaState]:
+        """Return the replicas whose software version may run requests."""
         return self.versions.open_rooms(self.replicas.values(), now)
 
-    def _read_rate(self, now: float) -> float:
-        """Return the tokens a second that the replicas read which serve callers that come back.
+    def _prefill_rate(self, now: float) -> float:
+        """Return the prefill rate of the replicas that will serve retries, in tokens per second.
 
-        Cold ones bear too few calls to be counted beside warm ones.
+        Cold replicas sustain too few calls to be counted beside warm ones.
         """
-        serving = [room for room in self.open_rooms(now) if room.serves(now)]
-        warm = [room for room in serving if not room.warmup.cold(now)]
-        return max(1.0, sum(room.read_rate for room in warm or serving))
+        serving = [state for state in self.open_rooms(now) if state.serves(now)]
+        warm = [state for state in serving if not state.warmup.is_cold(now)]
+        return max(1.0, sum(state.prefill_rate for state in warm or serving))
 
     def _refuse(self, ticket: Ticket, reason: Reason, now: float) -> Refusal:
         if not ticket.returns_within:
             return Refusal(ticket, reason)
-        after = self._returns.promise(
-            ticket.prompt_tokens, ticket.returns_within, self._read_rate(now), now
+        retry_after = self._retry_schedule.schedule(
+            ticket.prompt_tokens, ticket.returns_within, self._prefill_rate(now), now
         )
-        self._refused.refused(ticket.fingerprint, after, now)
-        return Refusal(ticket, reason, after)
+        self._refusals.refused(ticket.fingerprint, retry_after, now)
+        return Refusal(ticket, reason, retry_after)
 
     def _refuse_expired(self, now: float) -> list[Decision]:
         expired = self.queue.pop_expired(now)
@@ -255,11 +266,11 @@
         return [self._refuse(ticket, Reason.EXPIRED, now) for ticket in expired]
 
     def cancel(self, key: TicketKey) -> None:
-        """Forget a ticket that waits."""
+        """Remove a waiting ticket."""
         self.queue.remove(key)
 
     def progress(self, key: TicketKey, charged: float) -> None:
-        """Raise the charge of a request in flight to ``charged`` in all."""
+        """Raise the total charge of a call in flight to ``charged``."""
         flight = self.flights.get(key)
         if flight is None or charged <= flight.charged:
             return
@@ -269,7 +280,7 @@
     def release_attempt(
         self, key: TicketKey, attempt: int, cost: float, now: float, result: CallResult
     ) -> None:
-        """End a request in flight, unless its ticket was granted anew since ``attempt``."""
+        """End a call in flight, unless its ticket was granted again after ``attempt``."""
         flight = self.flights.get(key)
         if flight is not None and flight.attempt <= attempt:
             self.release(key, cost, now, result)
@@ -277,78 +288,81 @@
     def release(
         self, key: TicketKey, cost: float, now: float, result: CallResult = CallResult.NOTHING
     ) -> bool:
-        """End a request in flight and settle its charge against its ``cost``.
+        """End a call in flight and replace its charge by its actual ``cost``.
 
-        ``result`` is what was learnt of the replica. Return whether the request was known.
+        ``result`` is what the end of the call says about the replica. Return True if the call was
+        in flight.
         """
         flight = self.flights.pop(key, None)
         if flight is None:
             return False
         self._charge(flight.workspace, cost - flight.charged)
         self._usage.charge(flight.workspace, cost - flight.charged, now)
-        self._has_begun(flight)
-        room = self.replicas.get(flight.replica)
+        self._clear_pending(flight)
+        state = self.replicas.get(flight.replica)
         if self.tallies is not None:
-            was_cold = room is not None and room.warmup.cold(flight.started_at)
+            was_cold = state is not None and state.warmup.is_cold(flight.started_at)
             self.tallies.ended(flight, now, result, was_cold)
-        if room is None:
+        if state is None:
             return True
-        room.forget(key)
-        room.ended(now)
+        state.drop_pending(key)
+        state.call_ended(now)
         if result is CallResult.GOOD:
-            room.succeeded(now, now - flight.started_at)
+            state.call_succeeded(now, now - flight.started_at)
         elif result.failed:
-            room.failed(now, result, self._peers_of(room, now))
+            state.call_failed(now, result, self._health_of_others(state, now))
         return True
 
-    def _has_begun(self, flight: Flight) -> None:
+    def _clear_pending(self, flight: Flight) -> None:
         if flight.unread:
             flight.unread = 0
-            self._unread[flight.workspace] -= 1
+            self._pending_answers[flight.workspace] -= 1
 
-    def _peers_of(self, room: ReplicaRoom, now: float) -> Peers:
-        """Return how the replicas do that ``room`` is compared with.
+    def _health_of_others(self, state: ReplicaState, now: float) -> GroupHealth:
+        """Return the health of the replicas that the one of ``state`` is compared with.
 
-        Those that leave are no part of the cell any more, and those that cannot be reached tell
-        nothing of how others answer: beside a lost failure domain a sick replica is still the worst
-        of those that answer.
+        Replicas that are draining no longer belong to the cell. Those that cannot be reached say
+        nothing about error rates: when a failure domain is lost, a faulty replica is still the
+        worst of those that answer.
         """
-        rooms = [other for other in self.replicas.values() if not other.leaving]
-        group = self.versions.group(room.name, rooms)
-        others = [other for other in group if other is not room]
-        # What fails on trial is the version, which is judged as a whole.
-        if not others or self.versions.on_trial(room.name, now):
-            return Peers(may_close=False)
-        closed = sum(not other.serves(now) or other.health.tripped for other in others)
-        shares = [other.health.error_share for other in others if not other.health.lost]
-        mean = sum(shares) / len(shares) if shares else 0.0
-        return Peers(mean, closed + 1 <= len(group) // 2)
+        states = [other for other in self.replicas.values() if not other.leaving]
+        group = self.versions.same_side(state.name, states)
+        others = [other for other in group if other is not state]
+        # Failures on trial are those of the version, which is judged as a whole.
+        if not others or self.versions.on_trial(state.name, now):
+            return GroupHealth(can_eject=False)
+        unavailable = sum(not other.serves(now) or other.health.tripped for other in others)
+        error_rates = [
+            other.health.error_rate for other in others if not other.health.was_unreachable
+        ]
+        mean_rate = sum(error_rates) / len(error_rates) if error_rates else 0.0
+        return GroupHealth(mean_rate, unavailable + 1 <= len(group) // 2)
 
     def report(self, replica: str, report: LoadReport, now: float) -> None:
-        """Take in a load report of ``replica``."""
-        room = self.replicas.get(replica)
-        if room is not None:
-            room.reported(now, report)
+        """Apply a load report of ``replica``."""
+        state = self.replicas.get(replica)
+        if state is not None:
+            state.apply_report(now, report)
 
     def resume_flight(self, key: TicketKey, flight: Flight) -> None:
-        """Take over a request in flight that an earlier dispatcher granted."""
+        """Record a call in flight that an earlier dispatcher granted."""
         if key in self.flights:
             return
         self.flights[key] = flight
         flight.software_version = self.versions.version_of(flight.replica)
-        self.versions.granted(flight.replica, flight.started_at)
-        self._unread[flight.workspace] += bool(flight.unread)
-        room = self.replicas.get(flight.replica)
-        if room is not None:
-            room.started(flight.started_at)
-            self._expect(room, key, flight)
+        self.versions.record_grant(flight.replica, flight.started_at)
+        self._pending_answers[flight.workspace] += bool(flight.unread)
+        state = self.replicas.get(flight.replica)
+        if state is not None:
+            state.call_started(flight.started_at)
+            self._record_pending(state, key, flight)
 
     def drop_entry(self, entry: str, now: float) -> None:
-        """Forget all tickets and requests of an ``entry`` that is gone."""
+        """Drop all tickets and calls of an ``entry`` that is gone."""
         self.keep_only(entry, set(), now)
 
     def keep_only(self, entry: str, keys: set[TicketKey], now: float) -> None:
-        """Forget what ``entry`` has here and does not name in ``keys``."""
+        """Drop the tickets and calls of ``entry`` that are not in ``keys``."""
         for key in [key for key in self.flights if key[0] == entry and key not in keys]:
             self.release(key, self.flights[key].charged, now)
         for name in self.queue.workspaces():
@@ -360,7 +374,10 @@
                 self.queue.remove(ticket.key)
 
     def pump(self, now: float) -> list[Decision]:
-        """Grant tickets while there are some and a replica has room, and refuse expired ones."""
+        """Grant tickets while replicas have free slots, and decide which others have to leave.
+
+        Tickets that can start sooner in another region are moved, and expired ones are refused.
+        """
         decisions: list[Decision] = []
         if len(self.queue):
             decisions += self._grant_waiting(now)
@@ -378,74 +395,78 @@
         return grants
 
     def _grant_next(self, now: float) -> Grant | None:
-        openings = self.versions.look(self.replicas.values(), now)
-        if not openings.free:
+        available = self.versions.find_available(self.replicas.values(), now)
+        if not available.free:
             return None
-        # Whoever is first may wait for a replica that has its prompt's beginning; others go ahead
-        # meanwhile, where replicas would be idle otherwise.
-        for workspace in self.queue.workspaces()[:MOST_HEADS]:
+        # The first ticket may wait for a replica that has its prompt prefix cached. Others are
+        # granted in the meantime, so that replicas are not idle.
+        for workspace in self.queue.workspaces()[:MAX_WORKSPACES_TRIED]:
             ticket = self.queue.head(workspace)
-            room = self.versions.choose(ticket, openings, now, self._standing(workspace, now))
-            if room is not None:
-                self.queue.take(ticket)
-                self._count(workspace, ticket.estimate)
-                return self._bind(ticket, room, now)
+            state = self.versions.choose(ticket, available, now, self._share_state(workspace, now))
+            if state is not None:
+                self.queue.dequeue(ticket)
+                self._add_served(workspace, ticket.estimate)
+                return self._grant(ticket, state, now)
         return None
 
-    def _standing(self, workspace: str, now: float) -> ShareState:
-        if self._usage.follows and self.overloaded(now):
+    def _share_state(self, workspace: str, now: float) -> ShareState:
+        if self._usage.is_enabled and self.overloaded(now):
             over = self._usage.over_share(workspace, now)
-            return ShareState.OVER if over else ShareState.OWED
-        return ShareState.EVEN if self._unread.get(workspace) else ShareState.FIRST
+            return ShareState.OVER_SHARE if over else ShareState.BELOW_SHARE
+        return (
+            ShareState.PENDING_PREFILL
+            if self._pending_answers.get(workspace)
+            else ShareState.NO_PENDING_PREFILL
+        )
 
     def _decide_urgent(self, ticket: Ticket, now: float) -> Decision:
-        # Urgent work goes ahead of waiting work, but only while its workspace is not far above the
-        # others: else one workspace could starve the rest by calling everything urgent.
+        # An urgent ticket goes ahead of waiting ones only while its workspace is not far above the
+        # others. Otherwise one workspace could starve the rest by marking all its requests urgent.
         bound = CATCH_UP_CHARGES * ticket.estimate / self.queue.weight(ticket.workspace)
         if len(self.queue) and self.queue.lead(ticket.workspace) > bound:
             return Refusal(ticket, Reason.NO_ROOM)
-        openings = self.versions.look(self.replicas.values(), now, urgent=True)
-        room = self.versions.choose(ticket, openings, now)
-        if room is None:
+        available = self.versions.find_available(self.replicas.values(), now, urgent=True)
+        state = self.versions.choose(ticket, available, now)
+        if state is None:
             return Refusal(ticket, Reason.NO_ROOM)
-        self.queue.lift(ticket.workspace)
+        self.queue.raise_counter(ticket.workspace)
         self._charge(ticket.workspace, ticket.estimate)
-        return self._bind(ticket, room, now)
+        return self._grant(ticket, state, now)
 
-    def _bind(self, ticket: Ticket, room: ReplicaRoom, now: float) -> Grant:
-        # A call without a prompt still owes the beginning of an answer.
-        unread = max(1, room.to_read(ticket))
-        room.keep_prefix(ticket)
+    def _grant(self, ticket: Ticket, state: ReplicaState, now: float) -> Grant:
+        # A call without a prompt counts as one token, because its answer has yet to start.
+        pending_tokens = max(1, state.uncached_tokens(ticket))
+        state.record_prefix(ticket)
         flight = Flight(
             ticket.attempt,
             ticket.workspace,
-            room.name,
+            state.name,
             ticket.estimate,
             now,
-            unread,
+            pending_tokens,
             ticket.fingerprint,
             ticket.route,
-            self.versions.version_of(room.name),
+            self.versions.version_of(state.name),
         )
         self.flights[ticket.key] = flight
-        stage = self.versions.granted(room.name, now)
+        stage = self.versions.record_grant(state.name, now)
         if self.tallies is not None:
             self.tallies.arrivals += 1
-        self._unread[ticket.workspace] += 1
+        self._pending_answers[ticket.workspace] += 1
         self._usage.charge(ticket.workspace, ticket.estimate, now)
-        room.started(now)
-        self._expect(room, ticket.key, flight)
-        return Grant(ticket, room.name, self.queue.counter(ticket.workspace), stage)
+        state.call_started(now)
+        self._record_pending(state, ticket.key, flight)
+        return Grant(ticket, state.name, self.queue.counter(ticket.workspace), stage)
 
     def _charge(self, workspace: str, cost: float) -> None:
         self.queue.charge(workspace, cost)
-        self._count(workspace, cost)
+        self._add_served(workspace, cost)
 
-    def _count(self, workspace: str, cost: float) -> None:
+    def _add_served(self, workspace: str, cost: float) -> None:
         self.served[workspace] = self.served.get(workspace, 0.0) + cost
 
     def holds(self, fingerprint: int) -> bool:
-        """Say whether a request of ``fingerprint`` waits here, or runs."""
+        """Return True if a request with ``fingerprint`` is waiting or running here."""
         return any(flight.fingerprint == fingerprint for flight in self.flights.values()) or any(
             ticket.fingerprint == fingerprint
             for workspace in self.queue.workspaces()
@@ -453,25 +474,25 @@
         )
 
     def room(self, now: float) -> int:
-        """Return how many more calls fit into the slots of the cell, without overlap."""
-        return sum(room.can_begin(now) for room in self.open_rooms(now))
+        """Return how many more calls fit into the slots of the cell, without any queueing."""
+        return sum(state.startable_calls(now) for state in self.open_rooms(now))
 
     def wanted(self, now: float) -> tuple[Cell, int] | None:
-        """Return which cell of another region to ask for how many tickets, or ``None``."""
-        if self.overflow is None or not self.overflow.may_ask(now):
+        """Return which cell of another region to request how many tickets from, or ``None``."""
+        if self.overflow is None or not self.overflow.can_request(now):
             return None
-        return self.overflow.wanted(len(self.queue), self.spare(now), now)
+        return self.overflow.tickets_to_request(len(self.queue), self.spare_slots(now), now)
 
-    def spare(self, now: float) -> int:
-        """Return how many more calls the replicas with little to read could begin now."""
+    def spare_slots(self, now: float) -> int:
+        """Return how many more calls the replicas that are nearly idle could start now."""
         return sum(
-            room.can_begin(now)
-            for room in self.open_rooms(now)
-            if room.unread_seconds < HUNGRY_SECONDS and not room.health.tripped
+            state.startable_calls(now)
+            for state in self.open_rooms(now)
+            if state.unread_seconds < NEARLY_IDLE_SECONDS and not state.health.tripped
         )
 
 
-def _returned(ticket: Ticket) -> Ticket:
-    """Return the ticket of a caller that was refused before."""
-    longest = min(RETURN_WAIT_OBJECTIVES * ticket.objective, ticket.returns_within)
-    return replace(ticket, returned=True, patience=max(ticket.patience, longest))
+def _as_retry(ticket: Ticket) -> Ticket:
+    """Return ``ticket`` marked as the retry of a refused request, with a longer maximum wait."""
+    max_wait = min(RETRY_WAIT_OBJECTIVES * ticket.objective, ticket.returns_within)
+    return replace(ticket, returned=True, patience=max(ticket.patience, max_wait))
--- a/railsail/scheduling/health.py
+++ b/railsail/scheduling/health.py
@@ -1,9 +1,10 @@
-"""Whether a replica does well enough to be given calls.
+"""When a replica is ejected, so that it is given no calls for a while.
 
-A replica that cannot be reached is closed at once, for a time that doubles; then one call tries it
-again. A replica that answers with errors is closed only while it does worse than the others of its
-cell, and never so many that less than half of them are left: where all fail a part of their calls,
-closing them takes away what still works.
+A replica is ejected after two failed calls in a row. The time doubles with each ejection; at its
+end a single call probes the replica. If the calls failed because the replica could not be reached,
+this holds without further conditions. If it answered with errors, its error rate must also be
+higher than that of the other replicas of its cell, and at least half of them must stay in service:
+if all of them fail some of their calls, ejecting them removes capacity that still works.
 """
 
 import enum
@@ -12,20 +13,20 @@
 
 from railsail.core.outcomes import Completed, NotRun, Outcome, Reason
 
-FIRST_CLOSED_SECONDS = 0.5
-MOST_CLOSED_SECONDS = 4.0
-FAILURES_TO_CLOSE = 2
-# How much each call that ended counts in the share of errors.
+INITIAL_EJECTION_SECONDS = 0.5
+MAX_EJECTION_SECONDS = 4.0
+FAILURES_TO_EJECT = 2
+# Smoothing factor of the error rate.
 ERROR_GAIN = 0.1
-# A replica is worse than the others if its share of errors exceeds this multiple of theirs by more
-# than the margin. Two failures in a row of a replica without errors before are above the margin.
+# A replica is worse than the others if its error rate exceeds theirs times this factor by more than
+# the margin. Two failures in a row exceed the margin on a replica that had no errors before.
 WORSE_FACTOR = 1.5
 WORSE_MARGIN = 0.1
 _SERVER_ERROR = 500
 
 
 class CallResult(enum.IntEnum):
-    """What the end of a call tells of its replica; daemons send these numbers."""
+    """What the end of a call says about its replica; daemons exchange these numbers."""
 
     NOTHING = 0
     GOOD = 1
@@ -36,11 +37,12 @@
 
     @classmethod
     def of(cls, outcome: Outcome) -> "CallResult":
-        """Return what the ``outcome`` of a call that was sent tells of its replica."""
+        """Return what the ``outcome`` of a call that was sent says about its replica."""
         if isinstance(outcome, Completed):
             return cls.GOOD if outcome.status < _SERVER_ERROR else cls.ERROR
         if outcome.asked_rest:
-            # Rest is asked of one node; to others the replica may be as good as before.
+            # The replica asked this node only to back off; it may serve the others as well as
+            # before.
             return cls.NOTHING
         if isinstance(outcome, NotRun):
             return _OF_REASONS.get(outcome.reason, cls.NOTHING)
@@ -48,7 +50,7 @@
 
     @property
     def failed(self) -> bool:
-        """Say whether the replica did not do what was asked of it."""
+        """Return True if the replica did not do what was requested of it."""
         return self in (CallResult.ERROR, CallResult.UNREACHABLE, CallResult.BROKE_OFF)
 
 
@@ -58,82 +60,83 @@
 }
 
 
-class Peers(msgspec.Struct, frozen=True):
-    """How the other replicas of a cell do.
+class GroupHealth(msgspec.Struct, frozen=True):
+    """The health of the other replicas that a replica is compared with.
 
-    ``error_share`` is the mean of theirs; ``may_close`` says that enough of them are open.
+    ``error_rate`` is their mean; ``can_eject`` is True if enough of them are in service for one
+    more to be ejected.
     """
 
-    error_share: float = 0.0
-    may_close: bool = True
+    error_rate: float = 0.0
+    can_eject: bool = True
 
 
 class ReplicaHealth:
-    """Follow the calls of one replica; times are in seconds of the dispatcher's clock."""
+    """The health of one replica by its calls; times are in seconds of the dispatcher's clock."""
 
     def __init__(self) -> None:
-        self.error_share = 0.0
+        self.error_rate = 0.0
         self._failures = 0
-        self._closed_until = 0.0
-        self._closed_seconds = FIRST_CLOSED_SECONDS
+        self._ejected_until = 0.0
+        self._ejection_seconds = INITIAL_EJECTION_SECONDS
         self._tripped = False
-        self._trial_runs = False
-        self._lost = False
+        self._probe_in_flight = False
+        self._unreachable = False
 
-    def closed(self, now: float) -> bool:
-        """Say whether the replica is given nothing at ``now``."""
-        return now < self._closed_until
+    def is_ejected(self, now: float) -> bool:
+        """Return True if the replica is ejected at ``now``, so that it is given no calls."""
+        return now < self._ejected_until
 
     @property
     def tripped(self) -> bool:
-        """Say whether the replica was closed, and no call has done well since."""
+        """Return True if the replica was ejected and has not started a good answer since."""
         return self._tripped
 
     @property
-    def lost(self) -> bool:
-        """Say whether the replica was closed because nobody could connect to it.
+    def was_unreachable(self) -> bool:
+        """Return True if the replica was ejected because nobody could connect to it.
 
         Its process may have ended, and what answers next may be a new one.
         """
-        return self._tripped and self._lost
+        return self._tripped and self._unreachable
 
     @property
-    def wants_trial(self) -> bool:
-        """Say whether a replica that was closed may be given the one call that tries it."""
-        return self._tripped and not self._trial_runs
+    def can_probe(self) -> bool:
+        """Return True if an ejected replica may be given the single call that probes it."""
+        return self._tripped and not self._probe_in_flight
 
-    def started(self) -> None:
-        """Take note that a call was given to the replica."""
-        self._trial_runs = self._tripped
+    def call_started(self) -> None:
+        """Record that the replica was given a call."""
+        self._probe_in_flight = self._tripped
 
-    def ended(self) -> None:
-        """Take note that a call has ended, however."""
-        self._trial_runs = False
+    def call_ended(self) -> None:
+        """Record the end of a call, whatever its result."""
+        self._probe_in_flight = False
 
-    def begun(self) -> None:
-        """Take note that a good answer has begun."""
+    def answer_started(self) -> None:
+        """Record the start of a good answer."""
         self._failures = 0
         self._tripped = False
 
-    def succeeded(self) -> None:
-        """Take note of a call that was answered well and whole."""
-        self.error_share += ERROR_GAIN * (0.0 - self.error_share)
-        self._closed_seconds = FIRST_CLOSED_SECONDS
-        self.begun()
+    def call_succeeded(self) -> None:
+        """Record a call with a complete, good answer."""
+        self.error_rate += ERROR_GAIN * (0.0 - self.error_rate)
+        self._ejection_seconds = INITIAL_EJECTION_SECONDS
+        self.answer_started()
 
-    def failed(self, now: float, result: CallResult, peers: Peers) -> None:
-        """Take note of a call that failed, and close the replica if that is due."""
-        self.error_share += ERROR_GAIN * (1.0 - self.error_share)
+    def call_failed(self, now: float, result: CallResult, others: GroupHealth) -> None:
+        """Record a failed call, and eject the replica if it has failed too often."""
+        self.error_rate += ERROR_GAIN * (1.0 - self.error_rate)
         self._failures += 1
-        if self._failures < FAILURES_TO_CLOSE:
+        if self._failures < FAILURES_TO_EJECT:
             return
-        if result is not CallResult.UNREACHABLE and not self._is_worse(peers):
+        if result is not CallResult.UNREACHABLE and not self._is_worse_than(others):
             return
         self._tripped = True
-        self._lost = result is CallResult.UNREACHABLE
-        self._closed_until = now + self._closed_seconds
-        self._closed_seconds = min(self._closed_seconds * 2, MOST_CLOSED_SECONDS)
+        self._unreachable = result is CallResult.UNREACHABLE
+        self._ejected_until = now + self._ejection_seconds
+        self._ejection_seconds = min(self._ejection_seconds * 2, MAX_EJECTION_SECONDS)
 
-    def _is_worse(self, peers: Peers) -> bool:
-        bound = WORSE_FACTOR * peers.error_share + WORSE_MARGIN
-        return peers.may_close and self.error_share > bound
+    def _is_worse_than(self, others: GroupHealth) -> bool:
+        bound = WORSE_FACTOR * others.error_rate + WORSE_MARGIN
+        return others.can_eject and self.error_rate > bound
--- a/railsail/scheduling/retries.py
+++ b/railsail/scheduling/retries.py
@@ -1,21 +1,21 @@
-"""A budget that keeps retries from multiplying the load of a fleet in trouble."""
+"""A budget that keeps retries from multiplying the load of a fleet that fails."""
 
-RATIO = 0.1
-MOST_TOKENS = 10.0
+TOKENS_PER_REQUEST = 0.1
+MAX_TOKENS = 10.0
 
 
 class RetryBudget:
-    """Allow one retry for every ten requests, and at most ten at once."""
+    """A budget of one retry for every ten requests, and of ten retries at once."""
 
     def __init__(self) -> None:
-        self._tokens = MOST_TOKENS
+        self._tokens = MAX_TOKENS
 
     def request(self) -> None:
-        """Take note of a first try."""
-        self._tokens = min(MOST_TOKENS, self._tokens + RATIO)
+        """Record the first attempt of a request."""
+        self._tokens = min(MAX_TOKENS, self._tokens + TOKENS_PER_REQUEST)
 
     def allow(self) -> bool:
-        """Say whether a retry may be made, and take it out of the budget."""
+        """Return True if a retry may be made, and take it out of the budget."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/railsail/scheduling/returning.py
+++ b/railsail/scheduling/returning.py
@@ -1,60 +1,60 @@
-"""Who comes back after a refusal, as the dispatcher that refused them knows.
+"""A dispatcher's record of the requests that it refused, by which it recognizes retries.
 
-The load that this answers: a flood in which most requests are refused once. A caller that comes
-back was late from its first try on, so that nothing is lost by serving it after those that can
-still be in time; but it will hardly come back again, so that it may wait for longer than they do.
-To tell it from the others by what it says of itself is a guess: where callers name deadlines that
-differ from the first try on, nine of ten first tries were taken for returns, all of them were let
-wait, and 99 in 100 refusals came 0.6 s late (one played flood of 62 nodes).
+In an overload most requests are refused once. The retry of a refused request has missed its
+objective already, so that nothing is lost by serving it after the requests that can still meet
+theirs. But its caller will hardly retry again, so that it may wait for longer than they do.
 
-A repeat has the fingerprint of its first try; and it comes when it was told to, so that it is
-remembered until shortly after.
+A retry has the fingerprint of its first attempt, and it arrives at the time that the refusal named,
+so that a refusal is remembered until shortly after that time. The deadline that a caller states is
+no sign of a retry: in a load test of 62 nodes, whose callers had different deadlines, nine of ten
+first attempts were taken for retries. All of them waited for longer, and 99 of 100 refusals came
+0.6 s late.
 """
 
 from collections import Counter, deque
 
-# A caller that was told when to come back takes so many seconds more: for a connection of its own,
-# and for the way to the dispatcher.
-COME_BACK_SLACK_SECONDS = 1.0
-# Refusals remembered at once; of more than that the oldest are forgotten. A flood of 2,000 refusals
-# a second, each told to stay away for 4 s, needs fewer.
-MOST_REMEMBERED = 16_384
-# A request whose caller came back may wait for so many of its objectives: a late answer is better
-# than another refusal, but after a few objectives callers leave.
-RETURN_WAIT_OBJECTIVES = 2.0
+# A retry may arrive this many seconds later than the refusal said: its caller needs time for a new
+# connection, and the request needs time to reach the dispatcher.
+RETRY_SLACK_SECONDS = 1.0
+# Refusals that are remembered; the oldest are dropped when there are more. An overload of 2,000
+# refusals a second whose callers retry after 4 s needs fewer.
+MAX_REMEMBERED = 16_384
+# A retry may wait for this many times its objective. A late answer is better than another refusal,
+# but callers leave after a few objectives.
+RETRY_WAIT_OBJECTIVES = 2.0
 
 
 class RefusedCallers:
-    """Remember refusals by fingerprint; times are in seconds of the dispatcher's clock."""
+    """The recent refusals by fingerprint; times are in seconds of the dispatcher's clock."""
 
     def __init__(self) -> None:
-        self._awaited: Counter[int] = Counter()
-        self._until: deque[tuple[float, int]] = deque()
+        self._expected_retries: Counter[int] = Counter()
+        self._expiries: deque[tuple[float, int]] = deque()
 
     def refused(self, fingerprint: int, come_back: float, now: float) -> None:
-        """Take note that a request was refused, and its caller told to ``come_back`` so late."""
+        """Record a refused request whose caller was asked to retry after ``come_back`` seconds."""
         if not fingerprint:
             return
-        if len(self._until) >= MOST_REMEMBERED:
+        if len(self._expiries) >= MAX_REMEMBERED:
             self._forget_oldest()
-        self._awaited[fingerprint] += 1
-        self._until.append((now + come_back + COME_BACK_SLACK_SECONDS, fingerprint))
+        self._expected_retries[fingerprint] += 1
+        self._expiries.append((now + come_back + RETRY_SLACK_SECONDS, fingerprint))
 
     def comes_back(self, fingerprint: int, now: float) -> bool:
-        """Say whether a request that comes now was refused before, and forget that refusal."""
-        while self._until and self._until[0][0] < now:
+        """Return True if a request that arrives now was refused before, and drop that refusal."""
+        while self._expiries and self._expiries[0][0] < now:
             self._forget_oldest()
-        if not self._awaited.get(fingerprint):
+        if not self._expected_retries.get(fingerprint):
             return False
-        self._take(fingerprint)
+        self._drop_one(fingerprint)
         return True
 
     def _forget_oldest(self) -> None:
-        _, fingerprint = self._until.popleft()
-        if self._awaited.get(fingerprint):
-            self._take(fingerprint)
-
-    def _take(self, fingerprint: int) -> None:
-        self._awaited[fingerprint] -= 1
-        if not self._awaited[fingerprint]:
-            del self._awaited[fingerprint]
+        _, fingerprint = self._expiries.popleft()
+        if self._expected_retries.get(fingerprint):
+            self._drop_one(fingerprint)
+
+    def _drop_one(self, fingerprint: int) -> None:
+        self._expected_retries[fingerprint] -= 1
+        if not self._expected_retries[fingerprint]:
+            del self._expected_retries[fingerprint]
--- a/railsail/scheduling/versions.py
+++ b/railsail/scheduling/versions.py
@@ -1,4 +1,4 @@
-"""Which replica a ticket is bound to while a service moves to another software version."""
+"""Which replica runs a ticket while a service moves to another software version."""
 
 import random
 from collections import Counter
@@ -7,29 +7,35 @@
 from railsail.rollouts.orders import Order
 from railsail.rollouts.stages import Stage
 from railsail.scheduling.exposure import Exposure
-from railsail.scheduling.placing import Openings, Placing, ShareState, look
-from railsail.scheduling.room import ReplicaRoom
+from railsail.scheduling.room import ReplicaState
+from railsail.scheduling.selection import (
+    AvailableReplicas,
+    ReplicaSelector,
+    ShareState,
+    find_available,
+)
 from railsail.scheduling.tickets import Ticket
 
 
-class VersionPlacing:
-    """Choose replicas as ``Placing`` does, of the version that a ticket may run on.
+class VersionSelector:
+    """The choice of a replica for each ticket, among those of a version that it may run on.
 
-    Homes of prompts' beginnings are chosen among the replicas of one side, the target version or
-    the others, so that those of the others stay while the target version is tried. Each side has a
-    ``Placing`` of its own, which remembers homes among one set of replicas only.
+    A rollout divides the replicas into two sides: those of the target version, and the others. Each
+    side has its own ``ReplicaSelector``, which remembers the owners of prompt prefixes among one
+    set of replicas. So the owners among the others stay the same while the target version is on
+    trial.
     """
 
     def __init__(self, rng: random.Random, use_prefixes: bool) -> None:
-        self._others = Placing(rng, use_prefixes)
-        self._target = Placing(rng, use_prefixes)
+        self._others = ReplicaSelector(rng, use_prefixes)
+        self._target = ReplicaSelector(rng, use_prefixes)
         self.exposure: Exposure | None = None
-        # Calls that each replica of the target version was given.
+        # The number of calls given to each replica of the target version.
         self._calls: Counter[str] = Counter()
         self._versions: dict[str, str] = {}
 
     def set_order(self, order: Order | None) -> None:
-        """Follow the order that runs, ``None`` for none."""
+        """Set the active order, ``None`` for none."""
         if order is None:
             self.exposure = None
         elif self.exposure is None or self.exposure.order.version != order.version:
@@ -41,118 +47,132 @@
         self._versions = versions
 
     def version_of(self, replica: str) -> str:
-        """Return the version that ``replica`` runs, empty where that is not known."""
+        """Return the version that ``replica`` runs, empty if it is not known."""
         return self._versions.get(replica, "")
 
     def is_target(self, replica: str) -> bool:
-        """Say whether ``replica`` runs the version that the service moves to."""
+        """Return True if ``replica`` runs the version that the service moves to."""
         if self.exposure is None:
             return False
         return self._versions.get(replica, "") == self.exposure.target_version
 
-    def group(self, replica: str, rooms: Iterable[ReplicaRoom]) -> list[ReplicaRoom]:
-        """Return those of ``rooms`` that are on the same side of a rollout as ``replica``."""
+    def same_side(self, replica: str, states: Iterable[ReplicaState]) -> list[ReplicaState]:
+        """Return those of ``states`` that are on the same side of a rollout as ``replica``."""
         if self.exposure is None:
-            return list(rooms)
+            return list(states)
         side = self.is_target(replica)
-        return [room for room in rooms if self.is_target(room.name) is side]
+        return [state for state in states if self.is_target(state.name) is side]
 
     def on_trial(self, replica: str, now: float) -> bool:
-        """Say whether the version of ``replica`` is still being tried."""
+        """Return True if ``replica`` runs the target version and the version is still on trial."""
         if self.exposure is None or not self.is_target(replica):
             return False
         return self.exposure.stage(now) in (Stage.HOLD, Stage.CANARY)
 
-    def open_rooms(self, rooms: Collection[ReplicaRoom], now: float) -> Collection[ReplicaRoom]:
-        """Return those of ``rooms`` that requests may run on at the present stage.
+    def open_rooms(self, states: Collection[ReplicaState], now: float) -> Collection[ReplicaState]:
+        """Return those of ``states`` that requests may run on at the current stage.
 
-        Where no replica of the target version serves, callers of a drain run on the others: the
-        coordinator may learn later than this dispatcher that a failure domain was lost.
+        If no replica of the target version is in service, requests run on the others even in a
+        drain: the coordinator may notice later than this dispatcher that a failure domain was lost.
         """
         if self.exposure is None:
-            return rooms
+            return states
         stage = self.exposure.stage(now)
         if stage is Stage.SHIFT:
-            return rooms
-        target, others = self._sides(rooms)
-        drains = stage is Stage.DRAIN and any(room.serves(now) for room in target)
-        return target if drains else others
-
-    def _sides(self, rooms: Iterable[ReplicaRoom]) -> tuple[list[ReplicaRoom], list[ReplicaRoom]]:
-        """Return those of ``rooms`` that run the target version, and the others."""
-        sides: tuple[list[ReplicaRoom], list[ReplicaRoom]] = ([], [])
-        for room in rooms:
-            sides[0 if self.is_target(room.name) else 1].append(room)
+            return states
+        target, others = self._sides(states)
+        use_target = stage is Stage.DRAIN and any(state.serves(now) for state in target)
+        return target if use_target else others
+
+    def _sides(
+        self, states: Iterable[ReplicaState]
+    ) -> tuple[list[ReplicaState], list[ReplicaState]]:
+        """Return those of ``states`` that run the target version, and the others."""
+        sides: tuple[list[ReplicaState], list[ReplicaState]] = ([], [])
+        for state in states:
+            sides[0 if self.is_target(state.name) else 1].append(state)
         return sides
 
-    def look(self, rooms: Collection[ReplicaRoom], now: float, urgent: bool = False) -> Openings:
-        """Return which of ``rooms`` may be given calls, and have room, at ``now``."""
+    def find_available(
+        self, states: Collection[ReplicaState], now: float, urgent: bool = False
+    ) -> AvailableReplicas:
+        """Return which of ``states`` may be given calls, and which have a free slot, at ``now``."""
         if self.exposure is None:
-            return look(rooms, now, urgent)
-        canaries = self._canaries(rooms, now) if self.exposure.due(now) else []
-        return look([*self.open_rooms(rooms, now), *canaries], now, urgent)
+            return find_available(states, now, urgent)
+        canaries = self._canaries(states, now) if self.exposure.is_canary_due(now) else []
+        return find_available([*self.open_rooms(states, now), *canaries], now, urgent)
 
-    def _canaries(self, rooms: Iterable[ReplicaRoom], now: float) -> list[ReplicaRoom]:
-        """Return the replicas that canary calls go to, others where none of those named serves.
+    def _canaries(self, states: Iterable[ReplicaState], now: float) -> list[ReplicaState]:
+        """Return the replicas for canary calls.
 
-        Those named may be lost, evacuated or taken away since. Cold ones are slow and show nothing.
+        These are the ones that the allowance names, or others if none of them is in service: the
+        named ones may have been lost, evacuated or removed since. Cold replicas are left out: they
+        are slow, and show nothing about their version.
         """
-        target, _ = self._sides(rooms)
-        able = [room for room in target if room.serves(now) and not room.warmup.cold(now)]
-        named = [room for room in able if self.exposure.names(room.name)]
-        return named or able
+        target, _ = self._sides(states)
+        serving = [state for state in target if state.serves(now) and not state.warmup.is_cold(now)]
+        named = [state for state in serving if self.exposure.is_canary_replica(state.name)]
+        return named or serving
 
     def choose(
         self,
         ticket: Ticket,
-        openings: Openings,
+        available: AvailableReplicas,
         now: float,
-        standing: ShareState = ShareState.EVEN,
-    ) -> ReplicaRoom | None:
-        """Return the replica that ``ticket`` is bound to now, or ``None`` if it has to wait."""
+        share_state: ShareState = ShareState.PENDING_PREFILL,
+    ) -> ReplicaState | None:
+        """Return the replica that runs ``ticket`` now, or ``None`` if the ticket has to wait.
+
+        In a drain only the target version is used while any of its replicas serves. In a shift it
+        is used first, and in a canary stage for the canary calls that are due; otherwise the others
+        are used. A ticket that failed on the target version goes to the others, except in a drain.
+        """
         if self.exposure is None:
-            return self._others.choose(ticket, openings, now, standing)
-        target, others = self._split(openings)
+            return self._others.choose(ticket, available, now, share_state)
+        target, others = self._split(available)
         found = None
         match self.exposure.stage(now):
             case Stage.DRAIN if target.serving:
-                return self._target.choose(ticket, target, now, standing)
+                return self._target.choose(ticket, target, now, share_state)
             case Stage.SHIFT if not self._failed_there(ticket):
-                found = self._target.choose(ticket, target, now, standing)
+                found = self._target.choose(ticket, target, now, share_state)
             case Stage.CANARY if not ticket.returned and not self._failed_there(ticket):
-                found = self._canary(ticket, target, now)
-        return found or self._others.choose(ticket, others, now, standing)
+                found = self._choose_canary(ticket, target, now)
+        return found or self._others.choose(ticket, others, now, share_state)
 
-    def _split(self, openings: Openings) -> tuple[Openings, Openings]:
-        """Return the openings of the target version, and those of the others."""
-        serving = self._sides(openings.serving)
-        free = self._sides(openings.free)
-        return Openings(serving[0], free[0]), Openings(serving[1], free[1])
+    def _split(self, available: AvailableReplicas) -> tuple[AvailableReplicas, AvailableReplicas]:
+        """Return the available replicas of the target version, and the available others."""
+        serving = self._sides(available.serving)
+        free = self._sides(available.free)
+        return AvailableReplicas(serving[0], free[0]), AvailableReplicas(serving[1], free[1])
 
     def _failed_there(self, ticket: Ticket) -> bool:
         return bool(ticket.avoid) and self.is_target(ticket.avoid)
 
-    def granted(self, replica: str, now: float) -> Stage | None:
-        """Take note of a call that was granted to ``replica``, and return at which stage."""
+    def record_grant(self, replica: str, now: float) -> Stage | None:
+        """Record a call granted to ``replica``, and return the stage of the rollout."""
         if self.exposure is None:
             return None
         stage = self.exposure.stage(now)
         if self.is_target(replica):
-            self.exposure.sent(now)
+            self.exposure.record_call(now)
             self._calls[replica] += 1
         return stage
 
-    def _canary(self, ticket: Ticket, openings: Openings, now: float) -> ReplicaRoom | None:
-        """Return a replica that takes ``ticket``: the fullest, so that it runs several at once.
+    def _choose_canary(
+        self, ticket: Ticket, available: AvailableReplicas, now: float
+    ) -> ReplicaState | None:
+        """Return the replica that runs ``ticket`` as a canary call, ``None`` if there is none.
 
-        Of idle ones it is the one that was given the fewest calls, since one sick replica alone
-        tells little of its version.
+        It is the one with the most calls in flight, so that it runs several at once. Among idle
+        ones it is the one that was given the fewest calls, because a single faulty replica says
+        little about its version.
         """
-        able = [
-            room
-            for room in openings.free
-            if ticket.may_run_on(room.name, room.region) and room.reads_in_time(ticket, now)
+        candidates = [
+            state
+            for state in available.free
+            if ticket.can_run_on(state.name, state.region) and state.can_answer_in_time(ticket, now)
         ]
-        if not able:
+        if not candidates:
             return None
-        return max(able, key=lambda room: (room.in_flight, -self._calls[room.name]))
+        return max(candidates, key=lambda state: (state.in_flight, -self._calls[state.name]))
--- a/tests/dispatch/test_cellmap.py
+++ b/tests/dispatch/test_cellmap.py
@@ -8,8 +8,8 @@
 from railsail.dispatch.cellmap import CellMap
 from railsail.dispatch.regions import WAY_SECONDS, FleetRegions
 from railsail.scheduling.cells import Cell
-from railsail.scheduling.placing import _preferred
-from railsail.scheduling.room import ReplicaRoom
+from railsail.scheduling.room import ReplicaState
+from railsail.scheduling.selection import _highest_score
 from railsail.scheduling.tickets import Ticket
 from railsail.store.base import Listing, StoredObject
 from railsail.upstreams.directory import UpstreamDirectory
@@ -252,8 +252,8 @@
 def _preferred_in(cells: CellMap, prefix: int, without: str = "") -> str:
     """Return the replica that the dispatcher of the owner cell of ``prefix`` prefers."""
     names = cells.cells(POOL)[cells.owner_cell(POOL, prefix)]
-    replicas = [ReplicaRoom(name, 1) for name in names if name != without]
-    return _preferred(Ticket("n", 1, 1, "w", 0.0, 1.0, 0.0, prefix=prefix), replicas).name
+    replicas = [ReplicaState(name, 1) for name in names if name != without]
+    return _highest_score(Ticket("n", 1, 1, "w", 0.0, 1.0, 0.0, prefix=prefix), replicas).name
 
 
 if __name__ == "__main__":
--- a/tests/scheduling/test_health.py
+++ b/tests/scheduling/test_health.py
@@ -1,11 +1,11 @@
-"""Which replicas are closed, alone and beside others that do as badly."""
+"""Which replicas are ejected, alone and beside others with similar error rates."""
 
 import random
 import unittest
 
 from railsail.scheduling.decisions import Grant
 from railsail.scheduling.dispatcher import CellDispatcher
-from railsail.scheduling.health import CallResult, Peers, ReplicaHealth
+from railsail.scheduling.health import CallResult, GroupHealth, ReplicaHealth
 from railsail.scheduling.tickets import Ticket
 
 
@@ -13,43 +13,43 @@
     def setUp(self):
         self.health = ReplicaHealth()
 
-    def fail(self, result: CallResult, peers: Peers, times: int = 2) -> None:
+    def fail(self, result: CallResult, others: GroupHealth, times: int = 2) -> None:
         for _ in range(times):
-            self.health.failed(0.0, result, peers)
-
-    def test_errors_close_a_replica_that_does_worse_than_the_others(self):
-        self.fail(CallResult.ERROR, Peers(0.0))
-        self.assertTrue(self.health.closed(0.1))
-
-    def test_errors_do_not_close_a_replica_among_others_that_fail_as_often(self):
-        self.fail(CallResult.ERROR, Peers(0.4), times=3)
-        self.assertFalse(self.health.closed(0.1))
-
-    def test_errors_close_nothing_where_too_few_others_are_open(self):
-        self.fail(CallResult.ERROR, Peers(0.0, may_close=False), times=9)
-        self.assertFalse(self.health.closed(0.1))
-
-    def test_replica_out_of_reach_is_closed_whatever_the_others_do(self):
-        self.fail(CallResult.UNREACHABLE, Peers(1.0, may_close=False))
-        self.assertTrue(self.health.closed(0.1))
-
-    def test_answer_that_begins_well_opens_a_replica_before_it_ends(self):
-        self.fail(CallResult.ERROR, Peers())
-        self.assertTrue(self.health.wants_trial)
-        self.health.started()
-        self.assertFalse(self.health.wants_trial)
-        self.health.begun()
+            self.health.call_failed(0.0, result, others)
+
+    def test_errors_eject_a_replica_that_is_worse_than_the_others(self):
+        self.fail(CallResult.ERROR, GroupHealth(0.0))
+        self.assertTrue(self.health.is_ejected(0.1))
+
+    def test_errors_do_not_eject_a_replica_whose_others_fail_as_often(self):
+        self.fail(CallResult.ERROR, GroupHealth(0.4), times=3)
+        self.assertFalse(self.health.is_ejected(0.1))
+
+    def test_errors_eject_no_replica_where_too_few_are_in_service(self):
+        self.fail(CallResult.ERROR, GroupHealth(0.0, can_eject=False), times=9)
+        self.assertFalse(self.health.is_ejected(0.1))
+
+    def test_unreachable_replica_is_ejected_whatever_the_others_do(self):
+        self.fail(CallResult.UNREACHABLE, GroupHealth(1.0, can_eject=False))
+        self.assertTrue(self.health.is_ejected(0.1))
+
+    def test_start_of_a_good_answer_ends_the_ejection(self):
+        self.fail(CallResult.ERROR, GroupHealth())
+        self.assertTrue(self.health.can_probe)
+        self.health.call_started()
+        self.assertFalse(self.health.can_probe)
+        self.health.answer_started()
         self.assertFalse(self.health.tripped)
 
-    def test_calls_from_before_do_not_keep_a_closed_replica_from_being_tried(self):
+    def test_earlier_calls_do_not_keep_an_ejected_replica_from_a_probe(self):
         for _ in range(30):
-            self.health.started()
-        self.fail(CallResult.ERROR, Peers())
-        self.assertTrue(self.health.wants_trial)
+            self.health.call_started()
+        self.fail(CallResult.ERROR, GroupHealth())
+        self.assertTrue(self.health.can_probe)
 
 
 class CellTests(unittest.TestCase):
-    """A cell whose replicas fail a part of their calls."""
+    """A cell in which some of the calls of some replicas fail."""
 
     def setUp(self):
         self.rng = random.Random(5)
@@ -57,33 +57,33 @@
         self.dispatcher.set_replicas(dict.fromkeys("abcdef", 8))
         self.number = 0
 
-    def play(self, failing: set[str], share: float, seconds: float) -> dict[str, int]:
-        """Offer 200 calls a second of 50 ms each, and return how many each replica got."""
-        got = dict.fromkeys("abcdef", 0)
+    def simulate(self, failing: set[str], share: float, seconds: float) -> dict[str, int]:
+        """Offer 200 calls of 50 ms per second, and return how many each replica was given."""
+        granted = dict.fromkeys("abcdef", 0)
         ends: list[tuple[float, int, str]] = []
         for step in range(int(seconds * 200)):
             now = step / 200
             for ended, number, replica in [end for end in ends if end[0] <= now]:
-                bad = replica in failing and self.rng.random() < share
-                result = CallResult.ERROR if bad else CallResult.GOOD
+                fails = replica in failing and self.rng.random() < share
+                result = CallResult.ERROR if fails else CallResult.GOOD
                 self.dispatcher.release(("e", number), 1.0, now, result)
                 ends.remove((ended, number, replica))
             self.number += 1
             ticket = Ticket("e", self.number, 1, "one", 0.0, 1.0, now, urgent=True)
             for decision in self.dispatcher.offer(ticket, now):
                 if isinstance(decision, Grant):
-                    got[decision.replica] += 1
+                    granted[decision.replica] += 1
                     ends.append((now + 0.05, self.number, decision.replica))
-        return got
+        return granted
 
-    def test_cell_whose_replicas_all_fail_at_times_goes_on_serving(self):
-        got = self.play(set("abcdef"), 0.45, 10.0)
-        self.assertGreater(sum(got.values()), 0.95 * 2000)
+    def test_cell_whose_replicas_all_fail_some_calls_continues_to_serve(self):
+        granted = self.simulate(set("abcdef"), 0.45, 10.0)
+        self.assertGreater(sum(granted.values()), 0.95 * 2000)
 
-    def test_one_replica_that_fails_at_times_gets_far_less_than_the_others(self):
-        got = self.play({"a"}, 0.45, 10.0)
-        self.assertLess(got["a"], 0.5 * got["b"])
-        self.assertGreater(sum(got.values()), 0.95 * 2000)
+    def test_single_failing_replica_is_given_far_fewer_calls(self):
+        granted = self.simulate({"a"}, 0.45, 10.0)
+        self.assertLess(granted["a"], 0.5 * granted["b"])
+        self.assertGreater(sum(granted.values()), 0.95 * 2000)
 
 
 if __name__ == "__main__":
--- a/tests/scheduling/test_returning.py
+++ b/tests/scheduling/test_returning.py
@@ -1,4 +1,4 @@
-"""Who came back is known from what was refused, and replayed with a flood that is refused once."""
+"""Retries are recognized by the refusals before them, alone and in a simulated overload."""
 
 import random
 import unittest
@@ -6,9 +6,9 @@
 from railsail.scheduling.decisions import Grant, Hold, Refusal
 from railsail.scheduling.dispatcher import CellDispatcher
 from railsail.scheduling.returning import (
-    COME_BACK_SLACK_SECONDS,
-    MOST_REMEMBERED,
-    RETURN_WAIT_OBJECTIVES,
+    MAX_REMEMBERED,
+    RETRY_SLACK_SECONDS,
+    RETRY_WAIT_OBJECTIVES,
     RefusedCallers,
 )
 from railsail.scheduling.tickets import Ticket
@@ -18,37 +18,37 @@
     def setUp(self):
         self.refused = RefusedCallers()
 
-    def test_request_that_was_refused_comes_back_once(self):
+    def test_refused_request_is_recognized_once(self):
         self.refused.refused(7, 2.0, 0.0)
         self.assertTrue(self.refused.comes_back(7, 2.1))
         self.assertFalse(self.refused.comes_back(7, 2.1))
 
-    def test_first_try_of_another_is_none(self):
+    def test_first_attempt_of_another_request_is_no_retry(self):
         self.refused.refused(7, 2.0, 0.0)
         self.assertFalse(self.refused.comes_back(8, 2.1))
 
-    def test_refusal_is_forgotten_when_its_caller_stays_away(self):
+    def test_refusal_is_dropped_when_the_retry_is_too_late(self):
         self.refused.refused(7, 2.0, 0.0)
-        self.assertFalse(self.refused.comes_back(7, 2.1 + COME_BACK_SLACK_SECONDS))
+        self.assertFalse(self.refused.comes_back(7, 2.1 + RETRY_SLACK_SECONDS))
 
-    def test_equal_requests_come_back_as_often_as_they_were_refused(self):
+    def test_equal_requests_are_recognized_as_often_as_they_were_refused(self):
         for _ in range(3):
             self.refused.refused(7, 2.0, 0.0)
         self.assertEqual([self.refused.comes_back(7, 1.0) for _ in range(4)], [True] * 3 + [False])
 
-    def test_request_without_a_fingerprint_is_never_known(self):
+    def test_request_without_a_fingerprint_is_never_recognized(self):
         self.refused.refused(0, 2.0, 0.0)
         self.assertFalse(self.refused.comes_back(0, 1.0))
 
-    def test_memory_is_bounded(self):
-        for number in range(MOST_REMEMBERED + 10):
+    def test_number_of_remembered_refusals_is_bounded(self):
+        for number in range(MAX_REMEMBERED + 10):
             self.refused.refused(number + 1, 2.0, 0.0)
         self.assertFalse(self.refused.comes_back(1, 1.0))
-        self.assertTrue(self.refused.comes_back(MOST_REMEMBERED + 10, 1.0))
+        self.assertTrue(self.refused.comes_back(MAX_REMEMBERED + 10, 1.0))
 
 
-class FloodTests(unittest.TestCase):
-    """Twice what a cell can serve, each caller with a deadline of its own and one repeat."""
+class OverloadTests(unittest.TestCase):
+    """Twice what a cell can serve; each caller has a deadline of its own and retries once."""
 
     OBJECTIVE = 0.4
     SECONDS = 0.2
@@ -74,64 +74,64 @@
             fingerprint=fingerprint,
         )
 
-    def play(self, seconds: float, per_second: int) -> tuple[list[float], list[float], int]:
-        """Return how long first tries and repeats waited before a refusal, and those held."""
-        coming = [(n / per_second, n + 1, False) for n in range(int(seconds * per_second))]
-        ending: list[tuple[float, Ticket]] = []
+    def simulate(self, seconds: float, per_second: int) -> tuple[list[float], list[float], int]:
+        """Return the waits of refused first attempts and of refused retries, and the holds."""
+        arrivals = [(n / per_second, n + 1, False) for n in range(int(seconds * per_second))]
+        running: list[tuple[float, Ticket]] = []
         waits: dict[bool, list[float]] = {False: [], True: []}
-        held = 0
+        holds = 0
         now = 0.0
-        repeats = set()
-        while coming or ending or len(self.dispatcher.queue):
+        retries = set()
+        while arrivals or running or len(self.dispatcher.queue):
             now += 0.005
-            due = [item for item in coming if item[0] <= now]
-            coming = [item for item in coming if item[0] > now]
-            for ticket in [t for at, t in ending if at <= now]:
+            due = [item for item in arrivals if item[0] <= now]
+            arrivals = [item for item in arrivals if item[0] > now]
+            for ticket in [t for at, t in running if at <= now]:
                 self.dispatcher.answered(ticket.key, now)
                 self.dispatcher.release(ticket.key, 100.0, now)
-            ending = [item for item in ending if item[0] > now]
+            running = [item for item in running if item[0] > now]
             decisions = []
-            for _, fingerprint, repeat in due:
+            for _, fingerprint, is_retry in due:
                 ticket = self.ticket(fingerprint, now)
-                if repeat:
-                    repeats.add(ticket.number)
+                if is_retry:
+                    retries.add(ticket.number)
                 decisions += self.dispatcher.put(ticket, now)
             decisions += self.dispatcher.pump(now)
             for decision in decisions:
                 ticket = decision.ticket
-                repeat = ticket.number in repeats
+                is_retry = ticket.number in retries
                 if isinstance(decision, Grant):
-                    ending.append((now + self.SECONDS, ticket))
+                    running.append((now + self.SECONDS, ticket))
                 elif isinstance(decision, Refusal):
-                    waits[repeat].append(now - ticket.enqueued_at)
-                    if not repeat:
-                        coming.append((now + decision.come_back, ticket.fingerprint, True))
+                    waits[is_retry].append(now - ticket.enqueued_at)
+                    if not is_retry:
+                        arrivals.append((now + decision.come_back, ticket.fingerprint, True))
                 else:
-                    held += repeat
-        return waits[False], waits[True], held
+                    holds += is_retry
+        return waits[False], waits[True], holds
 
-    def test_first_tries_are_refused_soon_and_repeats_are_known(self):
-        first, again, held = self.play(6.0, 80)
-        self.assertTrue(first and again)
-        # A first try is told within its patience and a look at the queue.
+    def test_first_attempts_are_refused_soon_and_retries_are_recognized(self):
+        first, retries, holds = self.simulate(6.0, 80)
+        self.assertTrue(first and retries)
+        # A first attempt is refused within its maximum wait and one step of the queue.
         self.assertLess(max(first), self.OBJECTIVE / 5 + 0.011)
-        self.assertLess(max(again), RETURN_WAIT_OBJECTIVES * self.OBJECTIVE + 0.011)
-        # Each refused first try came back and was known.
-        self.assertEqual(held, len(first))
+        self.assertLess(max(retries), RETRY_WAIT_OBJECTIVES * self.OBJECTIVE + 0.011)
+        # Each refused first attempt was retried, and the retry was recognized.
+        self.assertEqual(holds, len(first))
 
-    def test_repeats_take_nothing_from_those_that_can_be_in_time(self):
-        alone = self.play(4.0, 80)
+    def test_retries_displace_no_tickets_that_can_be_in_time(self):
+        recognized = self.simulate(4.0, 80)
         self.setUp()
-        self.dispatcher._refused.comes_back = lambda fingerprint, now: False
-        alike = self.play(4.0, 80)
-        # Fewer first tries are refused than where repeats wait among them.
-        self.assertLess(len(alone[0]), len(alike[0]))
+        self.dispatcher._refusals.comes_back = lambda fingerprint, now: False
+        unrecognized = self.simulate(4.0, 80)
+        # Fewer first attempts are refused than where retries wait among them.
+        self.assertLess(len(recognized[0]), len(unrecognized[0]))
 
-    def test_nobody_is_taken_for_returned_where_nobody_was_refused(self):
-        first, again, held = self.play(4.0, 30)
-        self.assertEqual((first, again, held), ([], [], 0))
+    def test_no_request_is_taken_for_a_retry_where_none_was_refused(self):
+        first, retries, holds = self.simulate(4.0, 30)
+        self.assertEqual((first, retries, holds), ([], [], 0))
 
-    def test_entry_is_told_that_the_ticket_may_wait_longer(self):
+    def test_retry_is_given_a_longer_maximum_wait(self):
         for _ in range(9):
             self.dispatcher.offer(self.ticket(0, 0.0), 0.0)
         self.dispatcher.offer(self.ticket(77, 0.0), 0.0)
@@ -139,7 +139,7 @@
         self.assertIn(77, [refusal.ticket.fingerprint for refusal in refusals])
         (hold,) = self.dispatcher.offer(self.ticket(77, 1.0), 1.0)
         self.assertIsInstance(hold, Hold)
-        self.assertAlmostEqual(hold.ticket.patience, RETURN_WAIT_OBJECTIVES * self.OBJECTIVE)
+        self.assertAlmostEqual(hold.ticket.patience, RETRY_WAIT_OBJECTIVES * self.OBJECTIVE)
 
 
 if __name__ == "__main__":
--- a/tests/scheduling/test_speeds.py
+++ b/tests/scheduling/test_speeds.py
@@ -1,4 +1,4 @@
-"""Replicas of one pool that differ in speed, as a dispatcher finds out by their answers."""
+"""The dispatcher learns from the answers that the replicas of a pool differ in speed."""
 
 import random
 import unittest
@@ -7,31 +7,32 @@
 from railsail.scheduling.decisions import Decision, Grant
 from railsail.scheduling.dispatcher import CellDispatcher
 from railsail.scheduling.health import CallResult
-from railsail.scheduling.room import ReplicaRoom
+from railsail.scheduling.room import ReplicaState
 from railsail.scheduling.tickets import Ticket, TicketKey
 
 SPEEDS = {"usual": 1.0, "fast": 1.3}
-READ_RATE = 60_000.0
-# Prompts of three lengths come by turns.
+PREFILL_RATE = 60_000.0
+# The prompts have these three lengths in turn.
 LENGTHS = (800, 2400, 5800)
 TOKENS = sum(LENGTHS) / len(LENGTHS)
-# Any answer takes so many seconds beyond reading, and as many more until it is whole.
+# An answer starts this many seconds after its prefill, and is complete at the same time.
 BASE_SECONDS = 0.03
+# Length of a step of the simulation.
 STEP_SECONDS = 0.005
 
 
 class Pool:
-    """Two engines that read one prompt after the other, and their dispatcher."""
+    """Two engines that prefill one prompt after the other, and their dispatcher."""
 
     def __init__(self) -> None:
         self.cell = CellDispatcher(lambda workspace: 1.0, random.Random(5))
         self.cell.set_replicas(dict.fromkeys(SPEEDS, 12))
         self.granted: Counter[str] = Counter()
         self._free_at = dict.fromkeys(SPEEDS, 0.0)
-        self._begins: list[tuple[float, TicketKey]] = []
+        self._answers: list[tuple[float, TicketKey]] = []
 
-    def play(self, seconds: float, every: float) -> None:
-        """Offer a ticket ``every`` so many seconds."""
+    def run(self, seconds: float, interval: float) -> None:
+        """Offer a ticket every ``interval`` seconds."""
         steps = round(seconds / STEP_SECONDS)
         number, due = 0, 0.0
         for step in range(steps):
@@ -39,7 +40,7 @@
             self._answer(now)
             while due <= now:
                 number += 1
-                due += every
+                due += interval
                 self._grant(self.cell.offer(_ticket(number, now), now), now)
             self._grant(self.cell.pump(now), now)
 
@@ -48,18 +49,18 @@
             if isinstance(decision, Grant):
                 name = decision.replica
                 self.granted[name] += 1
-                seconds = decision.ticket.prompt_tokens / (READ_RATE * SPEEDS[name])
+                seconds = decision.ticket.prompt_tokens / (PREFILL_RATE * SPEEDS[name])
                 self._free_at[name] = max(self._free_at[name], now) + seconds
-                begins = self._free_at[name] + BASE_SECONDS
-                self._begins.append((begins, decision.ticket.key))
+                answer_at = self._free_at[name] + BASE_SECONDS
+                self._answers.append((answer_at, decision.ticket.key))
 
     def _answer(self, now: float) -> None:
-        for begins, key in sorted(self._begins):
-            if begins > now:
+        for answer_at, key in sorted(self._answers):
+            if answer_at > now:
                 return
-            self._begins.remove((begins, key))
-            self.cell.answered(key, begins)
-            self.cell.release(key, 1.0, begins, CallResult.GOOD)
+            self._answers.remove((answer_at, key))
+            self.cell.answered(key, answer_at)
+            self.cell.release(key, 1.0, answer_at, CallResult.GOOD)
 
 
 def _ticket(number: int, now: float) -> Ticket:
@@ -80,29 +81,29 @@
 class SpeedTests(unittest.TestCase):
     def setUp(self):
         self.pool = Pool()
-        # Nine tenths of what both can read.
-        self.pool.play(40.0, TOKENS / (0.9 * READ_RATE * sum(SPEEDS.values())))
-        self.rooms = self.pool.cell.replicas
+        # Nine tenths of what both can prefill.
+        self.pool.run(40.0, TOKENS / (0.9 * PREFILL_RATE * sum(SPEEDS.values())))
+        self.states = self.pool.cell.replicas
 
-    def test_speed_of_each_replica_is_learnt(self):
-        usual, fast = (self.rooms[name].read_rate for name in ("usual", "fast"))
+    def test_prefill_rate_of_each_replica_is_learnt(self):
+        usual, fast = (self.states[name].prefill_rate for name in ("usual", "fast"))
         self.assertAlmostEqual(fast / usual, 1.3, delta=0.2)
 
-    def test_faster_one_is_given_more(self):
+    def test_faster_replica_is_given_more_calls(self):
         granted = self.pool.granted
         self.assertGreater(granted["fast"], 1.15 * granted["usual"])
 
-    def test_faster_one_may_have_more_to_read(self):
-        admitted = {name: self.admitted(room) for name, room in self.rooms.items()}
-        self.assertGreater(admitted["fast"], 1.15 * admitted["usual"])
+    def test_faster_replica_accepts_more_pending_prefill(self):
+        accepted = {name: self.accepted(state) for name, state in self.states.items()}
+        self.assertGreater(accepted["fast"], 1.15 * accepted["usual"])
 
-    def admitted(self, room: ReplicaRoom) -> int:
-        """Return how many tokens ``room`` takes until another prompt would be late there."""
+    def accepted(self, state: ReplicaState) -> int:
+        """Return how many tokens ``state`` accepts before another prompt would be late there."""
         now, number = 1000.0, 0
         tokens = LENGTHS[0]
-        while room.reads_in_time(_ticket(0, now), now):
+        while state.can_answer_in_time(_ticket(0, now), now):
             number += 1
-            room.expect(("next", number), tokens, now)
+            state.record_pending(("next", number), tokens, now)
         return number * tokens
 
 
