--- a/railsail/upstreams/__init__.py
+++ b/railsail/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""Model engines and plain services, each kind a plug-in."""
+"""Clients of model engines and plain services; each kind of upstream is a plug-in."""
--- a/railsail/upstreams/base.py
+++ b/railsail/upstreams/base.py
@@ -1,4 +1,4 @@
-"""The typed interface to upstreams; each kind is a plug-in in its own module."""
+"""The interface to upstreams. Each kind of upstream is a plug-in in a module of its own."""
 
 from collections.abc import Mapping
 from typing import Protocol
@@ -14,9 +14,10 @@
 class UpstreamCall(msgspec.Struct, frozen=True):
     """One call to one replica.
 
-    ``endpoint`` is ``ip:port``. ``priority`` is passed to kinds that honour one, lower first.
-    ``stream`` says that the caller asked for an event stream. ``on_head`` hears the head of each
-    answer of the replica to this call, whatever becomes of it.
+    ``endpoint`` is ``ip:port``. ``priority`` is sent to the kinds that support it; lower numbers
+    are served first. ``stream`` is true if the caller requested an event stream. ``on_head`` is
+    called with the status and headers of each answer of the replica to this call, also of one that
+    is discarded.
     """
 
     endpoint: str
@@ -33,42 +34,47 @@
 
 
 class AnswerSink(Protocol):
-    """Where a kind puts the answer; awaiting it holds the replica back while the caller is slow."""
+    """The destination of an answer.
+
+    A kind awaits each call, so that a slow caller slows the replica down. ``started`` is true once
+    ``start`` was called.
+    """
 
     started: bool
 
     async def start(self, status: int, content_type: str, whole: bool = False) -> None:
-        """Begin the answer; ``whole`` says that all of it is there already."""
+        """Start the answer; ``whole`` is true if it was already received completely."""
 
     async def write(self, chunk: bytes) -> None:
-        """Add to the body of the answer."""
+        """Append ``chunk`` to the body of the answer."""
 
     def progress(self, cost: float) -> None:
-        """Take note of the cost so far, in cost units."""
+        """Record the cost of the call so far, in cost units of the pool."""
 
 
 class UpstreamKind:
-    """The base of all kinds of upstreams.
+    """The base class of all kinds of upstreams.
 
-    Override ``run``; override ``load`` where replicas report their load, and ``cancel`` where a
-    call goes on after its connection was closed.
+    Override ``run``. Override ``load`` and set ``reports_load`` if the replicas report their load.
+    Override ``cancel`` if a call continues after its connection was closed.
     """
 
     reports_load = False
 
     async def run(self, call: UpstreamCall, sink: AnswerSink) -> Outcome:
-        """Make ``call`` once, put a whole answer into ``sink``, and return the outcome.
+        """Make ``call`` once, write the answer into ``sink``, and return the outcome.
 
-        ``NotRun`` is returned only if no byte was sent, or the replica said so.
+        ``NotRun`` is returned only if no byte was sent, or if the replica said that it did not run
+        the request.
         """
         raise NotImplementedError
 
     async def load(self, endpoint: str, on_head: HeadListener) -> LoadReport | None:
         """Return the load that the replica reports, or ``None`` if it did not answer.
 
-        ``on_head`` hears the head of its answer.
+        ``on_head`` is called with the status and headers of its answer.
         """
         return None
 
     async def cancel(self, call: UpstreamCall) -> None:
-        """Tell the replica that nobody waits for the answer any more."""
+        """Ask the replica to stop a call whose answer nobody waits for any more."""
--- a/railsail/upstreams/connections.py
+++ b/railsail/upstreams/connections.py
@@ -1,9 +1,10 @@
-"""Connections to replicas that are kept between requests: a connection pool for each replica.
+"""A pool of keep-alive connections to replicas.
 
-A replica may forget an idle connection without a word, and resets what is next sent on it; whether
-a request ran is then not known. So the first line of a request goes ahead, which no replica can
-run. The rest follows when the line was acknowledged and nothing else came. If that fails, no
-request was sent, and it goes on a new connection. This takes a round trip, as connecting does.
+A replica may drop an idle connection without notice and reset it when the next request arrives. It
+is then not known whether that request ran. A kept connection is therefore probed with the first
+line of the request, which no replica can run on its own. The rest of the request follows once the
+line was acknowledged and nothing else was received. If the probe fails, no request was sent, and
+the request uses a new connection. The probe takes a round trip, as connecting does.
 """
 
 import asyncio
@@ -15,18 +16,21 @@
 from railsail.upstreams.idle import MOST_AT_PLACE, IdleConnections, Place
 from railsail.upstreams.streams import UpstreamStream
 
-# A connection is looked at after the time that it took to connect and a little more, and then less
-# and less often. The replica's process may reset it after its system has acknowledged the line.
+# A probe is first checked after the time that the connection took to connect plus this margin, then
+# with exponential backoff. The margin leaves the replica's process the time to reset the connection
+# after its operating system has acknowledged the line.
 SETTLE_SECONDS = 0.003
+# Bounds the time to the first check.
 MOST_PAUSE_SECONDS = 0.05
-# Acknowledgements may be held back for 40 ms.
+# Bounds the whole probe. An operating system may delay an acknowledgement by 40 ms.
 MOST_CHECK_SECONDS = 0.1
 
 
 class ConnectionPool:
     """Keep idle connections to replicas for at most ``seconds``.
 
-    ``takes_work`` says whether requests may be sent to a place.
+    ``takes_work`` returns whether requests may be sent to the replica at a place. At most
+    ``most_at_place`` connections are kept for each place.
     """
 
     def __init__(
@@ -44,17 +48,18 @@
         self._idle: IdleConnections[UpstreamStream] = IdleConnections(most_at_place)
         self._expiries: dict[UpstreamStream, asyncio.TimerHandle] = {}
         self._closed = False
-        # Replicas may have forgotten the connections of a process that stood still.
+        # While this process was suspended, replicas may have dropped their connections to it.
         kernel.pauses.on_end(lambda seconds: self.clear("pause"))
 
     def __len__(self) -> int:
         return len(self._idle)
 
     def keeps(self, request: HttpRequest) -> bool:
-        """Say whether the connection of ``request`` may be kept.
+        """Return True if ``request`` may use a kept connection, and its own be kept after it.
 
-        Without an id a late answer to another request cannot be told from its own. A path that
-        breaks the first line is refused by the codec, and must not be sent ahead.
+        A request without an id may not, because a late answer to an earlier request could be taken
+        for its own. Neither may one with a control character in its path: the codec refuses it, so
+        its first line must not be sent either.
         """
         if self._closed or not self.most_idle_seconds:
             return False
@@ -86,13 +91,13 @@
                 self._discard(stream, reason)
         if not reason:
             return stream
-        self._tell(f"an idle connection is {reason}", request, stream)
-        # What ended this connection may have ended the others of its replica.
+        self._tell(f"an idle connection cannot be used: {reason}", request, stream)
+        # Its cause, such as a restart of the replica, may affect the other connections to it.
         self.drop(request.replica, reason)
         return None
 
     def give_back(self, request: HttpRequest, stream: UpstreamStream, seconds: float) -> None:
-        """Take back the connection of a whole answer, which may be idle for ``seconds``."""
+        """Keep a connection after a complete answer, idle for at most ``seconds``, or close it."""
         stream.answers += 1
         stream.answered_at = self._clock.monotonic()
         reason = self._unfit(request, stream, seconds)
@@ -110,13 +115,13 @@
             return "not-kept"
         if not self._takes_work(_place(request)):
             return "leaving"
-        # A request that is not written whole would go on where the next one is due.
+        # The unwritten rest of this request would be sent in front of the next one.
         if stream.writing() or not stream.quiet():
             return "unread"
         return ""
 
     def broke(self, request: HttpRequest, stream: UpstreamStream, problem: BaseException) -> None:
-        """Close the connection of an exchange that ended with ``problem``."""
+        """Close the connection of an exchange that failed with ``problem``."""
         self._discard(stream, "broke")
         if not isinstance(problem, CutOff):
             return
@@ -139,7 +144,7 @@
         )
 
     def drop(self, replica: str, reason: str) -> None:
-        """Close the idle connections of ``replica``."""
+        """Close the idle connections to ``replica``; ``reason`` is the metric's label."""
         for place in self._idle.places():
             if place.replica == replica:
                 self._drop_place(place, reason)
@@ -149,7 +154,7 @@
             self._end(stream, reason)
 
     def review(self) -> None:
-        """Close the idle connections of replicas that may not be sent requests any more."""
+        """Close the idle connections to replicas that may not be sent requests any more."""
         for place in self._idle.places():
             if not self._takes_work(place):
                 self._drop_place(place, "leaving")
@@ -160,7 +165,7 @@
             self._drop_place(place, reason)
 
     def close(self) -> None:
-        """Close all idle connections, and keep no more."""
+        """Close all idle connections, and keep none from now on."""
         self._closed = True
         self.clear("stop")
 
@@ -185,7 +190,10 @@
 
 
 async def _check(stream: UpstreamStream, line: bytes) -> str:
-    """Send ``line`` ahead; return why the connection cannot be used, nothing if it can."""
+    """Probe a kept connection with ``line``, the first line of the next request.
+
+    Return why the connection cannot be used, an empty string if it can.
+    """
     if not stream.quiet():
         return "closed"
     loop = asyncio.get_running_loop()
--- a/railsail/upstreams/directory.py
+++ b/railsail/upstreams/directory.py
@@ -1,9 +1,10 @@
-"""All replicas that the fleet knows, and which of them are leaving.
+"""The directory of all replicas of the fleet, which decides which of them are leaving.
 
-This is the one place that decides it. The platform's list says so, which lags and may be away, with
-a version per record; and signs do: a daemon's word that the replica itself said so in an answer or
-a load report, or that another one has its address. Either suffices. How records merge is told in
-``railsail.upstreams.merging``.
+A leaving replica drains before it stops, and gets no new work. A replica is leaving if either of
+two sources says so. One is the platform's list, which has a version for each record, but lags
+behind and may be unavailable. The other is a signal: a daemon reports that the replica announced it
+in an answer or a load report, or that another replica has its address. The rules by which records
+merge are in ``railsail.upstreams.merging``.
 """
 
 import operator
@@ -38,17 +39,17 @@
 
 
 class VersionRules(Protocol):
-    """Which software versions of a service are sent requests, as its rollouts decide it."""
+    """The rules, set by rollouts, for which software versions of a service get new work."""
 
     def running(self, service: str) -> Order | None:
-        """Return the order of the rollout that runs, ``None`` if there is none."""
+        """Return the order of the running rollout of ``service``, ``None`` if none runs."""
 
     def takes_work(self, service: str, software_version: str) -> bool:
-        """Say whether replicas of a version may be given new work."""
+        """Return True if replicas of ``software_version`` may be given new work."""
 
 
 class _AnyVersion:
-    """The rules where nothing is known of rollouts."""
+    """Rules that allow all versions, in force until rollouts set others."""
 
     def running(self, service: str) -> Order | None:
         return None
@@ -58,7 +59,11 @@
 
 
 class UpstreamDirectory:
-    """Hold the records of all replicas; ``flood`` passes news to all neighbours but one."""
+    """The records of all replicas.
+
+    ``flood`` sends an update to all neighbours but the given one. ``monotonic`` and ``wall`` return
+    seconds.
+    """
 
     def __init__(
         self,
@@ -74,8 +79,8 @@
         self._merger = RecordMerger(monotonic)
         self.evacuations = Evacuations(self._flood_domains, events, monotonic)
         self.evacuations.on_change(self._changed)
-        # Until when a replica is cold, by the clock of this node, counted from when its record
-        # came: clocks of nodes differ, and may jump.
+        # When the cold time of each replica ends, on the monotonic clock. It counts from when this
+        # node received the record, because the wall clocks of nodes differ and may jump.
         self._cold_until: dict[str, float] = {}
         self._rebirth_listeners: list[Callable[[Upstream], None]] = []
         self._refused = RefusedRecords()
@@ -89,7 +94,7 @@
         self._listeners.append(listener)
 
     def on_rebirth(self, listener: Callable[[Upstream], None]) -> None:
-        """Call ``listener`` with the former record of each replica that has started again."""
+        """Call ``listener`` with the former record of each replica that has restarted."""
         self._rebirth_listeners.append(listener)
 
     def _changed(self) -> None:
@@ -100,51 +105,52 @@
         self._flood(UpstreamNews([], records), source)
 
     def takes_work(self, upstream: Upstream) -> bool:
-        """Say whether ``upstream`` may be given new work."""
+        """Return True if ``upstream`` may be given new work."""
         if upstream.leaving or self.evacuations.active(upstream.failure_domain):
             return False
         return self.takes_version(upstream)
 
     def takes_version(self, upstream: Upstream) -> bool:
-        """Say whether the software version of ``upstream`` may be given new work."""
+        """Return True if the software version of ``upstream`` may be given new work."""
         return self._rules.takes_work(upstream.pool, upstream.software_version)
 
     def follow_rollouts(self, rules: VersionRules) -> None:
-        """Give work to software versions by ``rules`` from now on."""
+        """Let ``rules`` decide from now on which software versions get new work."""
         self._rules = rules
         self._changed()
 
     @property
     def follows_rollouts(self) -> bool:
-        """Say whether rollouts decide which software versions are given work."""
+        """Return True if rollouts decide which software versions get new work."""
         return not isinstance(self._rules, _AnyVersion)
 
     def rollouts_changed(self) -> None:
-        """Take note that the rules of software versions say something else now."""
+        """Notify the listeners that the rules now allow other software versions."""
         self._changed()
 
     def rollout(self, pool: str) -> Order | None:
-        """Return the order of the rollout of ``pool`` that runs, ``None`` if there is none."""
+        """Return the order of the running rollout of ``pool``, ``None`` if none runs."""
         return self._rules.running(pool)
 
     def keeps_prefixes(self, upstream: Upstream) -> bool:
-        """Say whether prompts' beginnings may have their home at ``upstream``.
+        """Return True if ``upstream`` may own prompt prefixes.
 
-        They move to the target version of a rollout once that has succeeded.
+        Prefixes move to the target version of a rollout once the rollout has succeeded.
         """
         return self.settled(upstream) and self.takes_work(upstream)
 
     def settled(self, upstream: Upstream) -> bool:
-        """Say whether no rollout tries the version of ``upstream``, or has stopped it."""
+        """Return True if the version of ``upstream`` may get work and is not being rolled out."""
         order = self.rollout(upstream.pool)
         if order is not None and upstream.software_version == order.target_version:
             return False
         return self.takes_version(upstream)
 
     def cold_seconds(self, name: str, after_evacuation: float) -> float:
-        """Return for how many seconds a replica will be cold, 0 or less if it is not.
+        """Return for how many more seconds a replica is cold, 0 or less if it is not cold.
 
-        After an evacuation it is taken for cold for ``after_evacuation`` seconds.
+        A replica is also cold for ``after_evacuation`` seconds from the end of the evacuation of
+        its failure domain.
         """
         upstream = self._upstreams.get(name)
         if upstream is None:
@@ -154,31 +160,31 @@
         return max(by_itself, after_evacuation - since_end)
 
     def get(self, name: str) -> Upstream | None:
-        """Return the replica of ``name``."""
+        """Return the record of the replica ``name``, ``None`` if there is none."""
         return self._upstreams.get(name)
 
     def of_pool(self, pool: str) -> list[Upstream]:
-        """Return the replicas of ``pool`` that are not gone, by name."""
+        """Return the replicas of ``pool`` that are not gone, sorted by name."""
         return sorted(self.each_of_pool(pool), key=lambda upstream: upstream.name)
 
     def each_of_pool(self, pool: str) -> Iterator[Upstream]:
-        """Give the replicas of ``pool`` that are not gone, in any order."""
+        """Yield the replicas of ``pool`` that are not gone, in any order."""
         for upstream in self._upstreams.values():
             if upstream.pool == pool and upstream.listed is not Listed.GONE:
                 yield upstream
 
     def all(self) -> list[Upstream]:
-        """Return all records, by name."""
+        """Return all records, sorted by name."""
         return [self._upstreams[name] for name in sorted(self._upstreams)]
 
     @property
     def digest(self) -> int:
-        """Return a 32-bit sum over all records; equal directories have equal sums."""
+        """Return a 32-bit checksum of all records; equal directories have equal checksums."""
         sums = (_digest_of_domain(evacuation) for evacuation in self.evacuations.all())
         return reduce(operator.xor, sums, self._digest)
 
     def listed(self, listing: Listing) -> None:
-        """Take in a listing of the store; what it lacks is gone, unless it is not settled yet."""
+        """Apply a listing of the store. If it is settled, replicas that it lacks are gone."""
         names = {stored.name for stored in listing.objects}
         events = [as_event(stored) for stored in listing.objects]
         for upstream in self.all() if listing.settled else ():
@@ -187,38 +193,45 @@
         self._take([self._from_event(event) for event in events], "", Source.LIST)
 
     def seen(self, event: WatchEvent) -> None:
-        """Take in a watch event of the store."""
+        """Apply a watch event of the store."""
         self._take([self._from_event(event)], "", Source.LIST)
 
     def received(self, node: str, news: UpstreamNews) -> None:
-        """Take in news of a peer."""
+        """Apply an update of the peer ``node``."""
         self.evacuations.received(node, news.domains)
         self._take([from_record(record) for record in news.upstreams], node, Source.PEER)
 
     def sign_leaving(self, name: str, source: Source, at: float) -> None:
-        """Take note that a replica leaves, as ``source`` said; ``at`` is now, of the wall clock."""
+        """Record a signal from ``source`` that a replica is leaving.
+
+        ``at`` is the current wall clock time in seconds.
+        """
         known = self._upstreams.get(name)
         if known is not None and not known.signed_leaving:
             self._sign(known, True, source, at)
 
     def withdraw(self, name: str, source: Source, at: float) -> None:
-        """Take note that a replica leaves no more, as the ``source`` that had said so says now."""
+        """Record that ``source`` took back its signal that a replica is leaving.
+
+        ``at`` is the current wall clock time in seconds.
+        """
         known = self._upstreams.get(name)
         if known is not None and known.signed_leaving:
             self._sign(known, False, source, at)
 
     def _sign(self, known: Upstream, leaving: bool, source: Source, at: float) -> None:
-        # Clocks of nodes and replicas differ: a sign is never older than the life that it is of.
+        # The clocks of nodes and replicas differ, but a signal must not appear to be older than the
+        # last one or than the start of the replica, since it would be ignored.
         at_ms = max(int(at * 1000), known.sign_at + 1, known.born)
         signed = replace(known, sign_version=known.version, sign_at=at_ms, sign_leaving=leaving)
         self._take([signed], "", source)
 
     def news_of(self, upstream: Upstream) -> UpstreamNews:
-        """Return what is known of one replica, for a peer that seems not to know it."""
+        """Return the record of one replica as an update, for a peer that seems not to have it."""
         return UpstreamNews([to_record(upstream)])
 
     def news(self) -> UpstreamNews:
-        """Return all records, for a peer that asks."""
+        """Return all records as an update, for a peer that requested them."""
         records = [to_record(upstream) for upstream in self.all()]
         return UpstreamNews(records, self.evacuations.records())
 
@@ -227,7 +240,8 @@
         parsed = parse_record(event, self._refused) if event.value is not None else None
         if parsed is not None or known is None:
             return parsed
-        # A record that cannot be read names no replica, also where one was known by its name.
+        # A record that is deleted or cannot be parsed means that there is no such replica, also if
+        # an earlier record of its name was valid.
         return replace(known, version=event.version, listed=Listed.GONE)
 
     def _take(self, candidates: list[Upstream | None], node: str, source: Source) -> None:
@@ -245,8 +259,9 @@
             self._changed()
 
     def _put(self, upstream: Upstream) -> bool:
-        """Keep a record, and say whether it changes more than how long a replica stays cold."""
-        # The sum goes into every heartbeat, so that it is kept and not made from all records.
+        """Store a record; return True if more has changed than a cold time that counts down."""
+        # Every heartbeat holds the checksum. It is updated here, as computing it from all records
+        # each time would be expensive.
         known = self._upstreams.get(upstream.name)
         if known is not None:
             self._digest ^= digest_of(known)
@@ -272,7 +287,7 @@
     def _tell_rebirth(self, before: Upstream, upstream: Upstream) -> None:
         self._events.emit(
             Kind.UPSTREAM,
-            "started again under its name",
+            "the replica restarted under its name",
             replica=upstream.name,
             pool=upstream.pool,
             born_ms=upstream.born,
@@ -308,7 +323,10 @@
         )
 
     def _sign_age_ms(self, upstream: Upstream) -> int:
-        """Return how old the sign of a replica that leaves is, by the clocks of two nodes."""
+        """Return the age of the signal that a replica is leaving, 0 if there is none.
+
+        Its time may be from the clock of another node, so the age may even be negative.
+        """
         return round(self._wall() * 1000) - upstream.sign_at if upstream.signed_leaving else 0
 
 
--- a/railsail/upstreams/engine.py
+++ b/railsail/upstreams/engine.py
@@ -1,8 +1,8 @@
 """Model engines: the OpenAI-style interface, with streams that can be resumed and cancelled.
 
-Beyond that interface an engine numbers the events of a stream (the field ``id:``), echoes
-``X-Request-Id``, honours ``X-Priority``, and offers ``GET /v1/streams/ID?after=N`` to resume,
-``POST /v1/streams/ID/cancel``, and ``GET /v1/load``. See ``docs/ref/upstreams.md``.
+Beyond that interface, an engine numbers the events of a stream (the field ``id:``), echoes
+``X-Request-Id``, honours ``X-Priority``, and serves ``GET /v1/streams/ID?after=N`` to resume a
+stream, ``POST /v1/streams/ID/cancel``, and ``GET /v1/load``. See ``docs/ref/upstreams.md``.
 """
 
 import asyncio
@@ -36,11 +36,11 @@
 
 
 class _Crossed(CutOff):
-    """What came belongs to another request."""
+    """The answer or event belongs to another request."""
 
 
 class _StreamAnswer:
-    """Pass on the events of one stream, each once, in order, and only if they are its own."""
+    """Forward the events of one stream, each once and in order, and check that they are its own."""
 
     def __init__(self, call: UpstreamCall, sink: AnswerSink) -> None:
         self._call = call
@@ -55,7 +55,7 @@
 
     @property
     def events(self) -> bool:
-        """Say whether the answer is an event stream, not an error with a plain body."""
+        """Return True if the answer is an event stream, not an error with a plain body."""
         return self.other.headers.get("Content-Type", "").startswith(EVENT_STREAM)
 
     async def head(self, status: int, headers: HTTPHeaders) -> None:
@@ -70,7 +70,8 @@
         if not self.events:
             await self.other.data(chunk)
             return
-        # What came together goes on together: one write costs as much as handling an event.
+        # Events that arrive together are forwarded together, because a write costs as much as
+        # handling an event.
         taken = [event.raw for event in self._splitter.feed(chunk) if self._take(event)]
         if not taken:
             return
@@ -81,7 +82,7 @@
 
     def _take(self, event: StreamEvent) -> bool:
         if event.number < self.next_number or self.done:
-            # The engine repeats after a resume what may have been lost.
+            # After a resume, the engine repeats the events that may have been lost.
             return False
         if event.number > self.next_number:
             raise BadStream(f"event {self.next_number} is missing")
@@ -111,7 +112,7 @@
     reports_load = True
 
     async def run(self, call: UpstreamCall, sink: AnswerSink) -> Outcome:
-        """Make the call once; a stream that breaks is resumed at the same engine."""
+        """Make the call once; resume a stream that breaks off at the same engine."""
         if call.stream:
             return await self._run_stream(call, sink)
         return await self._run_whole(call, sink)
@@ -165,7 +166,7 @@
                     return NotRun(Reason.UNREACHABLE, str(caught))
                 problem = str(caught)
                 if caught.refused:
-                    # Its process has ended, and the stream with it.
+                    # The process of the engine has ended, so the stream cannot be resumed.
                     break
             except (CutOff, BadStream) as caught:
                 problem = str(caught)
@@ -205,7 +206,7 @@
             return None
 
     async def cancel(self, call: UpstreamCall) -> None:
-        """Tell the engine to stop a stream."""
+        """Ask the engine to stop a stream."""
         path = f"/v1/streams/{call.request_id}/cancel"
         request = HttpRequest(call.endpoint, "POST", path, {}, on_head=call.on_head)
         await fetch(request, SHORT_CALL_SECONDS)
--- a/railsail/upstreams/evacuations.py
+++ b/railsail/upstreams/evacuations.py
@@ -1,8 +1,9 @@
-"""Which failure domains are evacuated: their replicas are to get no new work.
+"""The evacuated failure domains, whose replicas get no new work.
 
-The platform's store says so, with a version for each domain. Records merge by version, so that
-repeats and reorderings do no harm, and an older list never takes an evacuation back. Nodes pass
-them on, so that they hold while the store is away and for nodes that start meanwhile.
+Evacuations are written to the platform's store, with a version for each domain. Records merge by
+version, so that duplicates and reordering do no harm and an older list never ends an evacuation.
+Nodes broadcast them, so that they apply during an outage of the store too, also on nodes that start
+during it.
 """
 
 from collections.abc import Callable
@@ -17,7 +18,7 @@
 
 
 class Evacuation(msgspec.Struct, frozen=True):
-    """Whether ``domain`` is evacuated, as the store had it at ``version``."""
+    """Whether ``domain`` was evacuated at ``version`` of the store."""
 
     domain: str
     version: int
@@ -25,9 +26,9 @@
 
 
 class Evacuations:
-    """Hold the newest record of each failure domain.
+    """The newest record of each failure domain.
 
-    ``flood`` passes records to all neighbours but the one named; ``monotonic`` tells seconds.
+    ``flood`` sends records to all neighbours but the given one; ``monotonic`` returns seconds.
     """
 
     def __init__(
@@ -40,7 +41,7 @@
         self._events = events
         self._monotonic = monotonic
         self._known: dict[str, Evacuation] = {}
-        # When each domain was taken back, as far as this node has heard.
+        # When this node learnt that the evacuation of each domain had ended.
         self._ended_at: dict[str, float] = {}
         self._listeners: list[Callable[[], None]] = []
 
@@ -49,23 +50,24 @@
         self._listeners.append(listener)
 
     def active(self, domain: str) -> bool:
-        """Say whether ``domain`` is evacuated."""
+        """Return True if ``domain`` is evacuated."""
         known = self._known.get(domain)
         return known is not None and known.evacuated
 
     def seconds_since_end(self, domain: str) -> float:
-        """Return for how long ``domain`` has been in use again, infinite if it always was."""
+        """Return the seconds since the evacuation of ``domain`` ended, infinite if it had none."""
         ended_at = self._ended_at.get(domain)
         return float("inf") if ended_at is None else self._monotonic() - ended_at
 
     def all(self) -> list[Evacuation]:
-        """Return all records, by domain."""
+        """Return all records, sorted by domain."""
         return [self._known[domain] for domain in sorted(self._known)]
 
     def listed(self, listing: Listing) -> None:
-        """Take in a listing of the store; a domain that it lacks is in use again.
+        """Apply a listing of the store; the evacuation of a domain that it lacks has ended.
 
-        One that is not settled yet may lack evacuations that the operator writes again.
+        A listing that is not settled ends no evacuation, because the operator may still have to
+        write some of them again.
         """
         found = [Evacuation(stored.name, stored.version, True) for stored in listing.objects]
         names = {evacuation.domain for evacuation in found}
@@ -75,15 +77,15 @@
         self._take(found, "")
 
     def seen(self, event: WatchEvent) -> None:
-        """Take in a watch event of the store."""
+        """Apply a watch event of the store."""
         self._take([Evacuation(event.name, event.version, event.value is not None)], "")
 
     def received(self, node: str, records: list[DomainRecord]) -> None:
-        """Take in records of the peer ``node``."""
+        """Apply records of the peer ``node``."""
         self._take([Evacuation(r.domain, r.version, r.evacuated) for r in records], node)
 
     def records(self) -> list[DomainRecord]:
-        """Return all records, for a peer that asks."""
+        """Return all records, for a peer that requested them."""
         return [_to_record(evacuation) for evacuation in self.all()]
 
     def _take(self, candidates: list[Evacuation], source: str) -> None:
@@ -104,7 +106,7 @@
         was_active = self.active(evacuation.domain)
         self._known[evacuation.domain] = evacuation
         if not evacuation.evacuated:
-            # Its replicas may have lost their warmth meanwhile, before they say so themselves.
+            # The replicas may have become cold in the meantime, and not have reported it yet.
             self._ended_at[evacuation.domain] = self._monotonic()
         if was_active != evacuation.evacuated:
             self._events.emit(
--- a/railsail/upstreams/heard.py
+++ b/railsail/upstreams/heard.py
@@ -1,4 +1,4 @@
-"""Take note of what replicas say about themselves in answers, on every way that answers come."""
+"""Record the signals that replicas give about themselves in answers of any kind."""
 
 from collections.abc import Callable
 
@@ -16,10 +16,10 @@
 
 
 class HeardSigns:
-    """Hear the heads of replicas' answers.
+    """Record the signals in the heads of replicas' answers.
 
-    That a replica leaves is told to all nodes, through the directory; that it wants rest concerns
-    this node alone.
+    A signal that a replica is leaving is broadcast to all nodes by the directory. A request for
+    backoff applies to this node only.
     """
 
     def __init__(
@@ -32,7 +32,7 @@
         directory.on_rebirth(self._reborn)
 
     def listener(self, replica: str, read: SignReader) -> HeadListener:
-        """Return what hears the heads of answers of ``replica``, whose signs are ``read``."""
+        """Return a listener for the heads of answers of ``replica``; ``read`` parses signals."""
 
         def on_head(status: int, headers: HTTPHeaders) -> None:
             self._heard(replica, status, read(status, headers, self._clock.wall()))
@@ -48,12 +48,12 @@
         elif self._rests.asked(replica, signs.rest, now):
             self._events.emit(
                 Kind.UPSTREAM,
-                "asked this node for rest",
+                "the replica asked this node to back off",
                 replica=replica,
                 status=status,
                 rest_ms=round(signs.rest * 1000),
             )
 
     def _reborn(self, before: Upstream) -> None:
-        # What started again has asked for nothing.
+        # The new process has asked for no backoff.
         self._rests.forget(before.name)
--- a/railsail/upstreams/http.py
+++ b/railsail/upstreams/http.py
@@ -1,8 +1,8 @@
-"""One HTTP exchange over one connection, with an exact point of no return.
+"""One HTTP exchange over one connection, which reports whether the request may have run.
 
-The library's client pools, retries and queues out of sight in some versions; here an exchange takes
-one connection and sends one request, by the library's own HTTP/1 codec. Until all of its head is
-written the request has not run; from then on that is not known.
+Some versions of Tornado's client pool connections, retry or queue requests on their own. An
+exchange here uses one connection and sends one request, through Tornado's HTTP/1 codec. Before its
+whole head is written, the request has not run; after that, it may have.
 """
 
 import asyncio
@@ -28,9 +28,9 @@
 
 
 class NotSent(RailsailError):
-    """No request was written.
+    """No request was sent.
 
-    ``refused`` says that nobody listens at the replica's port, though its host answers.
+    ``refused`` is true if the host of the replica answered, but nothing listens at its port.
     """
 
     def __init__(self, reason: str, refused: bool = False) -> None:
@@ -39,32 +39,33 @@
 
 
 class CutOff(RailsailError):
-    """The request was written at least in part, and no whole answer came."""
+    """The request was sent, at least in part, and no complete answer was received."""
 
 
 HeadListener = Callable[[int, HTTPHeaders], None]
 
 
 def ignore_head(status: int, headers: HTTPHeaders) -> None:
-    """Take no note of what an answer says of its replica."""
+    """Do nothing with the head of an answer."""
 
 
 IdReader = Callable[[HTTPHeaders], str]
 
 
 def read_no_id(headers: HTTPHeaders) -> str:
-    """Return no id of the request that an answer belongs to."""
+    """Return an empty id, for answers that don't name their request."""
     return ""
 
 
 @dataclass(frozen=True)
 class HttpRequest:
-    """What is sent; ``endpoint`` is ``ip:port``.
+    """A request to send to ``endpoint``, which is ``ip:port``.
 
-    ``open_ended`` says that an answer without a length is whole when its connection was closed in
-    order. ``connect_seconds`` bounds the time to connect. ``on_head`` hears status and headers of
-    any answer before its receiver does, which may refuse it. Connections are kept by ``replica``;
-    ``read_id`` reads from an answer the id of its request, which is ``request_id``.
+    If ``open_ended``, an answer without a length is complete when its connection was closed without
+    an error. ``connect_seconds`` bounds the time to connect. ``on_head`` is called with status and
+    headers of any answer before its receiver, which may refuse the answer. The connection may be
+    kept only for a request that names its ``replica`` and ``request_id``; ``read_id`` returns the
+    id of the request that an answer belongs to, from the headers of the answer.
     """
 
     endpoint: str
@@ -81,40 +82,43 @@
 
 
 class Receiver(Protocol):
-    """Where an exchange puts what comes back; awaiting it holds the sender back."""
+    """The destination of an answer; an exchange awaits it, which slows the sender down."""
 
     async def head(self, status: int, headers: HTTPHeaders) -> None:
-        """Take the status and the headers."""
+        """Handle the status and the headers."""
 
     async def data(self, chunk: bytes) -> None:
-        """Take a piece of the body."""
+        """Handle a chunk of the body."""
 
 
 class Connections(Protocol):
-    """Where exchanges take their connections from, and what becomes of these afterwards."""
+    """The source of the connections of exchanges, to which they are given back.
+
+    ``most_idle_seconds`` is the maximum time for which a connection is kept idle.
+    """
 
     most_idle_seconds: float
 
     def keeps(self, request: HttpRequest) -> bool:
-        """Say whether the connection of ``request`` may be kept."""
+        """Return True if the connection of ``request`` may be kept."""
 
     async def take(self, request: HttpRequest) -> UpstreamStream:
         """Return a connection for ``request``; raise ``NotSent`` if there is none."""
 
     def give_back(self, request: HttpRequest, stream: UpstreamStream, seconds: float) -> None:
-        """Take back the connection of a whole answer, which may be idle for ``seconds``."""
+        """Take back a connection after a complete answer; it may be idle for ``seconds``."""
 
     def broke(self, request: HttpRequest, stream: UpstreamStream, problem: BaseException) -> None:
-        """Close the connection of an exchange that ended with ``problem``."""
+        """Close the connection of an exchange that failed with ``problem``."""
 
 
 class NewConnections:
-    """Open a connection for each exchange, and close it after it."""
+    """Connections that are opened for one exchange each, and closed after it."""
 
     most_idle_seconds = 0.0
 
     def keeps(self, request: HttpRequest) -> bool:
-        """Say that no connection is kept."""
+        """Return False: no connection is kept."""
         return False
 
     async def take(self, request: HttpRequest) -> UpstreamStream:
@@ -149,7 +153,7 @@
         self._loop = asyncio.get_running_loop()
         self.whole = False
         self.framed = False
-        # It answers another request, whose answer came late.
+        # The answer is a late one to an earlier request on this connection.
         self.foreign = False
         self.idle_seconds = 0.0
         self.busy = False
@@ -170,12 +174,12 @@
         return self._guard(self._receiver.head(start_line.code, headers))
 
     def _is_foreign(self, status: int, headers: HTTPHeaders) -> bool:
-        """Say whether an answer on a kept connection belongs to another request."""
+        """Return True if an answer on a kept connection belongs to another request."""
         if not self._stream.reused:
             return False
         answered = self._request.read_id(headers)
         if not answered:
-            # An error may have been answered before the id was read; a success was not.
+            # A replica may send an error before it has read the id, but not a success.
             return status < FIRST_ERROR
         return answered != self._request.request_id
 
@@ -185,24 +189,25 @@
     def finish(self) -> None:
         self.whole = True
         if self._stream.writing() and not self.foreign:
-            # The replica may never read the rest of the request, for which the codec would wait.
+            # The codec would wait until the rest of the request is written, which the replica may
+            # never read.
             self._stream.close()
 
     def on_connection_close(self) -> None:
         self.whole = False
 
     def expect_another(self) -> None:
-        """Expect the request's own answer after one that belonged to another request."""
+        """Prepare for the request's own answer after one that belonged to another request."""
         self.whole = False
         self.last = self._loop.time()
 
     async def _guard(self, work: Awaitable[None]) -> None:
-        # Time during which the caller holds us back is not silence of the upstream.
+        # While the receiver waits for a slow caller, the replica does not count as silent.
         self.busy = True
         try:
             await work
         except Exception as problem:
-            # The library would log what is raised here, and hide it from whoever called.
+            # Tornado would log an exception raised here, and not pass it to the caller.
             self.error = problem
             self._stream.close()
         finally:
@@ -216,9 +221,10 @@
 async def exchange(
     request: HttpRequest, receiver: Receiver, connections: Connections = NEW_CONNECTIONS
 ) -> None:
-    """Send ``request`` and put the whole answer into ``receiver``.
+    """Send ``request`` and pass the whole answer to ``receiver``.
 
-    Raise ``NotSent`` or ``CutOff``. Cancelling the task closes the connection.
+    Raise ``NotSent`` or ``CutOff`` if that fails, or the error that ``receiver`` raised. Cancelling
+    the task closes the connection.
     """
     stream = await connections.take(request)
     most_idle = connections.most_idle_seconds if connections.keeps(request) else 0.0
@@ -247,7 +253,7 @@
 async def _exchange_on(
     stream: UpstreamStream, request: HttpRequest, receiver: Receiver, most_idle: float
 ) -> float:
-    """Make an exchange on ``stream``; return for how long the connection may be idle after it."""
+    """Make an exchange on ``stream``; return for how many seconds it may be idle afterwards."""
     delegate = _Delegate(request, receiver, stream, most_idle)
     watch = asyncio.ensure_future(_close_when_silent(stream, delegate))
     try:
@@ -271,7 +277,7 @@
 
 
 async def _read_own(stream: UpstreamStream, delegate: _Delegate) -> None:
-    # One answer too many may come late, and stands before the request's own.
+    # At most one late answer is skipped. The connection is not kept after it.
     delegate.expect_another()
     connection = _codec(stream)
     connection.finish()
@@ -285,7 +291,7 @@
     if not delegate.whole:
         raise CutOff("the replica closed before the end of its answer")
     if not delegate.framed and not (request.open_ended and stream.error is None):
-        # A body that only ends with the connection may be cut short without a sign.
+        # A body that ends with its connection may be truncated without any error.
         raise CutOff("the replica gave no length of its answer")
 
 
@@ -297,7 +303,7 @@
 
 
 def first_line(request: HttpRequest) -> bytes:
-    """Return the first bytes of ``request`` as the codec writes them: its first line."""
+    """Return the first line of ``request``, byte for byte as the codec writes it."""
     return f"{request.method} {request.path} HTTP/1.1\r\n".encode()
 
 
@@ -319,7 +325,10 @@
 
 
 class Collector:
-    """A receiver that keeps a short answer in memory."""
+    """A receiver that keeps a short answer in memory.
+
+    Its ``data`` raises ``ValueError`` if the body has more than ``most_bytes``.
+    """
 
     def __init__(self, most_bytes: int = 1 << 20) -> None:
         self.status = 0
@@ -333,7 +342,7 @@
         self.headers = headers
 
     async def data(self, chunk: bytes) -> None:
-        """Keep a piece of the body."""
+        """Keep a chunk of the body."""
         if len(self.body) + len(chunk) > self._most_bytes:
             raise ValueError("the answer is too long")
         self.body += chunk
@@ -342,7 +351,7 @@
 async def fetch(
     request: HttpRequest, seconds: float, most_bytes: int = 1 << 20
 ) -> Collector | None:
-    """Return a short answer, or ``None`` if none came within ``seconds``."""
+    """Return a short answer, or ``None`` if none was received within ``seconds``."""
     collector = Collector(most_bytes)
     with contextlib.suppress(NotSent, CutOff, TimeoutError):
         async with asyncio.timeout(seconds):
--- a/railsail/upstreams/idle.py
+++ b/railsail/upstreams/idle.py
@@ -1,12 +1,14 @@
-"""Which idle connections are kept, and which of them goes next; no input or output."""
+"""Which idle connections are kept, and which one is used or closed next; does no I/O."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
 from typing import Generic, TypeVar
 
-# A replica bounds the connections of all nodes together, and a large fleet has a hundred nodes.
+# Bounds the idle connections to one replica. A replica limits its connections from all nodes
+# together, and a large fleet has a hundred nodes.
 MOST_AT_PLACE = 1
-# Of the descriptors of a node, callers' connections and running requests need the most.
+# Bounds the idle connections of a node. Most of its file descriptors are needed for the connections
+# of callers and for running requests.
 MOST_IN_ALL = 256
 
 Item = TypeVar("Item")
@@ -14,19 +16,19 @@
 
 @dataclass(frozen=True)
 class Place:
-    """A replica at an endpoint ``ip:port``, which another replica may be given later."""
+    """A replica and its endpoint ``ip:port``, which may be another replica's later."""
 
     replica: str
     endpoint: str
 
 
 class IdleConnections(Generic[Item]):
-    """Hold idle connections by place; the one that was used last is used next."""
+    """Idle connections by place; the one that was used last is used next."""
 
     def __init__(self, most_at_place: int = MOST_AT_PLACE, most_in_all: int = MOST_IN_ALL) -> None:
         self._most_at_place = most_at_place
         self._most_in_all = most_in_all
-        # In the order in which they became idle.
+        # Connections in the order in which they became idle.
         self._place_of: dict[Item, Place] = {}
         self._at: dict[Place, list[Item]] = {}
 
@@ -38,7 +40,7 @@
         return list(self._at)
 
     def put(self, place: Place, item: Item) -> list[Item]:
-        """Hold ``item``; return those that have to be closed for it, the oldest ones."""
+        """Keep ``item``; return the oldest items that have to be closed to make space for it."""
         self._place_of[item] = place
         self._at.setdefault(place, []).append(item)
         return list(self._remove_surplus(place))
@@ -54,7 +56,7 @@
             yield oldest
 
     def take(self, place: Place) -> Item | None:
-        """Return the connection to ``place`` that was used last, which is held no more."""
+        """Remove and return the connection to ``place`` that was used last."""
         items = self._at.get(place)
         if not items:
             return None
@@ -63,7 +65,7 @@
         return item
 
     def remove(self, item: Item) -> bool:
-        """Hold ``item`` no more; say whether it was held."""
+        """Remove ``item``; return True if it was kept."""
         place = self._place_of.pop(item, None)
         if place is None:
             return False
@@ -74,7 +76,7 @@
         return True
 
     def drop(self, place: Place) -> list[Item]:
-        """Return all connections to ``place``, which are held no more."""
+        """Remove and return all connections to ``place``."""
         dropped = list(self._at.get(place, ()))
         for item in dropped:
             self.remove(item)
--- a/railsail/upstreams/keepalive.py
+++ b/railsail/upstreams/keepalive.py
@@ -1,16 +1,17 @@
-"""For how long a replica keeps a connection, as the head of its answer says (RFC 9112, 9.3)."""
+"""For how long a connection may be kept, as the head of an answer says (RFC 9112, section 9.3)."""
 
 from tornado.httputil import HTTPHeaders, ResponseStartLine
 
-# A connection is given up so long before its replica does that, so that the two do not cross.
+# A connection is closed this long before its replica would close it, so that no request is sent
+# while the replica closes it.
 MARGIN_SECONDS = 0.5
 _PARAMETER = "timeout"
-# A replica that answers with an error, or refuses, is given its connection back.
+# After an answer with this status or above, an error or a refusal, the connection is closed.
 FIRST_ERROR = 400
 
 
 def may_be_kept(start: ResponseStartLine, headers: HTTPHeaders) -> bool:
-    """Say whether the connection of an answer may carry another request after it."""
+    """Return True if the connection of an answer may be used for another request."""
     if start.version != "HTTP/1.1" or not 200 <= start.code < FIRST_ERROR:
         return False
     words = headers.get("Connection", "").lower().split(",")
@@ -18,7 +19,7 @@
 
 
 def idle_seconds(headers: HTTPHeaders, most: float) -> float:
-    """Return for how long a connection may be idle, ``most`` at most; 0 if not at all."""
+    """Return for how many seconds, at most ``most``, a connection may be idle; 0 for none."""
     told = _told_seconds(headers.get("Keep-Alive", ""))
     if told is None:
         return most
--- a/railsail/upstreams/merging.py
+++ b/railsail/upstreams/merging.py
@@ -1,10 +1,10 @@
-"""Merge two records of one replica, whichever way and in whatever order they come.
+"""Merge the records of a replica that come from the store and from peers, in any order.
 
-A replica that leaves does not change its mind: a sign holds for its life, whatever the list says of
-that life later, since a record may have been written before the replica decided, and come late. A
-new life is told by the time of its start or, where records lack that, by another address, or by a
-new record long after the sign. Among signs the newest wins, and among the list's records the one of
-the highest version, so that repeats and reorderings do no harm.
+A replica that is leaving stays so until it restarts. A signal therefore holds until then, whatever
+later records say: such a record may have been written before the signal, and arrive late. A restart
+is recognized by the start time or, if records lack it, by another endpoint or by a new record long
+after the signal. The newest signal wins, and so does the listed record with the highest version, so
+that duplicates and reordering do no harm.
 """
 
 from collections.abc import Callable
@@ -13,27 +13,27 @@
 from railsail.store.versions import era_of
 from railsail.upstreams.records import Listed, Upstream
 
-# A replica that says that it leaves has ended so many seconds later: platforms keep one for seconds
-# up to a minute or so. A new record that calls it live after that is of a new life, also where it
-# tells no start.
+# A replica has stopped this many seconds after a signal that it is leaving: platforms allow it some
+# seconds, up to about a minute. A new record that lists it as live after that means that it has
+# restarted, also if the record has no start time.
 LEAVING_SECONDS = 300.0
 
 
 class RecordMerger:
-    """Merge records, and remember what tells lives and older words apart.
+    """Merge records, and remember what is needed to recognize restarts and outdated records.
 
-    ``monotonic`` tells seconds.
+    ``monotonic`` returns seconds.
     """
 
     def __init__(self, monotonic: Callable[[], float]) -> None:
         self._monotonic = monotonic
-        # When this node heard first that a replica leaves.
+        # When this node first received the signal that a replica is leaving.
         self._signed_at: dict[str, float] = {}
-        # Replicas that the list called leaving and has not called live since.
+        # Replicas that the list had as leaving, and not as live since.
         self._listed_leaving: set[str] = set()
 
     def kept(self, upstream: Upstream) -> None:
-        """Take note of a record that is in force now."""
+        """Remember what is needed of a record that is now in the directory."""
         if upstream.listed is Listed.LEAVING:
             self._listed_leaving.add(upstream.name)
         elif upstream.listed is Listed.LIVE:
@@ -44,7 +44,7 @@
             self._signed_at.pop(upstream.name, None)
 
     def merge(self, known: Upstream, candidate: Upstream) -> Upstream:
-        """Return what holds where ``known`` did and ``candidate`` comes."""
+        """Return the record that replaces ``known`` after ``candidate`` was received."""
         merged = known
         if candidate.version > known.version:
             merged = self._with_newer_record(known, candidate)
@@ -59,22 +59,22 @@
         if self._is_older_word(known, candidate):
             merged = _kept_leaving(merged)
         if known.sign_leaving and self._is_new_life(known, candidate):
-            # All nodes that see the new life give it the same sign, which is the newest.
+            # All nodes that see the restart generate the same signal, which is the newest.
             merged = replace(merged, sign_at=known.sign_at + 1, sign_leaving=False)
         return merged
 
     def _is_older_word(self, known: Upstream, candidate: Upstream) -> bool:
-        """Say whether a record that calls a replica live may be older than what is known of it.
+        """Return True if a record that lists a replica as live may be outdated.
 
-        Where the store came back from a copy, its records may be from before the replica decided to
-        leave.
+        After the store was restored from a copy, its records may be from before the replica started
+        to leave.
         """
         if candidate.listed is not Listed.LIVE or known.name not in self._listed_leaving:
             return False
         return _is_of_later_era(candidate, known)
 
     def _is_new_life(self, known: Upstream, candidate: Upstream) -> bool:
-        """Say whether the newer record ``candidate`` is of another life than the sign known."""
+        """Return True if ``candidate`` shows that the replica restarted after its known signal."""
         if known.born and candidate.born:
             return candidate.born != known.born
         if candidate.endpoint != known.endpoint:
@@ -85,7 +85,7 @@
 
 
 def _signed_as(record: Upstream, signed: Upstream) -> Upstream:
-    """Return ``record`` with the sign of ``signed``."""
+    """Return ``record`` with the signal of ``signed``."""
     return replace(
         record,
         sign_version=signed.sign_version,
@@ -95,18 +95,18 @@
 
 
 def _kept_leaving(upstream: Upstream) -> Upstream:
-    # Each node that sees the record makes the same sign, so that it is told on only once.
+    # Each node that sees the record generates the same signal, so that it is broadcast only once.
     sign_at = max(upstream.sign_at + 1, upstream.born)
     return replace(upstream, sign_version=upstream.version, sign_at=sign_at, sign_leaving=True)
 
 
 def _is_former_life(candidate: Upstream, known: Upstream) -> bool:
-    """Say whether a store that came back from a copy holds the record of a life before."""
+    """Return True if ``candidate``, from a restored store, is older than the last restart."""
     return 0 < candidate.born < known.born and _is_of_later_era(candidate, known)
 
 
 def _is_of_later_era(candidate: Upstream, known: Upstream) -> bool:
-    """Say whether the store came back from a copy between two records."""
+    """Return True if the store was restored from a copy between the two records."""
     return era_of(candidate.version) > era_of(known.version)
 
 
--- a/railsail/upstreams/records.py
+++ b/railsail/upstreams/records.py
@@ -1,4 +1,4 @@
-"""The record of one replica: what the list says of it, and a sign that it leaves."""
+"""The record of one replica: what the platform's list says, and a signal that it is leaving."""
 
 import enum
 import zlib
@@ -14,7 +14,7 @@
 
 
 class Listed(enum.IntEnum):
-    """What the platform's list says of a replica."""
+    """The state of a replica in the platform's list."""
 
     LIVE = 0
     LEAVING = 1
@@ -23,13 +23,15 @@
 
 @dataclass(frozen=True)
 class Upstream:
-    """One replica; ``endpoint`` is ``ip:port``, ``slots`` is 0 where the list does not tell them.
-
-    ``version`` is that of the listed record. The sign was given when the record had
-    ``sign_version``, at ``sign_at`` milliseconds since the Unix epoch. ``born`` is when the replica
-    started, in the same unit, 0 where it does not say so: it tells lives under one name apart. The
-    replica was cold for ``cold`` milliseconds more when it wrote the record. It runs
-    ``software_version``, empty where it does not say so.
+    """One replica.
+
+    ``endpoint`` is ``ip:port``. ``version`` is the version of the listed record. ``sign_leaving``
+    is the newest signal: whether the replica is leaving. It was given at ``sign_at`` milliseconds
+    since the Unix epoch, when the record had ``sign_version``. ``slots`` is the number of
+    concurrent calls, 0 if not listed. ``born`` is the start time of the replica in milliseconds
+    since the Unix epoch, 0 if not listed; it changes with each restart under the same name.
+    ``cold`` is for how many more milliseconds the replica was cold when the record was written.
+    ``software_version`` is empty if not listed.
     """
 
     name: str
@@ -48,17 +50,17 @@
 
     @property
     def leaving(self) -> bool:
-        """Say whether the replica must get no new work."""
+        """Return True if the replica drains before it stops, or is gone, and gets no new work."""
         return self.signed_leaving or self.listed is not Listed.LIVE
 
     @property
     def signed_leaving(self) -> bool:
-        """Say whether a sign says that the replica leaves, and not one of a life before."""
+        """Return True if a signal since the start of the replica says that it is leaving."""
         return self.sign_leaving and self.sign_at >= self.born
 
 
 def parse_record(event: WatchEvent, refused: RefusedRecords) -> Upstream | None:
-    """Return the record that the list holds, or ``None`` if it cannot be read."""
+    """Return the listed record of ``event``, or ``None`` if it is invalid."""
     value = event.value or {}
     try:
         endpoint = str(parse_endpoint(str(value["endpoint"])))
@@ -85,21 +87,21 @@
 
 
 def digest_of(upstream: Upstream) -> int:
-    """Return a sum of what of a record nodes must agree on."""
+    """Return a checksum of the parts of a record that must be equal on all nodes."""
     text = f"{upstream.name} {upstream.version} {upstream.sign_version} {upstream.sign_at}"
     return zlib.crc32(text.encode())
 
 
-# Both have the same fields, in the same order.
+# ``UpstreamRecord`` has the same fields as ``Upstream``, in the same order.
 _fields = attrgetter(*(field.name for field in fields(Upstream)))
 
 
 def to_record(upstream: Upstream) -> UpstreamRecord:
-    """Return the message's record of ``upstream``."""
+    """Return ``upstream`` in the form in which it is sent to peers."""
     return UpstreamRecord(*_fields(upstream))
 
 
 def from_record(record: UpstreamRecord) -> Upstream:
-    """Return the record that a peer sent."""
+    """Return the replica that ``record``, received from a peer, describes."""
     name, pool, endpoint, domain, version, listed, *rest = msgspec.structs.astuple(record)
     return Upstream(name, pool, endpoint, domain, version, Listed(listed), *rest)
--- a/railsail/upstreams/refusals.py
+++ b/railsail/upstreams/refusals.py
@@ -1,6 +1,6 @@
-"""The documented way in which an upstream says that it did not run a request.
+"""Parse the answers by which an upstream says that it did not run a request.
 
-An answer 429 or 503 with the header ``X-Not-Run: true`` means that nothing was run. See
+These are answers with status 429 or 503 and the header ``X-Not-Run: true``. See
 ``docs/ref/upstreams.md``.
 """
 
@@ -11,7 +11,7 @@
 
 
 def refusal(status: int, headers: HTTPHeaders) -> NotRun | None:
-    """Return the outcome if the upstream said that it did not run the request."""
+    """Return the outcome of a refused request, ``None`` if the request may have run."""
     if status not in TURNED_AWAY or headers.get("X-Not-Run") != "true":
         return None
     asked_rest = asks_rest(status, headers)
--- a/railsail/upstreams/rests.py
+++ b/railsail/upstreams/rests.py
@@ -1,37 +1,38 @@
-"""Which replicas asked this node for rest, and until when.
+"""The replicas that asked this node to back off, and until when.
 
-Rest is asked of one node: other nodes go on. When it has passed, one request tries the replica, and
-others follow when it has answered, so that those that were refused meanwhile do not all fall on the
-first replica that is free again. Times are in seconds of a monotonic clock that counts suspensions.
+A backoff applies to one node; others still send requests. When its time has passed, a single
+request tries the replica, and others follow once the replica has answered. Otherwise all requests
+that were refused in the meantime would hit the first replica whose backoff ends. Times are in
+seconds of a monotonic clock that includes the time for which the machine was suspended.
 """
 
 from dataclasses import dataclass
 
-# A request that tries a replica after its rest keeps others away for so many seconds at most: a
-# first answer takes less, and the request may have been lost.
+# The request that tries a replica after its backoff keeps others away for at most this time. An
+# answer takes less, but the request may have been lost.
 TRIAL_SECONDS = 1.0
-# Replicas that are remembered; beyond that the one whose rest ends first is forgotten. A fleet of
-# 680 replicas fits.
+# Bounds the replicas that are remembered, enough for a fleet of 680 replicas. When there are more,
+# the one whose backoff ends first is forgotten.
 MOST_REPLICAS = 1024
 
 
 @dataclass
 class _Rest:
-    """The rest of one replica; ``tried_at`` is when a request was sent to it after that."""
+    """The backoff of one replica; ``tried_at`` is when it was tried after ``until``."""
 
     until: float
     tried_at: float | None = None
 
     @property
     def free_at(self) -> float:
-        """Return when the replica may be sent something."""
+        """Return when the replica may be sent the next request."""
         if self.tried_at is None:
             return self.until
         return max(self.until, self.tried_at + TRIAL_SECONDS)
 
 
 class ReplicaBackoffs:
-    """Remember what replicas asked of this node."""
+    """The backoffs for which replicas asked this node."""
 
     def __init__(self) -> None:
         self._rests: dict[str, _Rest] = {}
@@ -40,9 +41,9 @@
         return bool(self._rests)
 
     def asked(self, replica: str, seconds: float, now: float) -> bool:
-        """Take note that ``replica`` wants nothing for ``seconds``.
+        """Record that ``replica`` asked for a backoff of ``seconds`` from ``now`` on.
 
-        Return whether that makes its rest longer; it is never made shorter.
+        Return True if that makes its backoff longer; it is never made shorter.
         """
         until = now + seconds
         known = self._rests.get(replica)
@@ -54,31 +55,34 @@
         return True
 
     def answered(self, replica: str, now: float) -> None:
-        """Take note of an answer that asks for no rest; it ends a rest whose time has passed."""
+        """Record an answer without a request for backoff, which ends a backoff that is over.
+
+        Before its time is over, the answer may be to an earlier request.
+        """
         known = self._rests.get(replica)
         if known is not None and now >= known.until:
             del self._rests[replica]
 
     def sent(self, replica: str, now: float) -> None:
-        """Take note that ``replica`` is sent a request."""
+        """Record that a request is sent to ``replica``, which may be the one that tries it."""
         known = self._rests.get(replica)
         if known is not None and now >= known.until:
             known.tried_at = now
 
     def forget(self, replica: str) -> None:
-        """Forget the rest of a replica that started again, or is gone."""
+        """Forget the backoff of a replica that has restarted or is gone."""
         self._rests.pop(replica, None)
 
     def resting(self, replica: str, now: float) -> bool:
-        """Say whether ``replica`` may be sent nothing at ``now``."""
+        """Return True if ``replica`` may not be sent requests at ``now``."""
         return self.seconds_left(replica, now) > 0
 
     def seconds_left(self, replica: str, now: float) -> float:
-        """Return after how many seconds ``replica`` may be sent something, 0 for at once."""
+        """Return after how many seconds ``replica`` may be sent a request, 0 if it may be now."""
         known = self._rests.get(replica)
         return max(0.0, known.free_at - now) if known is not None else 0.0
 
     def all_resting(self, now: float) -> list[str]:
-        """Return the replicas that may be sent nothing at ``now``, the longest rest first."""
+        """Return the replicas that may not be sent requests at ``now``, longest backoff first."""
         resting = [name for name, rest in self._rests.items() if rest.free_at > now]
         return sorted(resting, key=lambda name: -self._rests[name].free_at)
--- a/railsail/upstreams/service.py
+++ b/railsail/upstreams/service.py
@@ -1,4 +1,4 @@
-"""Plain services: any method, an answer of known length, no streams to resume."""
+"""Plain HTTP services: any method, answers of known length, no streams to resume."""
 
 from tornado.httputil import HTTPHeaders
 
@@ -15,7 +15,10 @@
 
 
 class _Answer:
-    """Hold back a short answer until it is whole; pass on a long one as it comes."""
+    """Hold a short answer back until it is complete; forward a long one as it is received.
+
+    A short answer that breaks off has thus sent nothing to the caller.
+    """
 
     def __init__(self, call: UpstreamCall, sink: AnswerSink) -> None:
         self._call = call
@@ -63,7 +66,7 @@
     """A plain HTTP service."""
 
     async def run(self, call: UpstreamCall, sink: AnswerSink) -> Outcome:
-        """Make the call once; an answer of 500 or above leaves open whether it ran."""
+        """Make the call once; after an answer of 500 or above it is unknown whether it ran."""
         started = steady_seconds()
         answer = _Answer(call, sink)
         headers = {
--- a/railsail/upstreams/signs.py
+++ b/railsail/upstreams/signs.py
@@ -1,7 +1,7 @@
-"""What replicas say about themselves in the head of any answer, whatever it says of the request.
+"""The signals that replicas give about themselves in the head of any answer.
 
-The words are ``X-Leaving`` (see ``docs/ref/upstreams.md``) and ``Retry-After`` (RFC 9110, section
-10.2.3); a platform with words of its own has them translated by its adapter.
+The headers are ``X-Leaving`` (see ``docs/ref/upstreams.md``) and ``Retry-After`` (RFC 9110, section
+10.2.3). The adapter of a platform that uses other headers parses those instead.
 """
 
 import enum
@@ -11,13 +11,13 @@
 
 from railsail.core.retryafter import rest_seconds
 
-# A replica is given no longer rest than this, in seconds, so that one bad answer does not close it
-# to a node for good; replicas that restart or shed load ask for seconds.
+# Bounds the backoff that a replica can ask for, so that a single wrong answer does not keep a node
+# from using it for good. Replicas that restart or shed load ask for some seconds.
 MOST_REST_SECONDS = 3600.0
 
 
 class Source(enum.StrEnum):
-    """What said that a replica leaves, as logs name it."""
+    """Where the information that a replica is leaving comes from, as logs name it."""
 
     LIST = "list"
     ANSWER = "answer"
@@ -27,10 +27,10 @@
 
 
 class AnswerSigns(msgspec.Struct, frozen=True):
-    """What one answer says of its replica.
+    """The signals in one answer of a replica.
 
-    ``leaving`` says that it is to get no new work. It wants nothing from this node for ``rest``
-    seconds, 0 where it does not say so.
+    ``leaving`` is true if the replica is to get no new work. For ``rest`` seconds, 0 for none, this
+    node is to send it nothing.
     """
 
     leaving: bool = False
@@ -38,11 +38,11 @@
 
 
 def read_signs(status: int, headers: HTTPHeaders, wall: float) -> AnswerSigns:
-    """Return the signs of an answer; ``wall`` is now, in seconds since the Unix epoch."""
+    """Return the signals in an answer; ``wall`` is now, in seconds since the Unix epoch."""
     leaving = headers.get("X-Leaving", "").strip().lower() == "true"
     return AnswerSigns(leaving, read_rest(status, headers, wall))
 
 
 def read_rest(status: int, headers: HTTPHeaders, wall: float) -> float:
-    """Return for how many seconds an answer that turns a request away asks for rest."""
+    """Return the seconds of backoff that a refusal asks for, 0 for none or another answer."""
     return rest_seconds(status, headers, wall, MOST_REST_SECONDS)
--- a/railsail/upstreams/sse.py
+++ b/railsail/upstreams/sse.py
@@ -1,4 +1,4 @@
-"""Events of a server-sent event stream, as engines send them."""
+"""Parse the server-sent events that model engines stream."""
 
 import msgspec
 
@@ -7,13 +7,13 @@
 
 
 class Usage(msgspec.Struct, frozen=True):
-    """What a stream has cost so far, in tokens."""
+    """The cost of a stream so far, in tokens."""
 
     total_tokens: float = 0.0
 
 
 class EventBody(msgspec.Struct, frozen=True):
-    """What is read of an event's data; the rest is passed on unread."""
+    """The parsed part of an event's data; the rest is forwarded unparsed."""
 
     id: str
     usage: Usage = Usage()
@@ -23,11 +23,11 @@
 
 
 class BadStream(ValueError):
-    """The stream is not what an engine sends."""
+    """The stream does not follow the protocol of engines."""
 
 
 class StreamEvent(msgspec.Struct, frozen=True):
-    """One event: its bytes as received, its number in the stream, and its data."""
+    """One event: its bytes as received, its number in the stream (``id:``), and its data."""
 
     raw: bytes
     number: int
@@ -35,11 +35,11 @@
 
     @property
     def done(self) -> bool:
-        """Say whether this is the last event of a whole stream."""
+        """Return True if this is the event that ends a complete stream."""
         return self.data == DONE
 
     def body(self) -> EventBody:
-        """Return the data; raise ``BadStream`` if it is not an event of an engine."""
+        """Return the parsed data; raise ``BadStream`` if it is not an event of an engine."""
         try:
             return _DECODER.decode(self.data)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as problem:
@@ -47,14 +47,14 @@
 
 
 class EventSplitter:
-    """Split the pieces of a body into whole events."""
+    """Split a body, fed in chunks, into events."""
 
     def __init__(self) -> None:
         self._buffer = b""
 
     @property
     def rest(self) -> bytes:
-        """Return the bytes of an event that is not whole."""
+        """Return the bytes that belong to an incomplete event."""
         return self._buffer
 
     def feed(self, chunk: bytes) -> list[StreamEvent]:
--- a/railsail/upstreams/streams.py
+++ b/railsail/upstreams/streams.py
@@ -1,4 +1,4 @@
-"""A connection to a replica, with what must be known of it before it carries another request."""
+"""A connection to a replica that can be probed before it is used for another request."""
 
 import fcntl
 import socket
@@ -13,8 +13,9 @@
 class UpstreamStream(IOStream):
     """A connection to a replica.
 
-    ``connect_seconds`` is how long it took to connect, at least a round trip; ``answers`` counts
-    the whole answers that came on it, the last of them at ``answered_at`` of the monotonic clock.
+    ``connect_seconds`` is the time that it took to connect, at least a round trip. ``answers`` is
+    the number of complete answers received on it, and ``answered_at`` the time of the last one on
+    the monotonic clock.
     """
 
     def __init__(self, connection: socket.socket) -> None:
@@ -26,13 +27,14 @@
 
     @property
     def reused(self) -> bool:
-        """Say whether the connection has carried a request before this one."""
+        """Return True if an earlier request was answered on this connection."""
         return self.answers > 0
 
     def send_ahead(self, data: bytes) -> None:
-        """Send the first bytes of the next request already; its ``write`` leaves them out.
+        """Send the first bytes of the next request, which the next ``write`` leaves out.
 
-        They go in two segments: a single one is not acknowledged before 40 ms have passed.
+        They are sent in two segments, because the acknowledgement of a single one may be delayed by
+        40 ms.
         """
         half = len(data) // 2
         super().write(data[:half])
@@ -41,16 +43,17 @@
         self._ahead = len(data)
 
     def write(self, data: bytes | memoryview) -> object:
-        """Write ``data`` without the part of it that was sent ahead."""
+        """Write ``data`` without the part that was already sent."""
         ahead, self._ahead = self._ahead, 0
         return super().write(data[ahead:])
 
     def quiet(self) -> bool:
-        """Say whether the connection is open and nothing has come that was not read."""
+        """Return True if the connection is open and has no unread input."""
         if self.closed() or self._read_buffer_size:
             return False
         try:
-            # Either a byte or the end of the connection; both are in the way of the next answer.
+            # Returns a byte, or nothing if the peer closed the connection. Either would get in the
+            # way of the next answer.
             self.socket.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
             return True
@@ -59,7 +62,10 @@
         return False
 
     def acknowledged(self) -> bool:
-        """Say whether the peer has acknowledged all bytes; true where the system does not tell."""
+        """Return True if the peer has acknowledged all bytes.
+
+        It is also true if the operating system does not support the query.
+        """
         if self.closed() or self.writing():
             return False
         try:
--- a/tests/upstreams/test_connections.py
+++ b/tests/upstreams/test_connections.py
@@ -174,7 +174,7 @@
         self.replica.forgets = True
         await self.ask_twice()
         self.assertEqual((self.replica.opened, self.closed()), (2, {"forgotten": 1}))
-        self.assertEqual(self.told(), ["an idle connection is forgotten"])
+        self.assertEqual(self.told(), ["an idle connection cannot be used: forgotten"])
 
     async def test_others_of_a_replica_that_forgot_one_are_closed(self):
         self.pool = self.new_pool(KEEP_SECONDS, most_at_place=2)
