--- a/tests/upstreams/test_connections.py
+++ b/tests/upstreams/test_connections.py
@@ -1,4 +1,4 @@
-"""Kept connections: which requests go on them, and that each request runs at most once."""
+"""Kept connections: which requests use them, and that each request runs at most once."""
 
 import asyncio
 import random
@@ -17,7 +17,7 @@
 from tests.forgetting import reset, start_forgetting_server
 
 KEEP_SECONDS = 30.0
-# What the loop may be late by when it wakes a task.
+# By how much the event loop may be late when it wakes a task.
 LOOP_SECONDS = 0.1
 BIG_BODY = b"x" * (32 << 20)
 
@@ -29,21 +29,21 @@
 
 
 class Replica:
-    """A replica that answers each request with the next of ``script``, and counts what ran.
+    """A replica that answers each request with the next entry of ``script``, and counts what ran.
 
-    An entry of the script returns the bytes of the answer, or ``None`` to reset the connection.
+    An entry returns the bytes of the answer, or ``None`` to reset the connection.
     """
 
     def __init__(self) -> None:
         self.script = []
         self.ran: Counter[str] = Counter()
         self.opened = 0
-        # Resets a connection when something comes on it after its first answer.
+        # Resets a connection on which something is received after its first answer.
         self.forgets = False
-        # Sends these bytes so soon after an answer that the connection is idle.
+        # Sends these bytes shortly after an answer, when the connection is idle.
         self.stray = b""
         self.closes_idle = False
-        # Sends these bytes when the head of the next request was read, and its body was not.
+        # Sends these bytes when it has read the head of the next request, but not its body.
         self.late = b""
         self.reads_bodies = True
         self._answered: set[asyncio.Transport] = set()
@@ -120,7 +120,7 @@
         )
 
     async def ask(self, method: str = "POST", body: bytes = b"body", **given) -> Collector:
-        """Send a request with an id of its own, and check that its answer is its own."""
+        """Send a request with a new id, and check that it ran once and got its own answer."""
         self.asked += 1
         request_id = f"r{self.asked}"
         headers = {"Request-Id": request_id}
@@ -141,7 +141,7 @@
 
     async def ask_twice(self) -> None:
         await self.ask()
-        # What a replica does to an idle connection, it does meanwhile.
+        # Leave the replica the time to close, or write to, the idle connection.
         await asyncio.sleep(0.1)
         await self.ask()
 
@@ -152,48 +152,48 @@
     def told(self) -> list[str]:
         return [event.detail for event in self.events]
 
-    async def test_second_request_goes_on_the_same_connection(self):
+    async def test_second_request_uses_the_same_connection(self):
         await self.ask_twice()
         self.assertEqual((self.replica.opened, self.closed()), (1, {}))
 
-    async def test_get_without_a_body_goes_on_it_too(self):
+    async def test_get_without_a_body_uses_it_too(self):
         await self.ask("GET", b"")
         await self.ask("GET", b"")
         self.assertEqual(self.replica.opened, 1)
 
-    async def test_requests_at_one_time_have_connections_of_their_own(self):
+    async def test_concurrent_requests_use_separate_connections(self):
         await asyncio.gather(self.ask(), self.ask(), self.ask())
         self.assertEqual((self.replica.opened, len(self.pool)), (3, 1))
 
-    async def test_zero_seconds_keep_nothing(self):
+    async def test_no_connection_is_kept_for_zero_seconds(self):
         self.pool = self.new_pool(0.0)
         await self.ask_twice()
         self.assertEqual((self.replica.opened, len(self.pool)), (2, 0))
 
-    async def test_request_goes_on_a_new_connection_where_the_kept_one_was_forgotten(self):
+    async def test_request_uses_a_new_connection_if_the_kept_one_was_dropped(self):
         self.replica.forgets = True
         await self.ask_twice()
         self.assertEqual((self.replica.opened, self.closed()), (2, {"forgotten": 1}))
         self.assertEqual(self.told(), ["an idle connection cannot be used: forgotten"])
 
-    async def test_others_of_a_replica_that_forgot_one_are_closed(self):
+    async def test_other_connections_to_a_replica_that_dropped_one_are_closed(self):
         self.pool = self.new_pool(KEEP_SECONDS, most_at_place=2)
         self.replica.forgets = True
         await asyncio.gather(self.ask(), self.ask())
         await self.ask()
         self.assertEqual((self.replica.opened, self.closed()), (3, {"forgotten": 2}))
 
-    async def test_request_goes_on_a_new_connection_where_the_kept_one_is_silent(self):
+    async def test_request_uses_a_new_connection_if_the_kept_one_is_silent(self):
         await self.ask()
         with mock.patch.object(UpstreamStream, "acknowledged", lambda stream: False):
             await self.ask()
         self.assertEqual((self.replica.opened, self.closed()), (2, {"silent": 1}))
 
-    async def test_silent_connection_is_given_up_in_time(self):
+    async def test_probe_of_a_silent_connection_ends_in_time(self):
         await self.ask()
         loop = asyncio.get_running_loop()
         begun = loop.time()
-        # The connection took so long to connect that a second look comes late.
+        # With this margin, a second check would be later than the end of the probe.
         first_look = 0.9 * module.MOST_CHECK_SECONDS
         with (
             mock.patch.object(module, "SETTLE_SECONDS", first_look),
@@ -207,12 +207,12 @@
         self.assertGreaterEqual(waited, module.MOST_CHECK_SECONDS)
         self.assertLess(waited, module.MOST_CHECK_SECONDS + LOOP_SECONDS)
 
-    async def test_connection_that_its_replica_closed_is_not_used(self):
+    async def test_connection_closed_by_its_replica_is_not_used(self):
         self.replica.closes_idle = True
         await self.ask_twice()
         self.assertEqual((self.replica.opened, self.closed()["closed"]), (2, 1))
 
-    async def test_reset_under_a_request_is_unknown_and_told(self):
+    async def test_reset_during_a_request_is_cut_off_and_logged(self):
         await self.ask()
         self.replica.script = [lambda request_id: None]
         with self.assertRaises(CutOff):
@@ -221,7 +221,7 @@
         self.assertEqual(self.told(), ["a kept connection broke under a request"])
         self.assertEqual(len(self.pool), 0)
 
-    async def test_silence_under_a_request_ends_with_its_caller(self):
+    async def test_request_to_a_silent_replica_ends_when_its_caller_leaves(self):
         await self.ask()
         self.replica.script = [lambda request_id: b""]
         with self.assertRaises(TimeoutError):
@@ -230,7 +230,7 @@
         await self.ask()
         self.assertEqual(self.replica.opened, 2)
 
-    async def test_caller_that_leaves_ends_the_look_at_a_connection(self):
+    async def test_probe_is_cancelled_when_the_caller_leaves(self):
         await self.ask()
         with (
             mock.patch.object(UpstreamStream, "acknowledged", lambda stream: False),
@@ -242,32 +242,32 @@
         self.assertEqual((len(self.pool), self.closed()), (0, {"cancelled": 1}))
         self.assertEqual((self.replica.opened, dict(self.replica.ran)), (1, {"r1": 1}))
 
-    async def test_late_answer_to_another_request_is_passed_over(self):
+    async def test_late_answer_to_an_earlier_request_is_skipped(self):
         await self.ask()
         late = answer("r1", body=b"late")
         self.replica.script = [lambda request_id: late + answer(request_id)]
         self.assertEqual((await self.ask()).body, b"ok")
         self.assertEqual((self.replica.opened, len(self.pool)), (1, 0))
 
-    async def test_late_answer_while_the_body_is_written_is_passed_over(self):
+    async def test_late_answer_while_the_body_is_written_is_skipped(self):
         await self.ask()
         self.replica.late = answer("r1", body=b"late")
         self.assertEqual((await self.ask(body=BIG_BODY)).body, b"ok")
         self.assertEqual((self.replica.opened, len(self.pool)), (1, 0))
 
-    async def test_late_answer_that_comes_before_the_request_closes_the_connection(self):
+    async def test_late_answer_on_an_idle_connection_closes_it(self):
         self.replica.stray = answer("r0", body=b"late")
         await self.ask_twice()
         self.assertEqual((self.replica.opened, self.closed()["closed"]), (2, 1))
 
-    async def test_second_answer_that_is_not_its_own_is_not_passed_on(self):
+    async def test_second_foreign_answer_is_cut_off(self):
         await self.ask()
         self.replica.script = [lambda request_id: answer("r1") + answer("r0")]
         with self.assertRaises(CutOff):
             await self.ask()
         self.assertEqual(len(self.pool), 0)
 
-    async def test_success_without_an_id_is_not_passed_on(self):
+    async def test_success_without_an_id_is_cut_off(self):
         await self.ask()
         self.replica.script = [
             lambda request_id: b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n" * 2
@@ -275,12 +275,12 @@
         with self.assertRaises(CutOff):
             await self.ask()
 
-    async def test_bytes_after_an_answer_belong_to_no_request(self):
+    async def test_connection_with_unread_bytes_after_an_answer_is_closed(self):
         self.replica.script = [lambda request_id: answer(request_id) + b"more"]
         await self.ask_twice()
         self.assertEqual((self.replica.opened, self.closed()), (2, {"unread": 1}))
 
-    async def test_answers_that_allow_no_other_request(self):
+    async def test_connection_is_not_kept_after_an_answer_that_forbids_it(self):
         not_allowed = {
             "close": lambda request_id: answer(request_id, "Connection: Close\r\n"),
             "one of several": lambda request_id: answer(request_id, "Connection: x, close\r\n"),
@@ -294,20 +294,20 @@
                 await self.ask()
                 self.assertEqual(len(self.pool), 0)
 
-    async def test_connection_is_closed_before_its_replica_does_that(self):
+    async def test_idle_connection_is_closed_before_the_timeout_of_its_replica(self):
         self.replica.script = [lambda request_id: answer(request_id, "Keep-Alive: timeout=1\r\n")]
         await self.ask()
         self.assertEqual(len(self.pool), 1)
         await asyncio.sleep(0.7)
         self.assertEqual((len(self.pool), self.closed()), (0, {"idle": 1}))
 
-    async def test_answer_before_the_body_was_read_ends_the_connection(self):
+    async def test_connection_is_closed_if_the_body_was_not_read(self):
         self.replica.reads_bodies = False
         self.replica.script = [answer]
         await self.ask(body=BIG_BODY)
         self.assertEqual((len(self.pool), self.closed()), (0, {"unread": 1}))
 
-    async def test_connections_of_a_replica_that_leaves_are_closed(self):
+    async def test_connections_to_a_leaving_replica_are_closed(self):
         await self.ask()
         self.leaving.add(module.Place("one", self.endpoint))
         self.pool.review()
@@ -315,36 +315,36 @@
         await self.ask()
         self.assertEqual((len(self.pool), self.closed()), (0, {"leaving": 2}))
 
-    async def test_connections_of_a_life_before_are_closed(self):
+    async def test_connections_to_a_dropped_replica_are_closed(self):
         await self.ask()
         await self.ask(replica="two")
         self.pool.drop("one", "reborn")
         self.assertEqual((len(self.pool), self.closed()), (1, {"reborn": 1}))
 
-    async def test_other_replica_at_the_address_gets_no_kept_connection(self):
+    async def test_kept_connection_is_not_used_for_another_replica_at_its_endpoint(self):
         await self.ask()
         await self.ask(replica="two")
         self.assertEqual(self.replica.opened, 2)
 
-    async def test_process_that_stood_still_begins_anew(self):
+    async def test_all_connections_are_closed_after_a_pause_of_the_process(self):
         await self.ask()
         self.kernel.pauses.ended(3.0, 0.0)
         self.assertEqual((len(self.pool), self.closed()), (0, {"pause": 1}))
 
-    async def test_closed_pool_keeps_nothing(self):
+    async def test_closed_pool_keeps_no_connection(self):
         await self.ask()
         self.pool.close()
         await self.ask()
         self.assertEqual((len(self.pool), self.replica.opened), (0, 2))
 
-    async def test_path_that_breaks_its_line_is_sent_nowhere(self):
+    async def test_path_with_a_line_break_is_not_sent(self):
         await self.ask()
         with self.assertRaises(CutOff):
             await self.ask(path="/ HTTP/1.1\r\nRequest-Id: x\r\n\r\n")
         await asyncio.sleep(0.1)
         self.assertEqual(dict(self.replica.ran), {"r1": 1})
 
-    async def test_what_cannot_be_told_apart_is_not_kept(self):
+    async def test_connection_is_not_kept_without_a_replica_or_for_head(self):
         await self.ask(replica="")
         await self.ask("HEAD", b"", read_id=lambda head: "")
         self.assertEqual(len(self.pool), 0)
--- a/tests/upstreams/test_directory.py
+++ b/tests/upstreams/test_directory.py
@@ -1,4 +1,4 @@
-"""What is known of replicas: refused records, new lives, cold times, evacuated domains."""
+"""The directory of replicas: invalid records, restarts, signals, cold times, evacuations."""
 
 import unittest
 from unittest import mock
@@ -15,7 +15,7 @@
 
 SPEC = {"pool": "lm", "endpoint": "127.0.0.1:1", "failure_domain": "a", "state": "live", "slots": 4}
 
-# Now, in seconds since the Unix epoch, and when replicas started, in milliseconds.
+# The current time in seconds, and the start of a replica in milliseconds, since the Unix epoch.
 WALL = 1_800_000_000.0
 BORN = 1_799_999_000_000
 
@@ -45,26 +45,26 @@
 
 
 class RefusedRecordTests(DirectoryTestCase):
-    """Others write records too: those that cannot be read name no replica to use."""
+    """Programs other than replicas may write records, which may be invalid."""
 
-    def test_known_replica_whose_record_cannot_be_read_is_not_used(self):
+    def test_known_replica_with_an_invalid_record_is_gone(self):
         self.see(1)
         self.directory.seen(WatchEvent("upstream", "r", 2, {}))
         self.assertEqual(self.directory.get("r").listed, Listed.GONE)
 
-    def test_it_is_used_again_when_it_writes_a_good_one(self):
+    def test_replica_gets_work_again_after_a_valid_record(self):
         self.see(1)
         self.directory.seen(WatchEvent("upstream", "r", 2, {}))
         self.see(3)
         self.assertTrue(self.directory.takes_work(self.directory.get("r")))
 
-    def test_bad_record_in_a_list_of_hundreds_hides_no_other(self):
+    def test_invalid_record_in_a_list_does_not_hide_the_others(self):
         objects = [StoredObject("upstream", f"r{n}", n + 1, dict(SPEC)) for n in range(300)]
         objects[7] = StoredObject("upstream", "r7", 8, {"endpoint": 7})
         self.directory.listed(Listing(301, tuple(objects)))
         self.assertEqual(len(self.directory.of_pool("lm")), 299)
 
-    def test_refused_record_is_told_of_once(self):
+    def test_invalid_record_is_logged_once(self):
         with mock.patch.object(module, "get_logger") as logger:
             for version in range(1, 50):
                 self.directory.seen(WatchEvent("upstream", "x", version, {}))
@@ -72,7 +72,7 @@
 
 
 class RebirthTests(DirectoryTestCase):
-    def test_new_start_under_the_same_name_is_told(self):
+    def test_listeners_are_notified_of_a_restart(self):
         told = []
         self.directory.on_rebirth(lambda before: told.append(before.name))
         self.see(1, born=1000)
@@ -80,14 +80,14 @@
         self.see(3, born=2000)
         self.assertEqual(told, ["r"])
 
-    def test_first_record_with_a_start_is_no_new_start(self):
+    def test_first_record_with_a_start_time_is_no_restart(self):
         told = []
         self.directory.on_rebirth(lambda before: told.append(before.name))
         self.see(1)
         self.see(2, born=2000)
         self.assertEqual(told, [])
 
-    def test_peers_hear_of_the_start(self):
+    def test_peers_receive_the_start_time(self):
         self.see(1, born=1000)
         other = self.make([])
         other.received("n", self.directory.news())
@@ -95,7 +95,7 @@
 
 
 class SignTests(DirectoryTestCase):
-    """A replica that said that it leaves does not change its mind while it lives."""
+    """A replica that signalled that it is leaving stays so until it restarts."""
 
     def sign(self, name: str = "r") -> None:
         self.directory.sign_leaving(name, Source.ANSWER, WALL)
@@ -107,7 +107,7 @@
         for news in flooded:
             other.received("n", news)
 
-    def test_newer_record_of_the_same_life_does_not_take_it_back(self):
+    def test_newer_record_without_a_restart_does_not_clear_the_signal(self):
         for born in (0, BORN):
             with self.subTest(born=born):
                 self.directory = self.make(self.flooded)
@@ -116,26 +116,26 @@
                 self.see(2, born=born, slots=9)
                 self.assertTrue(self.leaves())
 
-    def test_entry_that_lapsed_and_came_back_does_not_take_it_back(self):
+    def test_record_that_expired_and_was_written_again_does_not_clear_the_signal(self):
         self.see(1)
         self.sign()
         self.directory.seen(WatchEvent("upstream", "r", 2, None))
         self.see(3)
         self.assertTrue(self.leaves())
 
-    def test_replica_that_starts_again_under_its_name_gets_work(self):
+    def test_replica_that_restarts_gets_work(self):
         self.see(1, born=BORN)
         self.sign()
         self.see(2, born=BORN + 5000)
         self.assertFalse(self.leaves())
 
-    def test_replica_without_a_start_that_has_another_address_gets_work(self):
+    def test_replica_without_a_start_time_gets_work_at_another_endpoint(self):
         self.see(1)
         self.sign()
         self.see(2, endpoint="127.0.0.1:2")
         self.assertFalse(self.leaves())
 
-    def test_record_of_a_former_life_from_an_older_copy_changes_nothing(self):
+    def test_record_from_before_a_restart_in_a_restored_store_is_ignored(self):
         told = []
         self.directory.on_rebirth(lambda before: told.append(before.name))
         self.see(1, born=BORN)
@@ -146,7 +146,7 @@
         self.see(to_version(1, 2), born=BORN + 5000, slots=8)
         self.assertEqual((told, self.directory.get("r").slots), (["r"], 8))
 
-    def test_replica_that_the_list_called_leaving_too_gets_work_long_after(self):
+    def test_replica_that_was_also_listed_as_leaving_gets_work_long_after(self):
         self.see(1)
         self.see(2, state="leaving")
         self.sign()
@@ -154,7 +154,7 @@
         self.see(3)
         self.assertFalse(self.leaves())
 
-    def test_older_copy_does_not_bring_back_what_the_list_called_leaving(self):
+    def test_restored_store_does_not_bring_a_leaving_replica_back(self):
         for gone in (False, True):
             with self.subTest(gone=gone):
                 self.directory = self.make(self.flooded)
@@ -164,12 +164,12 @@
                 self.see(to_version(1, 1))
                 self.assertTrue(self.leaves())
 
-    def test_replica_that_the_list_calls_live_again_in_its_era_gets_work(self):
+    def test_replica_listed_as_live_again_without_a_restored_store_gets_work(self):
         self.see(1, state="leaving")
         self.see(2)
         self.assertFalse(self.leaves())
 
-    def test_replica_without_a_start_gets_work_long_after(self):
+    def test_replica_without_a_start_time_gets_work_long_after(self):
         self.see(1)
         self.sign()
         self.now += LEAVING_SECONDS + 1
@@ -177,12 +177,12 @@
         self.see(2)
         self.assertFalse(self.leaves())
 
-    def test_clock_of_a_node_that_is_behind_does_not_lose_a_sign(self):
+    def test_signal_from_a_node_whose_clock_is_behind_counts(self):
         self.see(1, born=BORN)
         self.directory.sign_leaving("r", Source.ANSWER, BORN / 1000 - 60)
         self.assertTrue(self.leaves())
 
-    def test_peers_hear_of_the_sign_and_of_the_new_life(self):
+    def test_peers_receive_the_signal_and_the_restart(self):
         self.see(1, born=BORN)
         self.sign()
         other = self.make([])
@@ -193,7 +193,7 @@
         self.assertFalse(self.leaves(other))
         self.assertEqual(other.digest, self.directory.digest)
 
-    def test_late_sign_of_the_life_before_does_not_count(self):
+    def test_late_signal_from_before_a_restart_does_not_count(self):
         self.see(1, born=BORN)
         other = self.make(told := [])
         self.hear(other, self.flooded)
@@ -202,7 +202,7 @@
         self.directory.received("n", told[-1])
         self.assertFalse(self.leaves())
 
-    def test_nodes_that_sign_and_see_a_new_life_in_any_order_agree(self):
+    def test_nodes_that_receive_a_signal_and_a_restart_in_any_order_agree(self):
         self.see(1, born=BORN)
         other = self.make(told := [])
         self.hear(other, self.flooded)
@@ -214,21 +214,21 @@
         self.assertEqual((self.leaves(), self.leaves(other)), (False, False))
         self.assertEqual(other.digest, self.directory.digest)
 
-    def test_sign_is_told_once_however_many_answers_bear_it(self):
+    def test_signal_in_many_answers_is_broadcast_once(self):
         self.see(1)
         before = len(self.flooded)
         for _ in range(100):
             self.sign()
         self.assertEqual(len(self.flooded) - before, 1)
 
-    def test_one_line_tells_source_and_age(self):
+    def test_event_has_source_and_age_of_the_signal(self):
         self.see(1)
         self.sign()
         told = [e.facts for e in self.events if e.kind is Kind.UPSTREAM][-1]
         self.assertEqual((told["state"], told["source"]), ("leaving", "answer"))
         self.assertEqual(told["sign_age_ms"], 2000)
 
-    def test_report_that_takes_its_own_word_back_is_believed(self):
+    def test_load_report_can_clear_its_own_signal(self):
         self.see(1)
         self.directory.sign_leaving("r", Source.LOAD, WALL)
         self.directory.withdraw("r", Source.LOAD, WALL + 1)
@@ -236,17 +236,17 @@
 
 
 class ColdTests(DirectoryTestCase):
-    def test_cold_time_runs_from_when_the_record_came(self):
+    def test_cold_time_counts_from_when_the_record_was_received(self):
         self.see(1, cold=3000)
         self.assertAlmostEqual(self.directory.cold_seconds("r", 3.0), 3.0)
         self.now += 2.5
         self.assertAlmostEqual(self.directory.cold_seconds("r", 3.0), 0.5)
 
-    def test_replica_that_was_always_warm_is_not_cold(self):
+    def test_replica_without_a_cold_time_is_not_cold(self):
         self.see(1)
         self.assertLessEqual(self.directory.cold_seconds("r", 3.0), 0)
 
-    def test_records_that_only_count_the_cold_time_down_change_nothing_else(self):
+    def test_listeners_are_not_notified_of_a_cold_time_that_counts_down(self):
         self.see(1, cold=3000)
         before = self.changes
         self.see(2, cold=1800)
@@ -255,7 +255,7 @@
         self.see(4, cold=3000)
         self.assertEqual(self.changes, before + 1)
 
-    def test_replicas_of_a_domain_that_was_taken_back_are_cold(self):
+    def test_replicas_are_cold_after_an_evacuation(self):
         self.see(1)
         evacuations = self.directory.evacuations
         evacuations.seen(WatchEvent("evacuation", "a", 2, {}))
@@ -284,7 +284,7 @@
         self.see(3, name="late")
         self.assertFalse(self.directory.takes_work(self.directory.get("late")))
 
-    def test_domain_that_is_taken_back_gets_work_again(self):
+    def test_replicas_get_work_again_after_an_evacuation(self):
         self.evacuate(2)
         self.evacuations.seen(WatchEvent("evacuation", "a", 3, None))
         self.assertTrue(self.takes_work())
@@ -296,19 +296,19 @@
         self.evacuations.listed(Listing(6, ()))
         self.assertTrue(self.takes_work())
 
-    def test_peers_hear_of_it_at_once_and_when_they_ask(self):
+    def test_peers_receive_an_evacuation_at_once_and_on_request(self):
         self.evacuate(2)
         for news in (self.flooded[-1], self.directory.news()):
             other = self.make([])
             other.received("n", news)
             self.assertTrue(other.evacuations.active("a"))
 
-    def test_nodes_that_know_other_evacuations_have_other_sums(self):
+    def test_digest_covers_evacuations(self):
         before = self.directory.digest
         self.evacuate(2)
         self.assertNotEqual(self.directory.digest, before)
 
-    def test_change_is_told(self):
+    def test_evacuation_is_logged(self):
         self.evacuate(2)
         told = [event.facts["state"] for event in self.events if event.kind is Kind.EVACUATION]
         self.assertEqual(told, ["evacuated"])
--- a/tests/upstreams/test_http.py
+++ b/tests/upstreams/test_http.py
@@ -1,4 +1,4 @@
-"""One exchange: what counts as sent, what counts as whole, and who holds whom back."""
+"""One exchange: which requests count as sent, which answers as complete, and backpressure."""
 
 import asyncio
 import unittest
@@ -17,7 +17,7 @@
         return HttpRequest(f"127.0.0.1:{server.sockets[0].getsockname()[1]}", "GET", "/", {})
 
     async def answer(self, data: bytes) -> Collector:
-        """Let a server answer with the bytes ``data`` and close; return what came."""
+        """Let a server answer with the bytes ``data`` and close; return the received answer."""
 
         async def handle(reader, writer) -> None:
             await reader.readuntil(b"\r\n\r\n")
@@ -29,7 +29,7 @@
         await exchange(await self.serve(handle), collector)
         return collector
 
-    async def test_whole_answer(self):
+    async def test_complete_answer_is_received(self):
         collector = await self.answer(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
         self.assertEqual((collector.status, collector.body), (200, b"hi"))
 
@@ -38,7 +38,7 @@
         with self.assertRaises(NotSent):
             await exchange(request, Collector())
 
-    async def test_answers_that_are_not_whole_are_cut_off(self):
+    async def test_incomplete_answers_are_cut_off(self):
         bad = {
             "nothing": b"",
             "short": b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi",
@@ -50,7 +50,7 @@
             with self.subTest(name), self.assertRaises(CutOff):
                 await self.answer(data)
 
-    async def test_slow_receiver_holds_the_sender_back(self):
+    async def test_slow_receiver_slows_the_sender_down(self):
         sent = []
         held = asyncio.Event()
 
--- a/tests/upstreams/test_idle.py
+++ b/tests/upstreams/test_idle.py
@@ -1,4 +1,4 @@
-"""Which idle connections are held, and for how long replicas allow it."""
+"""Which idle connections are kept, and for how long replicas allow it."""
 
 import unittest
 
@@ -16,42 +16,42 @@
     def setUp(self):
         self.idle: IdleConnections[str] = IdleConnections(2, 3)
 
-    def test_the_one_used_last_is_used_next(self):
+    def test_last_used_connection_is_taken_first(self):
         self.idle.put(ONE, "a")
         self.idle.put(ONE, "b")
         taken = [self.idle.take(ONE) for _ in range(3)]
         self.assertEqual(taken, ["b", "a", None])
 
-    def test_oldest_of_a_place_gives_way(self):
+    def test_oldest_of_a_full_place_is_removed(self):
         self.idle.put(ONE, "a")
         self.idle.put(ONE, "b")
         self.assertEqual(self.idle.put(ONE, "c"), ["a"])
         self.assertEqual(len(self.idle), 2)
 
-    def test_oldest_of_all_gives_way(self):
+    def test_oldest_of_all_is_removed_at_the_limit(self):
         for place, item in ((ONE, "a"), (TWO, "b"), (TWO, "c")):
             self.idle.put(place, item)
         self.assertEqual(self.idle.put(ONE, "d"), ["a"])
         self.assertEqual(self.idle.take(ONE), "d")
 
-    def test_other_replica_at_the_address_has_a_place_of_its_own(self):
+    def test_another_replica_or_endpoint_is_another_place(self):
         self.idle.put(ONE, "a")
         self.assertIsNone(self.idle.take(Place("two", ONE.endpoint)))
         self.assertIsNone(self.idle.take(Place("one", TWO.endpoint)))
 
-    def test_place_that_is_dropped_holds_nothing(self):
+    def test_dropped_place_is_empty(self):
         self.idle.put(ONE, "a")
         self.idle.put(TWO, "b")
         self.assertEqual((self.idle.drop(ONE), self.idle.drop(ONE)), (["a"], []))
         self.assertEqual((self.idle.places(), len(self.idle)), ([TWO], 1))
 
-    def test_connection_is_removed_once(self):
+    def test_connection_is_only_removed_once(self):
         self.idle.put(ONE, "a")
         self.assertEqual([self.idle.remove("a"), self.idle.remove("a")], [True, False])
 
 
 class KeepAliveTests(unittest.TestCase):
-    def test_replica_tells_its_seconds(self):
+    def test_idle_seconds_follow_the_keep_alive_header(self):
         told = {
             "": MOST,
             "timeout=5": 5 - MARGIN_SECONDS,
@@ -67,14 +67,14 @@
                 headers = HTTPHeaders({"Keep-Alive": text} if text else {})
                 self.assertEqual(idle_seconds(headers, MOST), seconds)
 
-    def test_connection_that_is_to_be_closed_is_not_kept(self):
+    def test_connection_header_close_forbids_keeping(self):
         for text, kept in {"close": False, "x, Close": False, "keep-alive": True}.items():
             with self.subTest(text):
                 headers = HTTPHeaders({"Connection": text})
                 start = ResponseStartLine("HTTP/1.1", 200, "OK")
                 self.assertEqual(may_be_kept(start, headers), kept)
 
-    def test_only_success_is_kept(self):
+    def test_connection_is_kept_only_after_a_success(self):
         allowed = {100: False, 200: True, 304: True, 404: False, 421: False, 503: False}
         for code, kept in allowed.items():
             with self.subTest(code):
--- a/tests/upstreams/test_signs.py
+++ b/tests/upstreams/test_signs.py
@@ -1,4 +1,4 @@
-"""The values that replicas put into answers: how long they want rest, and whether they leave."""
+"""The signals in answers of replicas: for how long to back off, and whether they are leaving."""
 
 import unittest
 from datetime import UTC, datetime
@@ -20,40 +20,40 @@
     def test_seconds_and_fractions(self):
         self.assertEqual([rest("3"), rest(" 0.25 "), rest("0")], [3.0, 0.25, 0.0])
 
-    def test_hour_is_kept_and_more_is_bounded(self):
+    def test_more_than_an_hour_is_bounded(self):
         self.assertEqual(rest("3600"), 3600.0)
         self.assertEqual(rest("1e300"), MOST_REST_SECONDS)
 
-    def test_date(self):
+    def test_date_in_the_future(self):
         date = format_datetime(datetime.fromtimestamp(WALL + 90, UTC), usegmt=True)
         self.assertEqual(rest(date), 90.0)
 
-    def test_date_that_has_passed(self):
+    def test_date_in_the_past_is_zero(self):
         self.assertEqual(rest("Sun, 06 Nov 1994 08:49:37 GMT"), 0.0)
 
-    def test_rubbish_asks_for_nothing(self):
+    def test_invalid_value_is_zero(self):
         values = ("", "soon", "-5", "nan", "inf", "-inf", "3 s", "Sun, 99 Foo", "\u0663" * 400)
         self.assertEqual([rest(value) for value in values], [0.0] * len(values))
 
-    def test_only_answers_that_turn_a_request_away_ask_for_rest(self):
+    def test_header_is_ignored_in_answers_that_are_no_refusals(self):
         self.assertEqual([rest("3", status) for status in (200, 301, 404, 500)], [0.0] * 4)
         self.assertEqual([rest("3", status) for status in (429, 503)], [3.0, 3.0])
 
 
 class LeavingValueTests(unittest.TestCase):
-    def test_product_header(self):
+    def test_x_leaving_header(self):
         said = {"true": True, "True": True, "false": False, "": False, "0": False}
         for value, leaves in said.items():
             headers = HTTPHeaders({"X-Leaving": value})
             self.assertEqual(read_signs(200, headers, WALL).leaving, leaves, value)
 
-    def test_platform_header(self):
+    def test_leaving_header_of_the_platform(self):
         protocol = PlatformProtocol()
         for value, leaves in {"1": True, "0": False, "": False}.items():
             headers = HTTPHeaders({"Server-Leaving": value})
             self.assertEqual(protocol.read_signs(200, headers, WALL).leaving, leaves, value)
 
-    def test_platform_rest(self):
+    def test_retry_after_of_the_platform(self):
         headers = HTTPHeaders({"Retry-After": "3"})
         self.assertEqual(PlatformProtocol().read_signs(503, headers, WALL).rest, 3.0)
 
