--- a/railsail/platform/__init__.py
+++ b/railsail/platform/__init__.py
@@ -1,7 +1,8 @@
-"""The adapter to the users' prepared platform: its names, formats and calls, and nothing else.
+"""The adapter to the platform named ``prepared``: its names, formats and calls, and nothing else.
 
-Importing this package registers a store client and a route protocol, both named ``prepared``. What
-is read here is handed on as the product's own objects and messages; nothing is decided here.
+Importing this package registers a store client and a route protocol, both named ``prepared``. They
+translate the platform's formats into railsail's own objects and messages, and make no decisions
+about requests or replicas.
 """
 
 from railsail.platform import http, store
--- a/railsail/platform/http.py
+++ b/railsail/platform/http.py
@@ -1,4 +1,4 @@
-"""The headers of the platform's clients and replicas."""
+"""The headers that the platform's callers and replicas send and expect."""
 
 import math
 import zlib
@@ -27,14 +27,14 @@
 REPLICA = "Expect-Instance"
 SIGNATURE = "Response-Seal"
 NOT_RUN = "Not-Run"
-# In answers of any kind: the replica that gives them is going to end.
+# In answers of any kind: the replica that sends it is going to stop.
 LEAVING = "Server-Leaving"
 _NOT_LEAVING = ("", "0")
 KEY = "Authorization"
 _MISDIRECTED = 421
 _BEARER = "bearer "
-# Headers that belong to one connection (RFC 9110, section 7.6.1), and the length of a body, which
-# is written anew.
+# Headers that apply to one connection only (RFC 9110, section 7.6.1), and the length of the body,
+# which is set again for the next one.
 _HOP_BY_HOP = frozenset(
     {
         "Connection",
@@ -49,8 +49,8 @@
         "Upgrade",
     }
 )
-# Orders to a replica that only the fleet may give. A caller that sent one would keep slots and
-# memory of a replica, have memory copied, or make the replica turn its request away.
+# Headers that control a replica and that only the fleet may send. With one of them, a caller could
+# occupy slots and memory of a replica, make it copy memory, or make it refuse the request.
 _ORDERS = frozenset(
     {
         REPLICA,
@@ -63,21 +63,22 @@
         "Wait-Ms",
     }
 )
-# A caller that expects a word before it sends its body has sent it by then.
+# ``Expect: 100-continue`` is for this node only: the body has been received when the request is
+# forwarded.
 _TO_THIS_NODE = frozenset({"Expect"})
-# What replicas say about themselves in answers means nothing in a request.
+# Headers of answers by which replicas describe themselves; they have no meaning in a request.
 _SAID_BY_REPLICAS = frozenset({SIGNATURE, NOT_RUN, LEAVING, "Instance-Id", "Weight-Versions"})
 _SET_BY_FLEET = _ORDERS | _SAID_BY_REPLICAS | {KEY, WORKSPACE, DEADLINE, "Expect"}
 
 
 @ROUTE_PROTOCOLS.register("prepared")
 class PlatformProtocol:
-    """Read and write the platform's headers."""
+    """The route protocol of the platform."""
 
     def read_request(
         self, method: str, target: str, headers: HTTPHeaders, body: bytes
     ) -> RoutedRequest:
-        """Return the request; raise ``ValueError`` with what is wrong."""
+        """Return the parsed request; raise ``ValueError`` if a header is invalid."""
         return RoutedRequest(
             id=headers.get(REQUEST_ID, ""),
             method=method,
@@ -93,7 +94,7 @@
         )
 
     def read_origin(self, headers: HTTPHeaders) -> Origin:
-        """Return who sent a request, without reading the rest of it."""
+        """Return the origin of a request, without parsing the rest of it."""
         return Origin(
             headers.get(REQUEST_ID, ""),
             _key(headers.get(KEY, "")),
@@ -102,7 +103,10 @@
         )
 
     def forward_headers(self, headers: HTTPHeaders, spent: float) -> HTTPHeaders:
-        """Return the headers with which a request is handed on to another node."""
+        """Return the headers with which a request is forwarded to another node.
+
+        ``spent`` are the seconds since it was received, by which its deadline is shortened.
+        """
         kept = _end_to_end(headers, _TO_THIS_NODE)
         deadline = _deadline_ms(kept)
         if deadline:
@@ -121,7 +125,7 @@
         return headers
 
     def read_answer(self, status: int, headers: HTTPHeaders) -> AnswerHead:
-        """Return what the head of a replica's answer says."""
+        """Return the parsed head of a replica's answer."""
         return AnswerHead(
             status,
             _end_to_end(headers, frozenset()),
@@ -133,16 +137,19 @@
         )
 
     def answered_id(self, headers: HTTPHeaders) -> str:
-        """Return the id of the request that an answer belongs to, nothing if it does not say."""
+        """Return the id of the request that an answer belongs to, empty if it has none."""
         return headers.get(REQUEST_ID, "")
 
     def read_signs(self, status: int, headers: HTTPHeaders, wall: float) -> AnswerSigns:
-        """Return what the head of a replica's answer says of the replica itself."""
+        """Return the signals about the replica itself in the head of its answer."""
         leaving = headers.get(LEAVING, "").strip() not in _NOT_LEAVING
         return AnswerSigns(leaving, read_rest(status, headers, wall))
 
     def own_headers(self, request_id: str, retry_after: float | None) -> HTTPHeaders:
-        """Return the headers of an answer of the fleet's own."""
+        """Return the headers of an answer that the fleet gives itself.
+
+        ``retry_after`` is in seconds.
+        """
         headers = HTTPHeaders({"Content-Type": "text/plain"})
         if request_id:
             headers[REQUEST_ID] = request_id
@@ -152,7 +159,7 @@
 
 
 def _deadline_ms(headers: HTTPHeaders) -> float:
-    """Return the deadline, 0 for none or a bad one: that is told where all of it is read."""
+    """Return the deadline, 0 for none or an invalid one, which ``read_request`` refuses."""
     try:
         return _number(headers.get(DEADLINE, ""), DEADLINE)
     except ValueError:
--- a/railsail/platform/objects.py
+++ b/railsail/platform/objects.py
@@ -1,4 +1,8 @@
-"""The platform's objects, and the product's objects that they mean."""
+"""The objects of the platform, and their conversion to railsail's own.
+
+Names of fields are the platform's. A ``Server`` is a replica, a service a pool, and a tenant a
+workspace.
+"""
 
 from typing import Annotated
 
@@ -11,21 +15,21 @@
 from railsail.routing.defaults import DEFAULT_CLASS, DEFAULT_POLICY
 
 MS = 1000.0
-# The longest time that an order may name, in seconds: a week.
+# Bounds the duration of a rollout: a week.
 MOST_ROLLOUT_SECONDS = 604_800
 STREAMING = "streaming"
 IDEMPOTENT = "idempotent"
 
 
 class Metadata(msgspec.Struct, frozen=True):
-    """What the store keeps about an object."""
+    """The metadata of a stored object."""
 
     name: str
     revision: int = 0
 
 
 class StoredItem(msgspec.Struct, frozen=True):
-    """One object of the store; ``spec`` and ``status`` are read by its kind."""
+    """One stored object; how ``spec`` and ``status`` are decoded depends on its kind."""
 
     metadata: Metadata
     spec: msgspec.Raw = msgspec.Raw(b"null")
@@ -33,7 +37,7 @@
 
 
 class ListPage(msgspec.Struct, frozen=True):
-    """One page of a list; ``more`` says that another follows."""
+    """One page of a list, read at revision ``at``; ``more`` is true if another follows."""
 
     items: list[StoredItem]
     at: int
@@ -41,14 +45,14 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """One change that a watch tells of."""
+    """One change in the answer to a watch; ``gone`` is true if the object was deleted."""
 
     object: StoredItem
     gone: bool = False
 
 
 class Changes(msgspec.Struct, frozen=True):
-    """What a watch answers."""
+    """The answer to a watch: all changes up to revision ``at``."""
 
     events: list[Change]
     at: int
@@ -58,11 +62,12 @@
 
 
 class Server(msgspec.Struct, frozen=True):
-    """A replica, as it lists itself.
+    """A replica, as it registered itself.
 
-    Others may write such entries too; one that lacks a field, or has it in another type, names no
-    replica. ``cold_left_ms`` is how long the replica stayed cold from when it wrote the entry, and
-    ``born`` the Unix millisecond of its start. ``version`` is that of its software.
+    Programs other than replicas may write such entries too. An entry without a required field, or
+    with a field of another type, is invalid. ``cold_left_ms`` is for how many more milliseconds the
+    replica was cold when it wrote the entry, and ``born`` is when it started, in milliseconds since
+    the Unix epoch. ``version`` is the version of its software.
     """
 
     service: Text
@@ -76,14 +81,18 @@
 
 
 class Backend(msgspec.Struct, frozen=True):
-    """A service that gets a share of a route's requests."""
+    """A service that gets a share of a route's requests, relative to the other weights."""
 
     service: str
     weight: float = 1.0
 
 
 class RouteSpec(msgspec.Struct, frozen=True):
-    """A route; it names one ``service`` or several ``backends``."""
+    """A route, to one ``service`` or to several ``backends``.
+
+    ``slo_ms`` is the target time to the answer (to the first event of a stream), and ``gap_slo_ms``
+    the target for the longest time between two events.
+    """
 
     name: str
     host: str
@@ -103,16 +112,16 @@
 
 
 class Engine(msgspec.Struct, frozen=True):
-    """What the replicas of a model service can do."""
+    """The capacity of each replica of a model service."""
 
     slots: int = 0
 
 
 class ServiceSpec(msgspec.Struct, frozen=True):
-    """A service; ``engine`` is given where its replicas run a model.
+    """A service; ``engine`` is given if its replicas run a model.
 
-    A replica is cold for ``cold_start_s`` after its start, and bears ``warmup_per_s`` requests a
-    second meanwhile; 0 where any number.
+    A replica is cold for ``cold_start_s`` seconds after its start, and sustains ``warmup_per_s``
+    requests a second during that time, 0 for any number.
     """
 
     name: str
@@ -122,7 +131,7 @@
 
 
 class Tenant(msgspec.Struct, frozen=True):
-    """A tenant and its keys."""
+    """A customer and its keys: railsail's workspace."""
 
     name: str
     api_keys: list[str] = []
@@ -131,7 +140,7 @@
 
 
 class Configuration(msgspec.Struct, frozen=True):
-    """The operator's newest configuration, in full."""
+    """The operator's current configuration, in full."""
 
     version: int
     routes: list[RouteSpec] = []
@@ -142,8 +151,8 @@
 class RolloutSpec(msgspec.Struct, frozen=True):
     """An order to move ``service`` to replicas of ``target_version``.
 
-    ``duration_s`` is the time until the deadline. The version may be text or a number, and the
-    status names it in the form in which the order did.
+    ``duration_s`` is the time until the deadline of the rollout. The version may be a text or a
+    number; the status has it in the same form.
     """
 
     service: Text
@@ -152,10 +161,10 @@
 
 
 class RolloutStatus(msgspec.Struct, frozen=True):
-    """What the system wrote of a rollout.
+    """The status that railsail wrote for a rollout.
 
-    ``target_version`` is that of the order which the state is about; the order may be another by
-    now.
+    ``target_version`` is the version of the order that ``state`` belongs to; the order may have
+    been replaced since.
     """
 
     state: str = ""
@@ -163,7 +172,10 @@
 
 
 def configuration_value(spec: bytes) -> dict[str, object]:
-    """Return the head object of the product's configuration that ``spec`` means."""
+    """Return the platform's configuration as the head object of railsail's configuration.
+
+    Raise ``msgspec.DecodeError`` if it cannot be decoded.
+    """
     given = msgspec.json.decode(spec, type=Configuration)
     resources: list[Resource] = [DEFAULT_CLASS, DEFAULT_POLICY]
     resources += [_pool(service) for service in given.services]
@@ -174,7 +186,10 @@
 
 
 def replica_value(spec: bytes) -> dict[str, object]:
-    """Return the record of the product's directory that ``spec`` means."""
+    """Return a replica's entry as a listed record of railsail's directory.
+
+    Raise ``msgspec.DecodeError`` if it cannot be decoded.
+    """
     given = msgspec.json.decode(spec, type=Server)
     return {
         "pool": given.service,
@@ -189,9 +204,10 @@
 
 
 def rollout_value(spec: bytes, status: bytes) -> dict[str, object]:
-    """Return the product's rollout that ``spec`` and ``status`` mean.
+    """Return the rollout that ``spec`` orders, and its ``status``.
 
-    A status that cannot be read hides no order; it is written anew.
+    Raise ``msgspec.DecodeError`` if the order cannot be decoded. A status that cannot be decoded
+    counts as empty, so that the order still takes effect and its status is written again.
     """
     given = msgspec.json.decode(spec, type=RolloutSpec)
     return {
@@ -206,7 +222,7 @@
     try:
         return msgspec.json.decode(status, type=RolloutStatus | None) or RolloutStatus()
     except (msgspec.DecodeError, UnicodeDecodeError) as problem:
-        get_logger().warning("rollout status cannot be read", reason=str(problem))
+        get_logger().warning("invalid rollout status", reason=str(problem))
         return RolloutStatus()
 
 
--- a/railsail/platform/salvage.py
+++ b/railsail/platform/salvage.py
@@ -1,7 +1,8 @@
-"""Read the good objects of an answer of the store that is no whole JSON.
+"""Recover the readable objects from an answer of the store that is not valid JSON.
 
-Others may write entries that hold bytes which nobody can read. One such entry must not hide the
-hundreds beside it, so that an answer that cannot be decoded is searched for the objects in it.
+Programs other than railsail may write entries with invalid bytes, and the store returns them as
+they are. One such entry must not hide the hundreds beside it, so an answer that cannot be decoded
+is searched for the objects in it.
 """
 
 import json
@@ -10,7 +11,7 @@
 from railsail.core.exceptions import StoreUnavailable
 from railsail.store.base import UNREADABLE
 
-# Each object of an answer begins with its metadata.
+# Each object in an answer starts with its metadata.
 _OBJECT = re.compile(r'\{\s*"metadata"\s*:')
 _NAME = re.compile(r'"name"\s*:\s*"([^"\\]+)"')
 _REVISION = re.compile(r'"revision"\s*:\s*(\d+)')
@@ -18,16 +19,17 @@
 _MORE = re.compile(r'"more"\s*:\s*true')
 _GONE = re.compile(r'"gone"\s*:\s*true')
 _HALF_CHARACTER = re.compile("[\ud800-\udfff]")
-# More characters than a change has before its object.
+# How many characters before an object are searched for the ``gone`` of its change. A change has
+# fewer before its object.
 _CHANGE_HEAD = 60
 _DECODER = json.JSONDecoder()
 
 
 def salvage(body: bytes) -> bytes:
-    """Return the answer ``body`` as JSON that can be decoded.
+    """Return the answer ``body`` as valid JSON with all objects that can be recovered.
 
-    An object that cannot be read keeps its name and revision, and has no spec. Raise
-    ``StoreUnavailable`` where the answer does not even tell its revision.
+    An object that cannot be decoded keeps its name and revision, but has no spec. Raise
+    ``StoreUnavailable`` if not even the revision of the answer can be found.
     """
     text = body.decode("utf-8", "replace")
     begins = [found.start() for found in _OBJECT.finditer(text)]
@@ -43,12 +45,12 @@
         if item is None:
             continue
         items.append(item)
-        # A change says whether its object is gone just before it, and after the one before that.
+        # The ``gone`` of a change is between the end of the previous change and its object.
         before = text[max(0, begin - _CHANGE_HEAD) : begin].rpartition("}")[2]
         events.append({"object": item, "gone": _GONE.search(before) is not None})
     more = _MORE.search(tail) is not None
     answer = {"items": items, "events": events, "at": at, "more": more}
-    # An escape may stand for half a character, which no text can hold.
+    # An escape may stand for a single surrogate, which cannot be encoded as UTF-8.
     text = _HALF_CHARACTER.sub(UNREADABLE, json.dumps(answer, ensure_ascii=False))
     return text.encode()
 
--- a/railsail/platform/store.py
+++ b/railsail/platform/store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's metadata store."""
+"""A client of the platform's object store."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -28,9 +28,10 @@
 CALL_SECONDS = 2.0
 MOST_BYTES = 64 << 20
 MOST_PAGES = 1000
-# In all answers, once the store has come back from an older copy: how often it did.
+# The store's generation: how often the store was restored from an older copy. The header is in all
+# answers once that has happened.
 ERA = "Store-Era"
-# Versions are whole numbers below 2 ** 62, of which 2 ** 40 are revisions.
+# Versions are integers below 2 ** 62, the lower 40 bits of which hold the revision.
 MOST_ERA_DIGITS = 6
 
 
@@ -47,15 +48,17 @@
 
 
 def _nothing(spec: bytes, status: bytes) -> dict[str, object]:
-    """Return no fields, whatever ``spec`` holds: that there is an object says all."""
+    """Return no fields, since objects of this kind only matter by their existence."""
     return {}
 
 
 @dataclass(frozen=True)
 class _Kind:
-    """A kind of the platform: its name, how spec and status are read, and the one object known.
+    """A kind of objects of the platform.
 
-    Of ``platform_name`` the product speaks as ``product_name``; other names are the same in both.
+    ``path`` is its name in paths. ``read`` decodes spec and status of an object. The object that
+    the platform calls ``platform_name`` is called ``product_name`` in railsail; the names of all
+    other objects are the same in both.
     """
 
     path: str
@@ -70,7 +73,7 @@
         return self.platform_name if name == self.product_name else name
 
 
-# By the product's kinds.
+# The platform's kinds, by railsail's names for them.
 _KINDS = {
     "configuration": _Kind("config", _configuration, "main", "head"),
     "upstream": _Kind("servers", _replica),
@@ -84,14 +87,14 @@
 
 @STORES.register("prepared")
 class PlatformStore:
-    """Speak to the platform's store; each call is made once, and the caller decides on more."""
+    """A client of the platform's store; it makes each call once and leaves retries to callers."""
 
-    # One watch of this store is about one kind.
+    # A watch of this store covers a single kind.
     watches_many = False
 
     def __init__(self, endpoints: Sequence[Endpoint], metrics: Metrics, rng: random.Random) -> None:
         self._base = f"http://{endpoints[0]}"
-        # The latest era that an answer told.
+        # The latest generation of the store in any answer.
         self._known_era = 0
         self._calls = StoreCalls(metrics, CALL_SECONDS, MOST_BYTES)
 
@@ -118,7 +121,8 @@
             if response.code == NOT_FOUND:
                 return Listing(version or to_version(era, 0), tuple(objects))
             page = _decode_many(response, ListPage)
-            # What changed while later pages were read is told by a watch from the first one on.
+            # The pages are read one after the other. A watch from the version of the first one on
+            # returns the changes that were made in the meantime.
             at = to_version(era, page.at)
             version = at if version is None else min(version, at)
             objects += [_object(kind, item, era) for item in page.items]
@@ -128,7 +132,7 @@
         return Listing(version or 0, tuple(objects))
 
     async def put(self, kind: str, name: str, value: dict[str, object], expected: int) -> int:
-        """Write an object if its version is ``expected``, and return the new version."""
+        """Write an object if its version is ``expected``, 0 for none; return the new version."""
         self._check_era(expected)
         metadata: dict[str, object] = {"name": name}
         body = {"metadata": metadata, "spec": value}
@@ -143,7 +147,7 @@
     async def put_status(
         self, kind: str, name: str, value: dict[str, object], expected: int
     ) -> int:
-        """Replace the status of an object if its version is ``expected``; return the new one."""
+        """Replace an object's status if its version is ``expected``; return the new version."""
         self._check_era(expected)
         body = {"metadata": {"name": name, "revision": revision_of(expected)}, "status": value}
         path = f"{_path(kind)}/{quote(name)}/status"
@@ -157,7 +161,7 @@
         await self._call("delete", "DELETE", path)
 
     async def watch(self, kinds: tuple[str, ...], since: int, seconds: float) -> WatchResult:
-        """Wait at most ``seconds`` for changes of the one kind of ``kinds`` after ``since``."""
+        """Wait at most ``seconds`` for changes after ``since``; ``kinds`` has exactly one kind."""
         (kind,) = kinds
         path = f"{_path(kind)}?watch={revision_of(since)}&wait_ms={int(seconds * 1000)}"
         response = await self._call("watch", "GET", path, waits=seconds)
@@ -165,7 +169,7 @@
             return WatchResult(since, (), expired=True)
         era = _era(response)
         if era != era_of(since):
-            # The store knows the revision again, or for the first time, as that of another change.
+            # In this generation, the revision of ``since`` may belong to another change.
             return WatchResult(since, (), expired=True)
         changes = _decode_many(response, Changes)
         events = [_event(kind, change.object, change.gone, era) for change in changes.events]
@@ -185,9 +189,9 @@
         return response
 
     def _check_era(self, expected: int) -> None:
-        """Raise ``StoreConflict`` if ``expected`` was read before the store came back from a copy.
+        """Raise ``StoreConflict`` if ``expected`` was read before the store was last restored.
 
-        Its revision may have been given out again, to a change that nobody here has seen.
+        The store may have given the same revision to another change, which this node has not seen.
         """
         if expected and era_of(expected) < self._known_era:
             raise StoreConflict("the version expected is of an earlier era")
@@ -198,7 +202,7 @@
 
 
 def _era(response: HTTPResponse) -> int:
-    """Return how often the store has come back from a copy, 0 where it does not say so."""
+    """Return the generation of the store, 0 if it was never restored from a copy."""
     text = response.headers.get(ERA, "").strip()
     if not text:
         return 0
@@ -215,11 +219,11 @@
 
 
 def _decode_many(response: HTTPResponse, shape: type):
-    """Return an answer about many objects, also where one of them makes it unreadable."""
+    """Return an answer with many objects, also if one of them has invalid bytes."""
     try:
         return msgspec.json.decode(response.body, type=shape)
     except (msgspec.DecodeError, UnicodeDecodeError) as problem:
-        get_logger().warning("the store's answer is searched for objects", reason=str(problem))
+        get_logger().warning("invalid answer of the store: recovering objects", reason=str(problem))
     try:
         return msgspec.json.decode(salvage(response.body), type=shape)
     except msgspec.DecodeError as problem:
@@ -234,7 +238,7 @@
     except msgspec.DecodeError as problem:
         if known.product_name:
             raise StoreUnavailable(f"{kind}/{name} cannot be read: {problem}") from None
-        # One of many that cannot be read must not hide the others; its listener refuses it.
+        # An invalid object must not hide the others. The listener to its kind refuses empty values.
         value = {}
     return StoredObject(kind, name, to_version(era, item.metadata.revision), value)
 
--- a/tests/platform/test_http.py
+++ b/tests/platform/test_http.py
@@ -1,4 +1,4 @@
-"""The platform's headers: read from callers and replicas, written to both."""
+"""The platform's headers, in requests and answers, read and written."""
 
 import unittest
 
@@ -16,7 +16,7 @@
 
 
 class RequestTests(unittest.TestCase):
-    def test_what_is_read(self):
+    def test_request_is_parsed(self):
         request = read(
             Host="h",
             Request_Id="r",
@@ -43,7 +43,7 @@
         self.assertEqual(read(Token_Count="10,5").prompt.affinity_key, 0)
         self.assertEqual(read().prompt.tokens, 0)
 
-    def test_bad_numbers_are_told(self):
+    def test_invalid_numbers_raise(self):
         bad = [
             {"Deadline_Ms": "soon"},
             {"Deadline_Ms": "-1"},
@@ -55,7 +55,7 @@
             with self.subTest(headers=headers), self.assertRaises(ValueError):
                 read(**headers)
 
-    def test_orders_to_replicas_are_not_taken_from_callers(self):
+    def test_headers_that_control_replicas_are_dropped_from_requests(self):
         orders = ["Hold", "Pin-Ms", "Kv-Backup", "Kv-From", "Kv-Fetch", "Wait-Ms"]
         orders += ["Expect-Version", "Expect-Instance", "Tenant", "Not-Run", "Response-Seal"]
         for order in orders:
@@ -65,20 +65,20 @@
                 self.assertNotEqual(sent.get(order), "1")
                 self.assertEqual(sent["X-Other"], "2")
 
-    def test_prompt_headers_go_on_unchanged(self):
+    def test_prompt_headers_are_forwarded_unchanged(self):
         given = {"Model": "m", "Token_Count": "7,8", "Prompt_Prefix": "aa:7", "Length_Hint": "3"}
         sent = PROTOCOL.request_headers(read(**given), Dispatch("i-1", "one", 2.0))
         for name, value in given.items():
             self.assertEqual(sent[name.replace("_", "-")], value)
 
-    def test_a_resumed_stream_names_the_last_event(self):
+    def test_resumed_stream_names_the_last_event(self):
         sent = PROTOCOL.request_headers(read(Last_Event_Id="3"), Dispatch("i-1", "", 2.0, "9"))
         self.assertEqual(sent["Last-Event-Id"], "9")
         self.assertNotIn("Tenant", sent)
 
 
 class AnswerTests(unittest.TestCase):
-    def test_marks(self):
+    def test_flags_of_an_answer_are_parsed(self):
         head = PROTOCOL.read_answer(503, HTTPHeaders({"Not-Run": "1", "Request-Id": "r"}))
         self.assertEqual((head.not_run, head.misdirected, head.signed), (True, False, False))
         head = PROTOCOL.read_answer(421, HTTPHeaders())
@@ -87,12 +87,12 @@
         head = PROTOCOL.read_answer(200, HTTPHeaders(headers))
         self.assertEqual((head.signed, head.event_stream, head.not_run), (True, True, False))
 
-    def test_headers_of_the_connection_stay_behind(self):
+    def test_headers_of_the_connection_are_dropped(self):
         headers = HTTPHeaders({"Connection": "close, X-Hop", "X-Hop": "1", "Keep-Alive": "1"})
         headers["Set-Cookie"] = "a"
         self.assertEqual(list(PROTOCOL.read_answer(200, headers).headers), ["Set-Cookie"])
 
-    def test_own_answers(self):
+    def test_headers_of_own_answers(self):
         headers = PROTOCOL.own_headers("r", 0.25)
         self.assertEqual((headers["Request-Id"], headers["Retry-After"]), ("r", "0.250"))
         self.assertNotIn("Retry-After", PROTOCOL.own_headers("r", None))
--- a/tests/platform/test_objects.py
+++ b/tests/platform/test_objects.py
@@ -1,4 +1,4 @@
-"""What the platform's objects mean in the product's own."""
+"""Conversion of the platform's objects to railsail's own."""
 
 import json
 import unittest
@@ -61,10 +61,10 @@
         self.assertEqual(value["version"], 7)
         self.catalog = restore(Snapshot(7, tuple(value["objects"])))
 
-    def test_it_passes_the_checks_of_the_product(self):
+    def test_converted_configuration_passes_all_checks(self):
         self.assertEqual(check_catalog(self.catalog), [])
 
-    def test_routes(self):
+    def test_routes_are_converted(self):
         first = self.catalog.resources[("route", "r-1")]
         self.assertEqual([(s.pool, s.weight) for s in first.pools], [("lm", 90), ("lm-2", 10)])
         self.assertEqual((first.timeout, first.objective, first.pause), (15.0, 0.4, 0.2))
@@ -75,24 +75,24 @@
         self.assertEqual((second.repeatable, second.public), (True, True))
         self.assertEqual([share.pool for share in second.pools], ["api"])
 
-    def test_pools(self):
+    def test_services_become_pools(self):
         engine, plain = self.catalog.pool("lm"), self.catalog.pool("api")
         self.assertEqual((engine.slots, plain.slots), (48, 0))
         self.assertEqual((engine.cost_unit, plain.cost_unit), ("tokens", "calls"))
 
-    def test_cold_starts(self):
+    def test_cold_start_becomes_that_of_the_pool(self):
         service = {"name": "lm", "cold_start_s": 3.0, "warmup_per_s": 18.0}
         value = configuration_value(json.dumps({"version": 1, "services": [service]}).encode())
         (pool,) = [item for item in value["objects"] if item["kind"] == "pool"]
         self.assertEqual((pool["cold_seconds"], pool["warmup_rate"]), (3.0, 18.0))
 
-    def test_tenants(self):
+    def test_tenants_become_workspaces(self):
         first, second = self.catalog.workspace("t1"), self.catalog.workspace("t2")
         self.assertEqual(first.key_hashes, (hash_key("k1"), hash_key("k2")))
         self.assertEqual((first.priority, second.priority), (0, None))
         self.assertEqual(second.key_hashes, ())
 
-    def test_what_cannot_be_read_is_told(self):
+    def test_invalid_configuration_raises(self):
         for spec in (b"{", b"[]", b'{"routes": []}', b'{"version": "x"}'):
             with self.subTest(spec=spec), self.assertRaises(msgspec.DecodeError):
                 configuration_value(spec)
@@ -102,13 +102,13 @@
 
 
 class ReplicaTests(unittest.TestCase):
-    def test_states(self):
+    def test_only_ready_replicas_are_live(self):
         for state, means in [("ready", "live"), ("draining", "leaving"), ("other", "leaving")]:
             value = replica_value(json.dumps(SERVER | {"state": state}).encode())
             self.assertEqual(value["state"], means)
             self.assertEqual((value["pool"], value["endpoint"]), ("lm", "10.0.0.1:80"))
 
-    def test_entry_that_lacks_a_field_or_has_another_type_names_no_replica(self):
+    def test_entry_without_a_field_or_with_another_type_is_invalid(self):
         lacking = [{k: v for k, v in SERVER.items() if k != name} for name in SERVER]
         wrong = [SERVER | {"slots": value} for value in ("4", 4.5, -1, None, True)]
         wrong += [SERVER | {"born": value} for value in ("1", 1.5, -1, None)]
@@ -120,7 +120,7 @@
         with self.assertRaises(msgspec.DecodeError):
             replica_value(b'{"service": "\xff\xfe"}')
 
-    def test_start_and_cold_time(self):
+    def test_start_and_cold_time_are_converted(self):
         spec = SERVER | {"born": 1768042062045, "cold_left_ms": 2986}
         value = replica_value(json.dumps(spec).encode())
         self.assertEqual((value["born"], value["cold"]), (1768042062045, 2986))
--- a/tests/platform/test_salvage.py
+++ b/tests/platform/test_salvage.py
@@ -1,4 +1,4 @@
-"""One entry that holds bytes which nobody can read hides no other."""
+"""An entry with invalid bytes in an answer of the store does not hide the others."""
 
 import json
 import random
@@ -24,7 +24,7 @@
 
 
 class SalvageTests(unittest.TestCase):
-    def test_list(self):
+    def test_objects_of_a_list_are_recovered(self):
         for torn in TORN:
             body = b'{"items":[' + b",".join(answer(torn)) + b'],"more":true,"at":9}'
             with self.subTest(torn=torn):
@@ -35,7 +35,7 @@
                 self.assertEqual(specs[2:], [SPEC] * 3)
                 self.assertNotIsInstance(specs[1], dict)
 
-    def test_watch(self):
+    def test_changes_of_a_watch_are_recovered(self):
         for torn in TORN:
             events = [
                 b'{"gone":%s,"object":%s}' % (b"true" if n == 3 else b"false", found)
@@ -47,12 +47,12 @@
                 told = [(e.object.metadata.name, e.gone) for e in changes.events]
                 self.assertEqual(told, [(f"i-{n}", n == 3) for n in range(1, 6)])
 
-    def test_answer_that_tells_nothing_is_refused(self):
+    def test_answer_without_a_revision_is_unavailable(self):
         for body in (b"", b"<html>", b'{"items":[', b"\xff"):
             with self.subTest(body=body), self.assertRaises(StoreUnavailable):
                 salvage(body)
 
-    def test_no_bytes_make_it_fail_in_another_way(self):
+    def test_random_bytes_raise_no_other_error(self):
         rng = random.Random(4)
         whole = b'{"items":[' + b",".join(answer(b"{}")) + b'],"more":false,"at":9}'
         for _ in range(500):
@@ -64,7 +64,7 @@
             except StoreUnavailable:
                 continue
 
-    def test_half_a_character_hides_no_other_object(self):
+    def test_single_surrogate_does_not_hide_other_objects(self):
         body = (
             b'{"items":[{"metadata":{"name":"a","revision":1},"spec":{"service":"\\ud800"}},'
             b'{"metadata":{"name":"b","revision":2},"spec":{"service":"lm"}}],"at":2}'
