--- a/railsail/upstreams/connections.py
+++ b/railsail/upstreams/connections.py
@@ -13,24 +13,24 @@
 from railsail.core.events import Fact, Kind
 from railsail.core.kernel import Kernel
 from railsail.upstreams.http import CutOff, HttpRequest, connect, first_line
-from railsail.upstreams.idle import MOST_AT_PLACE, IdleConnections, Place
+from railsail.upstreams.idle import MAX_IDLE_PER_REPLICA, IdleConnections, Place
 from railsail.upstreams.streams import UpstreamStream
 
 # A probe is first checked after the time that the connection took to connect plus this margin, then
 # with exponential backoff. The margin leaves the replica's process the time to reset the connection
 # after its operating system has acknowledged the line.
-SETTLE_SECONDS = 0.003
+PROBE_MARGIN_SECONDS = 0.003
 # Bounds the time to the first check.
-MOST_PAUSE_SECONDS = 0.05
+MAX_FIRST_CHECK_SECONDS = 0.05
 # Bounds the whole probe. An operating system may delay an acknowledgement by 40 ms.
-MOST_CHECK_SECONDS = 0.1
+MAX_PROBE_SECONDS = 0.1
 
 
 class ConnectionPool:
     """Keep idle connections to replicas for at most ``seconds``.
 
-    ``takes_work`` returns whether requests may be sent to the replica at a place. At most
-    ``most_at_place`` connections are kept for each place.
+    ``takes_work`` returns whether requests may be sent to a replica at its endpoint. At most
+    ``max_per_replica`` idle connections are kept for each of them.
     """
 
     def __init__(
@@ -38,14 +38,14 @@
         seconds: float,
         takes_work: Callable[[Place], bool],
         kernel: Kernel,
-        most_at_place: int = MOST_AT_PLACE,
+        max_per_replica: int = MAX_IDLE_PER_REPLICA,
     ) -> None:
-        self.most_idle_seconds = seconds
+        self.max_idle_seconds = seconds
         self._takes_work = takes_work
         self._clock = kernel.clock
         self._events = kernel.events
         self._metrics = kernel.metrics
-        self._idle: IdleConnections[UpstreamStream] = IdleConnections(most_at_place)
+        self._idle: IdleConnections[UpstreamStream] = IdleConnections(max_per_replica)
         self._expiries: dict[UpstreamStream, asyncio.TimerHandle] = {}
         self._closed = False
         # While this process was suspended, replicas may have dropped their connections to it.
@@ -54,22 +54,22 @@
     def __len__(self) -> int:
         return len(self._idle)
 
-    def keeps(self, request: HttpRequest) -> bool:
+    def can_keep(self, request: HttpRequest) -> bool:
         """Return True if ``request`` may use a kept connection, and its own be kept after it.
 
         A request without an id may not, because a late answer to an earlier request could be taken
         for its own. Neither may one with a control character in its path: the codec refuses it, so
         its first line must not be sent either.
         """
-        if self._closed or not self.most_idle_seconds:
+        if self._closed or not self.max_idle_seconds:
             return False
         named = request.replica and request.request_id
         return bool(named) and request.method != "HEAD" and request.path.isprintable()
 
-    async def take(self, request: HttpRequest) -> UpstreamStream:
+    async def acquire(self, request: HttpRequest) -> UpstreamStream:
         """Return a connection for ``request``; raise ``NotSent`` if there is none."""
-        if self.keeps(request):
-            stream = await self._take_idle(request)
+        if self.can_keep(request):
+            stream = await self._acquire_idle(request)
             if stream is not None:
                 self._metrics.upstream_connections.inc({"use": "kept"})
                 return stream
@@ -77,50 +77,52 @@
         self._metrics.upstream_connections.inc({"use": "new"})
         return stream
 
-    async def _take_idle(self, request: HttpRequest) -> UpstreamStream | None:
-        stream = self._idle.take(_place(request))
+    async def _acquire_idle(self, request: HttpRequest) -> UpstreamStream | None:
+        stream = self._idle.take(_target(request))
         if stream is None:
             return None
         self._expiries.pop(stream).cancel()
         stream.set_close_callback(None)
         reason = "cancelled"
         try:
-            reason = await _check(stream, first_line(request))
+            reason = await _probe(stream, first_line(request))
         finally:
             if reason:
                 self._discard(stream, reason)
         if not reason:
             return stream
-        self._tell(f"an idle connection cannot be used: {reason}", request, stream)
+        self._log(f"an idle connection cannot be used: {reason}", request, stream)
         # Its cause, such as a restart of the replica, may affect the other connections to it.
         self.drop(request.replica, reason)
         return None
 
-    def give_back(self, request: HttpRequest, stream: UpstreamStream, seconds: float) -> None:
+    def release(self, request: HttpRequest, stream: UpstreamStream, seconds: float) -> None:
         """Keep a connection after a complete answer, idle for at most ``seconds``, or close it."""
         stream.answers += 1
         stream.answered_at = self._clock.monotonic()
-        reason = self._unfit(request, stream, seconds)
+        reason = self._reason_to_close(request, stream, seconds)
         if reason:
             self._discard(stream, reason)
             return
-        for surplus in self._idle.put(_place(request), stream):
-            self._end(surplus, "surplus")
+        for surplus in self._idle.put(_target(request), stream):
+            self._close_idle(surplus, "surplus")
         loop = asyncio.get_running_loop()
         self._expiries[stream] = loop.call_later(seconds, self._remove, stream, "idle")
         stream.set_close_callback(lambda: self._remove(stream, "closed"))
 
-    def _unfit(self, request: HttpRequest, stream: UpstreamStream, seconds: float) -> str:
-        if seconds <= 0 or not self.keeps(request):
+    def _reason_to_close(self, request: HttpRequest, stream: UpstreamStream, seconds: float) -> str:
+        if seconds <= 0 or not self.can_keep(request):
             return "not-kept"
-        if not self._takes_work(_place(request)):
+        if not self._takes_work(_target(request)):
             return "leaving"
         # The unwritten rest of this request would be sent in front of the next one.
-        if stream.writing() or not stream.quiet():
+        if stream.writing() or not stream.is_idle():
             return "unread"
         return ""
 
-    def broke(self, request: HttpRequest, stream: UpstreamStream, problem: BaseException) -> None:
+    def release_failed(
+        self, request: HttpRequest, stream: UpstreamStream, problem: BaseException
+    ) -> None:
         """Close the connection of an exchange that failed with ``problem``."""
         self._discard(stream, "broke")
         if not isinstance(problem, CutOff):
@@ -128,9 +130,9 @@
         self.drop(request.replica, "broke")
         if stream.reused:
             detail = "a kept connection broke under a request"
-            self._tell(detail, request, stream, notable=True, problem=str(problem))
+            self._log(detail, request, stream, notable=True, problem=str(problem))
 
-    def _tell(
+    def _log(
         self, detail: str, request: HttpRequest, stream: UpstreamStream, **facts: Fact
     ) -> None:
         self._events.emit(
@@ -145,24 +147,24 @@
 
     def drop(self, replica: str, reason: str) -> None:
         """Close the idle connections to ``replica``; ``reason`` is the metric's label."""
-        for place in self._idle.places():
-            if place.replica == replica:
-                self._drop_place(place, reason)
+        for target in self._idle.targets():
+            if target.replica == replica:
+                self._drop_target(target, reason)
 
-    def _drop_place(self, place: Place, reason: str) -> None:
-        for stream in self._idle.drop(place):
-            self._end(stream, reason)
+    def _drop_target(self, target: Place, reason: str) -> None:
+        for stream in self._idle.drop(target):
+            self._close_idle(stream, reason)
 
     def review(self) -> None:
         """Close the idle connections to replicas that may not be sent requests any more."""
-        for place in self._idle.places():
-            if not self._takes_work(place):
-                self._drop_place(place, "leaving")
+        for target in self._idle.targets():
+            if not self._takes_work(target):
+                self._drop_target(target, "leaving")
 
     def clear(self, reason: str) -> None:
         """Close all idle connections."""
-        for place in self._idle.places():
-            self._drop_place(place, reason)
+        for target in self._idle.targets():
+            self._drop_target(target, reason)
 
     def close(self) -> None:
         """Close all idle connections, and keep none from now on."""
@@ -171,9 +173,9 @@
 
     def _remove(self, stream: UpstreamStream, reason: str) -> None:
         if self._idle.remove(stream):
-            self._end(stream, reason)
+            self._close_idle(stream, reason)
 
-    def _end(self, stream: UpstreamStream, reason: str) -> None:
+    def _close_idle(self, stream: UpstreamStream, reason: str) -> None:
         expiry = self._expiries.pop(stream, None)
         if expiry is not None:
             expiry.cancel()
@@ -185,26 +187,26 @@
         self._metrics.upstream_connections_closed.inc({"reason": reason})
 
 
-def _place(request: HttpRequest) -> Place:
+def _target(request: HttpRequest) -> Place:
     return Place(request.replica, request.endpoint)
 
 
-async def _check(stream: UpstreamStream, line: bytes) -> str:
+async def _probe(stream: UpstreamStream, line: bytes) -> str:
     """Probe a kept connection with ``line``, the first line of the next request.
 
     Return why the connection cannot be used, an empty string if it can.
     """
-    if not stream.quiet():
+    if not stream.is_idle():
         return "closed"
     loop = asyncio.get_running_loop()
-    ends_at = loop.time() + MOST_CHECK_SECONDS
-    pause = min(stream.connect_seconds + SETTLE_SECONDS, MOST_PAUSE_SECONDS)
+    ends_at = loop.time() + MAX_PROBE_SECONDS
+    pause = min(stream.connect_seconds + PROBE_MARGIN_SECONDS, MAX_FIRST_CHECK_SECONDS)
     stream.set_nodelay(True)
-    stream.send_ahead(line)
+    stream.send_in_advance(line)
     while loop.time() < ends_at:
         await asyncio.sleep(min(pause, ends_at - loop.time()))
         acknowledged = stream.acknowledged()
-        if not stream.quiet():
+        if not stream.is_idle():
             return "forgotten"
         if acknowledged:
             return ""
--- a/railsail/upstreams/http.py
+++ b/railsail/upstreams/http.py
@@ -18,13 +18,13 @@
 from railsail.conf.values import parse_endpoint
 from railsail.core.exceptions import RailsailError
 from railsail.core.sockets import CannotConnect, open_stream
-from railsail.upstreams.keepalive import FIRST_ERROR, idle_seconds, may_be_kept
+from railsail.upstreams.keepalive import MIN_ERROR_STATUS, idle_seconds, may_be_kept
 from railsail.upstreams.streams import UpstreamStream
 
-CONNECT_SECONDS = 2.0
-SILENT_SECONDS = 60.0
-MOST_BODY_BYTES = 1 << 30
-MOST_HEADER_BYTES = 64 << 10
+CONNECT_TIMEOUT_SECONDS = 2.0
+MAX_SILENCE_SECONDS = 60.0
+MAX_BODY_BYTES = 1 << 30
+MAX_HEADER_BYTES = 64 << 10
 
 
 class NotSent(RailsailError):
@@ -74,7 +74,7 @@
     headers: Mapping[str, str]
     body: bytes = b""
     open_ended: bool = False
-    connect_seconds: float = CONNECT_SECONDS
+    connect_seconds: float = CONNECT_TIMEOUT_SECONDS
     on_head: HeadListener = ignore_head
     replica: str = ""
     request_id: str = ""
@@ -94,42 +94,46 @@
 class Connections(Protocol):
     """The source of the connections of exchanges, to which they are given back.
 
-    ``most_idle_seconds`` is the maximum time for which a connection is kept idle.
+    ``max_idle_seconds`` is the maximum time for which a connection is kept idle.
     """
 
-    most_idle_seconds: float
+    max_idle_seconds: float
 
-    def keeps(self, request: HttpRequest) -> bool:
+    def can_keep(self, request: HttpRequest) -> bool:
         """Return True if the connection of ``request`` may be kept."""
 
-    async def take(self, request: HttpRequest) -> UpstreamStream:
+    async def acquire(self, request: HttpRequest) -> UpstreamStream:
         """Return a connection for ``request``; raise ``NotSent`` if there is none."""
 
-    def give_back(self, request: HttpRequest, stream: UpstreamStream, seconds: float) -> None:
+    def release(self, request: HttpRequest, stream: UpstreamStream, seconds: float) -> None:
         """Take back a connection after a complete answer; it may be idle for ``seconds``."""
 
-    def broke(self, request: HttpRequest, stream: UpstreamStream, problem: BaseException) -> None:
+    def release_failed(
+        self, request: HttpRequest, stream: UpstreamStream, problem: BaseException
+    ) -> None:
         """Close the connection of an exchange that failed with ``problem``."""
 
 
 class NewConnections:
     """Connections that are opened for one exchange each, and closed after it."""
 
-    most_idle_seconds = 0.0
+    max_idle_seconds = 0.0
 
-    def keeps(self, request: HttpRequest) -> bool:
+    def can_keep(self, request: HttpRequest) -> bool:
         """Return False: no connection is kept."""
         return False
 
-    async def take(self, request: HttpRequest) -> UpstreamStream:
+    async def acquire(self, request: HttpRequest) -> UpstreamStream:
         """Return a new connection; raise ``NotSent`` if there is none."""
         return await connect(request)
 
-    def give_back(self, request: HttpRequest, stream: UpstreamStream, seconds: float) -> None:
+    def release(self, request: HttpRequest, stream: UpstreamStream, seconds: float) -> None:
         """Close the connection."""
         stream.close()
 
-    def broke(self, request: HttpRequest, stream: UpstreamStream, problem: BaseException) -> None:
+    def release_failed(
+        self, request: HttpRequest, stream: UpstreamStream, problem: BaseException
+    ) -> None:
         """Close the connection."""
         stream.close()
 
@@ -143,35 +147,35 @@
         request: HttpRequest,
         receiver: Receiver,
         stream: UpstreamStream,
-        most_idle_seconds: float,
+        max_idle_seconds: float,
     ) -> None:
         self._request = request
         self._receiver = receiver
         self._stream = stream
-        self._most_idle_seconds = most_idle_seconds
+        self._max_idle_seconds = max_idle_seconds
         self.error: Exception | None = None
         self._loop = asyncio.get_running_loop()
-        self.whole = False
-        self.framed = False
+        self.complete = False
+        self.delimited = False
         # The answer is a late one to an earlier request on this connection.
         self.foreign = False
         self.idle_seconds = 0.0
-        self.busy = False
-        self.last = self._loop.time()
+        self.receiver_busy = False
+        self.last_progress_at = self._loop.time()
 
     def headers_received(
         self, start_line: RequestStartLine | ResponseStartLine, headers: HTTPHeaders
     ) -> Awaitable[None] | None:
-        self.framed = "Content-Length" in headers or "Transfer-Encoding" in headers
-        self.framed = self.framed or start_line.code in (204, 304)
+        self.delimited = "Content-Length" in headers or "Transfer-Encoding" in headers
+        self.delimited = self.delimited or start_line.code in (204, 304)
         self.foreign = self._is_foreign(start_line.code, headers)
         if self.foreign:
             return None
         self.idle_seconds = 0.0
-        if self.framed and may_be_kept(start_line, headers):
-            self.idle_seconds = idle_seconds(headers, self._most_idle_seconds)
+        if self.delimited and may_be_kept(start_line, headers):
+            self.idle_seconds = idle_seconds(headers, self._max_idle_seconds)
         self._request.on_head(start_line.code, headers)
-        return self._guard(self._receiver.head(start_line.code, headers))
+        return self._run_receiver(self._receiver.head(start_line.code, headers))
 
     def _is_foreign(self, status: int, headers: HTTPHeaders) -> bool:
         """Return True if an answer on a kept connection belongs to another request."""
@@ -180,30 +184,30 @@
         answered = self._request.read_id(headers)
         if not answered:
             # A replica may send an error before it has read the id, but not a success.
-            return status < FIRST_ERROR
+            return status < MIN_ERROR_STATUS
         return answered != self._request.request_id
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
-        return None if self.foreign else self._guard(self._receiver.data(chunk))
+        return None if self.foreign else self._run_receiver(self._receiver.data(chunk))
 
     def finish(self) -> None:
-        self.whole = True
+        self.complete = True
         if self._stream.writing() and not self.foreign:
             # The codec would wait until the rest of the request is written, which the replica may
             # never read.
             self._stream.close()
 
     def on_connection_close(self) -> None:
-        self.whole = False
+        self.complete = False
 
     def expect_another(self) -> None:
         """Prepare for the request's own answer after one that belonged to another request."""
-        self.whole = False
-        self.last = self._loop.time()
+        self.complete = False
+        self.last_progress_at = self._loop.time()
 
-    async def _guard(self, work: Awaitable[None]) -> None:
+    async def _run_receiver(self, work: Awaitable[None]) -> None:
         # While the receiver waits for a slow caller, the replica does not count as silent.
-        self.busy = True
+        self.receiver_busy = True
         try:
             await work
         except Exception as problem:
@@ -211,11 +215,14 @@
             self.error = problem
             self._stream.close()
         finally:
-            self.busy = False
-            self.last = self._loop.time()
+            self.receiver_busy = False
+            self.last_progress_at = self._loop.time()
 
     def silent(self) -> bool:
-        return not self.busy and self._loop.time() - self.last > SILENT_SECONDS
+        return (
+            not self.receiver_busy
+            and self._loop.time() - self.last_progress_at > MAX_SILENCE_SECONDS
+        )
 
 
 async def exchange(
@@ -226,57 +233,57 @@
     Raise ``NotSent`` or ``CutOff`` if that fails, or the error that ``receiver`` raised. Cancelling
     the task closes the connection.
     """
-    stream = await connections.take(request)
-    most_idle = connections.most_idle_seconds if connections.keeps(request) else 0.0
+    stream = await connections.acquire(request)
+    max_idle = connections.max_idle_seconds if connections.can_keep(request) else 0.0
     try:
-        seconds = await _exchange_on(stream, request, receiver, most_idle)
+        seconds = await _exchange_on(stream, request, receiver, max_idle)
     except BaseException as problem:
-        connections.broke(request, stream, problem)
+        connections.release_failed(request, stream, problem)
         raise
-    connections.give_back(request, stream, seconds)
+    connections.release(request, stream, seconds)
 
 
 async def connect(request: HttpRequest) -> UpstreamStream:
     """Return a new connection for ``request``; raise ``NotSent`` if there is none."""
     target = parse_endpoint(request.endpoint)
     loop = asyncio.get_running_loop()
-    begun = loop.time()
+    started = loop.time()
     try:
         stream = await open_stream(target.ip, target.port, request.connect_seconds, UpstreamStream)
     except CannotConnect as problem:
         reason = f"the replica cannot be connected to: {problem}"
         raise NotSent(reason, problem.refused) from None
-    stream.connect_seconds = loop.time() - begun
+    stream.connect_seconds = loop.time() - started
     return stream
 
 
 async def _exchange_on(
-    stream: UpstreamStream, request: HttpRequest, receiver: Receiver, most_idle: float
+    stream: UpstreamStream, request: HttpRequest, receiver: Receiver, max_idle: float
 ) -> float:
     """Make an exchange on ``stream``; return for how many seconds it may be idle afterwards."""
-    delegate = _Delegate(request, receiver, stream, most_idle)
-    watch = asyncio.ensure_future(_close_when_silent(stream, delegate))
+    delegate = _Delegate(request, receiver, stream, max_idle)
+    silence_check = asyncio.ensure_future(_close_when_silent(stream, delegate))
     try:
         connection = _codec(stream)
         start = RequestStartLine(request.method, request.path, "")
-        connection.write_headers(start, _headers(request, most_idle > 0), request.body)
+        connection.write_headers(start, _headers(request, max_idle > 0), request.body)
         connection.finish()
         await connection.read_response(delegate)
-        if delegate.foreign and delegate.whole:
-            await _read_own(stream, delegate)
+        if delegate.foreign and delegate.complete:
+            await _read_own_answer(stream, delegate)
     except (OSError, StreamClosedError, ValueError) as problem:
         if delegate.error is not None:
             raise delegate.error from None
         raise CutOff(f"the connection to the replica broke: {problem}") from None
     finally:
-        watch.cancel()
+        silence_check.cancel()
     if delegate.error is not None:
         raise delegate.error
-    _check_whole(stream, request, delegate)
+    _check_complete(stream, request, delegate)
     return delegate.idle_seconds
 
 
-async def _read_own(stream: UpstreamStream, delegate: _Delegate) -> None:
+async def _read_own_answer(stream: UpstreamStream, delegate: _Delegate) -> None:
     # At most one late answer is skipped. The connection is not kept after it.
     delegate.expect_another()
     connection = _codec(stream)
@@ -285,19 +292,19 @@
     delegate.idle_seconds = 0.0
 
 
-def _check_whole(stream: UpstreamStream, request: HttpRequest, delegate: _Delegate) -> None:
+def _check_complete(stream: UpstreamStream, request: HttpRequest, delegate: _Delegate) -> None:
     if delegate.foreign:
         raise CutOff("the replica answered another request")
-    if not delegate.whole:
+    if not delegate.complete:
         raise CutOff("the replica closed before the end of its answer")
-    if not delegate.framed and not (request.open_ended and stream.error is None):
+    if not delegate.delimited and not (request.open_ended and stream.error is None):
         # A body that ends with its connection may be truncated without any error.
         raise CutOff("the replica gave no length of its answer")
 
 
 def _codec(stream: UpstreamStream) -> HTTP1Connection:
     parameters = HTTP1ConnectionParameters(
-        no_keep_alive=True, max_header_size=MOST_HEADER_BYTES, max_body_size=MOST_BODY_BYTES
+        no_keep_alive=True, max_header_size=MAX_HEADER_BYTES, max_body_size=MAX_BODY_BYTES
     )
     return HTTP1Connection(stream, is_client=True, params=parameters)
 
@@ -320,21 +327,21 @@
 
 async def _close_when_silent(stream: IOStream, delegate: _Delegate) -> None:
     while not delegate.silent():
-        await asyncio.sleep(SILENT_SECONDS / 10)
+        await asyncio.sleep(MAX_SILENCE_SECONDS / 10)
     stream.close()
 
 
 class Collector:
     """A receiver that keeps a short answer in memory.
 
-    Its ``data`` raises ``ValueError`` if the body has more than ``most_bytes``.
+    Its ``data`` raises ``ValueError`` if the body has more than ``max_bytes``.
     """
 
-    def __init__(self, most_bytes: int = 1 << 20) -> None:
+    def __init__(self, max_bytes: int = 1 << 20) -> None:
         self.status = 0
         self.headers = HTTPHeaders()
         self.body = b""
-        self._most_bytes = most_bytes
+        self._max_bytes = max_bytes
 
     async def head(self, status: int, headers: HTTPHeaders) -> None:
         """Keep status and headers."""
@@ -343,16 +350,14 @@
 
     async def data(self, chunk: bytes) -> None:
         """Keep a chunk of the body."""
-        if len(self.body) + len(chunk) > self._most_bytes:
+        if len(self.body) + len(chunk) > self._max_bytes:
             raise ValueError("the answer is too long")
         self.body += chunk
 
 
-async def fetch(
-    request: HttpRequest, seconds: float, most_bytes: int = 1 << 20
-) -> Collector | None:
+async def fetch(request: HttpRequest, seconds: float, max_bytes: int = 1 << 20) -> Collector | None:
     """Return a short answer, or ``None`` if none was received within ``seconds``."""
-    collector = Collector(most_bytes)
+    collector = Collector(max_bytes)
     with contextlib.suppress(NotSent, CutOff, TimeoutError):
         async with asyncio.timeout(seconds):
             await exchange(request, collector)
--- a/railsail/upstreams/idle.py
+++ b/railsail/upstreams/idle.py
@@ -6,10 +6,10 @@
 
 # Bounds the idle connections to one replica. A replica limits its connections from all nodes
 # together, and a large fleet has a hundred nodes.
-MOST_AT_PLACE = 1
+MAX_IDLE_PER_REPLICA = 1
 # Bounds the idle connections of a node. Most of its file descriptors are needed for the connections
 # of callers and for running requests.
-MOST_IN_ALL = 256
+MAX_IDLE_CONNECTIONS = 256
 
 Item = TypeVar("Item")
 
@@ -23,41 +23,43 @@
 
 
 class IdleConnections(Generic[Item]):
-    """Idle connections by place; the one that was used last is used next."""
+    """Idle connections by replica; the one that was used last is used next."""
 
-    def __init__(self, most_at_place: int = MOST_AT_PLACE, most_in_all: int = MOST_IN_ALL) -> None:
-        self._most_at_place = most_at_place
-        self._most_in_all = most_in_all
+    def __init__(
+        self, max_per_replica: int = MAX_IDLE_PER_REPLICA, max_total: int = MAX_IDLE_CONNECTIONS
+    ) -> None:
+        self._max_per_replica = max_per_replica
+        self._max_total = max_total
         # Connections in the order in which they became idle.
-        self._place_of: dict[Item, Place] = {}
+        self._target_of: dict[Item, Place] = {}
         self._at: dict[Place, list[Item]] = {}
 
     def __len__(self) -> int:
-        return len(self._place_of)
+        return len(self._target_of)
 
-    def places(self) -> list[Place]:
-        """Return the places that have idle connections."""
+    def targets(self) -> list[Place]:
+        """Return the replicas, with their endpoints, that have idle connections."""
         return list(self._at)
 
-    def put(self, place: Place, item: Item) -> list[Item]:
+    def put(self, target: Place, item: Item) -> list[Item]:
         """Keep ``item``; return the oldest items that have to be closed to make space for it."""
-        self._place_of[item] = place
-        self._at.setdefault(place, []).append(item)
-        return list(self._remove_surplus(place))
+        self._target_of[item] = target
+        self._at.setdefault(target, []).append(item)
+        return list(self._remove_surplus(target))
 
-    def _remove_surplus(self, place: Place) -> Iterator[Item]:
-        if len(self._at[place]) > self._most_at_place:
-            oldest = self._at[place][0]
+    def _remove_surplus(self, target: Place) -> Iterator[Item]:
+        if len(self._at[target]) > self._max_per_replica:
+            oldest = self._at[target][0]
             self.remove(oldest)
             yield oldest
-        if len(self._place_of) > self._most_in_all:
-            oldest = next(iter(self._place_of))
+        if len(self._target_of) > self._max_total:
+            oldest = next(iter(self._target_of))
             self.remove(oldest)
             yield oldest
 
-    def take(self, place: Place) -> Item | None:
-        """Remove and return the connection to ``place`` that was used last."""
-        items = self._at.get(place)
+    def take(self, target: Place) -> Item | None:
+        """Remove and return the connection to ``target`` that was used last, ``None`` for none."""
+        items = self._at.get(target)
         if not items:
             return None
         item = items[-1]
@@ -66,18 +68,18 @@
 
     def remove(self, item: Item) -> bool:
         """Remove ``item``; return True if it was kept."""
-        place = self._place_of.pop(item, None)
-        if place is None:
+        target = self._target_of.pop(item, None)
+        if target is None:
             return False
-        items = self._at[place]
+        items = self._at[target]
         items.remove(item)
         if not items:
-            del self._at[place]
+            del self._at[target]
         return True
 
-    def drop(self, place: Place) -> list[Item]:
-        """Remove and return all connections to ``place``."""
-        dropped = list(self._at.get(place, ()))
+    def drop(self, target: Place) -> list[Item]:
+        """Remove and return all connections to ``target``."""
+        dropped = list(self._at.get(target, ()))
         for item in dropped:
             self.remove(item)
         return dropped
--- a/railsail/upstreams/streams.py
+++ b/railsail/upstreams/streams.py
@@ -23,14 +23,14 @@
         self.connect_seconds = 0.0
         self.answers = 0
         self.answered_at = 0.0
-        self._ahead = 0
+        self._sent_in_advance = 0
 
     @property
     def reused(self) -> bool:
         """Return True if an earlier request was answered on this connection."""
         return self.answers > 0
 
-    def send_ahead(self, data: bytes) -> None:
+    def send_in_advance(self, data: bytes) -> None:
         """Send the first bytes of the next request, which the next ``write`` leaves out.
 
         They are sent in two segments, because the acknowledgement of a single one may be delayed by
@@ -40,14 +40,14 @@
         super().write(data[:half])
         if not self.closed():
             super().write(data[half:])
-        self._ahead = len(data)
+        self._sent_in_advance = len(data)
 
     def write(self, data: bytes | memoryview) -> object:
         """Write ``data`` without the part that was already sent."""
-        ahead, self._ahead = self._ahead, 0
-        return super().write(data[ahead:])
+        sent, self._sent_in_advance = self._sent_in_advance, 0
+        return super().write(data[sent:])
 
-    def quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Return True if the connection is open and has no unread input."""
         if self.closed() or self._read_buffer_size:
             return False
--- a/tests/upstreams/test_connections.py
+++ b/tests/upstreams/test_connections.py
@@ -114,9 +114,9 @@
         self.server.close()
         await self.replica.ended()
 
-    def new_pool(self, seconds: float, most_at_place: int = 1) -> ConnectionPool:
+    def new_pool(self, seconds: float, max_per_replica: int = 1) -> ConnectionPool:
         return ConnectionPool(
-            seconds, lambda place: place not in self.leaving, self.kernel, most_at_place
+            seconds, lambda place: place not in self.leaving, self.kernel, max_per_replica
         )
 
     async def ask(self, method: str = "POST", body: bytes = b"body", **given) -> Collector:
@@ -177,7 +177,7 @@
         self.assertEqual(self.told(), ["an idle connection cannot be used: forgotten"])
 
     async def test_other_connections_to_a_replica_that_dropped_one_are_closed(self):
-        self.pool = self.new_pool(KEEP_SECONDS, most_at_place=2)
+        self.pool = self.new_pool(KEEP_SECONDS, max_per_replica=2)
         self.replica.forgets = True
         await asyncio.gather(self.ask(), self.ask())
         await self.ask()
@@ -194,18 +194,18 @@
         loop = asyncio.get_running_loop()
         begun = loop.time()
         # With this margin, a second check would be later than the end of the probe.
-        first_look = 0.9 * module.MOST_CHECK_SECONDS
+        first_look = 0.9 * module.MAX_PROBE_SECONDS
         with (
-            mock.patch.object(module, "SETTLE_SECONDS", first_look),
-            mock.patch.object(module, "MOST_PAUSE_SECONDS", first_look),
+            mock.patch.object(module, "PROBE_MARGIN_SECONDS", first_look),
+            mock.patch.object(module, "MAX_FIRST_CHECK_SECONDS", first_look),
             mock.patch.object(UpstreamStream, "acknowledged", lambda stream: False),
             mock.patch.object(module, "connect", mock.AsyncMock(side_effect=NotSent("none"))),
             self.assertRaises(NotSent),
         ):
             await self.ask()
         waited = loop.time() - begun
-        self.assertGreaterEqual(waited, module.MOST_CHECK_SECONDS)
-        self.assertLess(waited, module.MOST_CHECK_SECONDS + LOOP_SECONDS)
+        self.assertGreaterEqual(waited, module.MAX_PROBE_SECONDS)
+        self.assertLess(waited, module.MAX_PROBE_SECONDS + LOOP_SECONDS)
 
     async def test_connection_closed_by_its_replica_is_not_used(self):
         self.replica.closes_idle = True
--- a/tests/upstreams/test_idle.py
+++ b/tests/upstreams/test_idle.py
@@ -43,7 +43,7 @@
         self.idle.put(ONE, "a")
         self.idle.put(TWO, "b")
         self.assertEqual((self.idle.drop(ONE), self.idle.drop(ONE)), (["a"], []))
-        self.assertEqual((self.idle.places(), len(self.idle)), ([TWO], 1))
+        self.assertEqual((self.idle.targets(), len(self.idle)), ([TWO], 1))
 
     def test_connection_is_only_removed_once(self):
         self.idle.put(ONE, "a")
