--- a/railsail/upstreams/directory.py
+++ b/railsail/upstreams/directory.py
@@ -32,7 +32,7 @@
     parse_record,
     to_record,
 )
-from railsail.upstreams.refused import RefusedRecords
+from railsail.upstreams.refused import InvalidRecords
 from railsail.upstreams.signs import Source
 
 KIND = "upstream"
@@ -48,7 +48,7 @@
         """Return True if replicas of ``software_version`` may be given new work."""
 
 
-class _AnyVersion:
+class _AllVersions:
     """Rules that allow all versions, in force until rollouts set others."""
 
     def running(self, service: str) -> Order | None:
@@ -61,33 +61,33 @@
 class UpstreamDirectory:
     """The records of all replicas.
 
-    ``flood`` sends an update to all neighbours but the given one. ``monotonic`` and ``wall`` return
-    seconds.
+    ``broadcast`` sends an update to all neighbours but the given one. ``monotonic`` and ``wall``
+    return seconds.
     """
 
     def __init__(
         self,
-        flood: Callable[[UpstreamNews, str], None],
+        broadcast: Callable[[UpstreamNews, str], None],
         events: EventLog,
         monotonic: Callable[[], float] = steady_seconds,
         wall: Callable[[], float] = time.time,
     ) -> None:
-        self._flood = flood
+        self._broadcast = broadcast
         self._events = events
         self._monotonic = monotonic
         self._wall = wall
         self._merger = RecordMerger(monotonic)
-        self.evacuations = Evacuations(self._flood_domains, events, monotonic)
+        self.evacuations = Evacuations(self._broadcast_evacuations, events, monotonic)
         self.evacuations.on_change(self._changed)
         # When the cold time of each replica ends, on the monotonic clock. It counts from when this
         # node received the record, because the wall clocks of nodes differ and may jump.
         self._cold_until: dict[str, float] = {}
-        self._rebirth_listeners: list[Callable[[Upstream], None]] = []
-        self._refused = RefusedRecords()
+        self._restart_listeners: list[Callable[[Upstream], None]] = []
+        self._invalid_records = InvalidRecords()
         self._upstreams: dict[str, Upstream] = {}
         self._digest = 0
         self._listeners: list[Callable[[], None]] = []
-        self._rules: VersionRules = _AnyVersion()
+        self._rules: VersionRules = _AllVersions()
 
     def on_change(self, listener: Callable[[], None]) -> None:
         """Call ``listener`` after each change."""
@@ -95,14 +95,14 @@
 
     def on_rebirth(self, listener: Callable[[Upstream], None]) -> None:
         """Call ``listener`` with the former record of each replica that has restarted."""
-        self._rebirth_listeners.append(listener)
+        self._restart_listeners.append(listener)
 
     def _changed(self) -> None:
         for listener in self._listeners:
             listener()
 
-    def _flood_domains(self, records: list[DomainRecord], source: str) -> None:
-        self._flood(UpstreamNews([], records), source)
+    def _broadcast_evacuations(self, records: list[DomainRecord], source: str) -> None:
+        self._broadcast(UpstreamNews([], records), source)
 
     def takes_work(self, upstream: Upstream) -> bool:
         """Return True if ``upstream`` may be given new work."""
@@ -122,7 +122,7 @@
     @property
     def follows_rollouts(self) -> bool:
         """Return True if rollouts decide which software versions get new work."""
-        return not isinstance(self._rules, _AnyVersion)
+        return not isinstance(self._rules, _AllVersions)
 
     def rollouts_changed(self) -> None:
         """Notify the listeners that the rules now allow other software versions."""
@@ -155,9 +155,9 @@
         upstream = self._upstreams.get(name)
         if upstream is None:
             return 0.0
-        by_itself = self._cold_until.get(name, 0.0) - self._monotonic()
+        own_seconds = self._cold_until.get(name, 0.0) - self._monotonic()
         since_end = self.evacuations.seconds_since_end(upstream.failure_domain)
-        return max(by_itself, after_evacuation - since_end)
+        return max(own_seconds, after_evacuation - since_end)
 
     def get(self, name: str) -> Upstream | None:
         """Return the record of the replica ``name``, ``None`` if there is none."""
@@ -180,8 +180,8 @@
     @property
     def digest(self) -> int:
         """Return a 32-bit checksum of all records; equal directories have equal checksums."""
-        sums = (_digest_of_domain(evacuation) for evacuation in self.evacuations.all())
-        return reduce(operator.xor, sums, self._digest)
+        checksums = (_digest_of_domain(evacuation) for evacuation in self.evacuations.all())
+        return reduce(operator.xor, checksums, self._digest)
 
     def listed(self, listing: Listing) -> None:
         """Apply a listing of the store. If it is settled, replicas that it lacks are gone."""
@@ -190,16 +190,16 @@
         for upstream in self.all() if listing.settled else ():
             if upstream.name not in names and upstream.version < listing.version:
                 events.append(WatchEvent(KIND, upstream.name, listing.version, None))
-        self._take([self._from_event(event) for event in events], "", Source.LIST)
+        self._apply([self._from_event(event) for event in events], "", Source.LIST)
 
     def seen(self, event: WatchEvent) -> None:
         """Apply a watch event of the store."""
-        self._take([self._from_event(event)], "", Source.LIST)
+        self._apply([self._from_event(event)], "", Source.LIST)
 
-    def received(self, node: str, news: UpstreamNews) -> None:
+    def received(self, node: str, update: UpstreamNews) -> None:
         """Apply an update of the peer ``node``."""
-        self.evacuations.received(node, news.domains)
-        self._take([from_record(record) for record in news.upstreams], node, Source.PEER)
+        self.evacuations.received(node, update.domains)
+        self._apply([from_record(record) for record in update.upstreams], node, Source.PEER)
 
     def sign_leaving(self, name: str, source: Source, at: float) -> None:
         """Record a signal from ``source`` that a replica is leaving.
@@ -207,8 +207,8 @@
         ``at`` is the current wall clock time in seconds.
         """
         known = self._upstreams.get(name)
-        if known is not None and not known.signed_leaving:
-            self._sign(known, True, source, at)
+        if known is not None and not known.leaving_by_signal:
+            self._record_signal(known, True, source, at)
 
     def withdraw(self, name: str, source: Source, at: float) -> None:
         """Record that ``source`` took back its signal that a replica is leaving.
@@ -216,15 +216,20 @@
         ``at`` is the current wall clock time in seconds.
         """
         known = self._upstreams.get(name)
-        if known is not None and known.signed_leaving:
-            self._sign(known, False, source, at)
+        if known is not None and known.leaving_by_signal:
+            self._record_signal(known, False, source, at)
 
-    def _sign(self, known: Upstream, leaving: bool, source: Source, at: float) -> None:
+    def _record_signal(self, known: Upstream, leaving: bool, source: Source, at: float) -> None:
         # The clocks of nodes and replicas differ, but a signal must not appear to be older than the
         # last one or than the start of the replica, since it would be ignored.
-        at_ms = max(int(at * 1000), known.sign_at + 1, known.born)
-        signed = replace(known, sign_version=known.version, sign_at=at_ms, sign_leaving=leaving)
-        self._take([signed], "", source)
+        signalled_at_ms = max(int(at * 1000), known.signalled_at_ms + 1, known.born)
+        signalled = replace(
+            known,
+            signal_version=known.version,
+            signalled_at_ms=signalled_at_ms,
+            signal_leaving=leaving,
+        )
+        self._apply([signalled], "", source)
 
     def news_of(self, upstream: Upstream) -> UpstreamNews:
         """Return the record of one replica as an update, for a peer that seems not to have it."""
@@ -237,28 +242,28 @@
 
     def _from_event(self, event: WatchEvent) -> Upstream | None:
         known = self._upstreams.get(event.name)
-        parsed = parse_record(event, self._refused) if event.value is not None else None
+        parsed = parse_record(event, self._invalid_records) if event.value is not None else None
         if parsed is not None or known is None:
             return parsed
         # A record that is deleted or cannot be parsed means that there is no such replica, also if
         # an earlier record of its name was valid.
         return replace(known, version=event.version, listed=Listed.GONE)
 
-    def _take(self, candidates: list[Upstream | None], node: str, source: Source) -> None:
+    def _apply(self, candidates: list[Upstream | None], node: str, source: Source) -> None:
         changed = []
-        matters = False
+        must_notify = False
         for candidate in candidates:
             merged = self._merge(candidate, source) if candidate else None
             if merged is not None:
                 changed.append(merged)
-                matters |= self._put(merged)
+                must_notify |= self._store(merged)
         if not changed:
             return
-        self._flood(UpstreamNews([to_record(upstream) for upstream in changed]), node)
-        if matters:
+        self._broadcast(UpstreamNews([to_record(upstream) for upstream in changed]), node)
+        if must_notify:
             self._changed()
 
-    def _put(self, upstream: Upstream) -> bool:
+    def _store(self, upstream: Upstream) -> bool:
         """Store a record; return True if more has changed than a cold time that counts down."""
         # Every heartbeat holds the checksum. It is updated here, as computing it from all records
         # each time would be expensive.
@@ -267,67 +272,71 @@
             self._digest ^= digest_of(known)
         self._digest ^= digest_of(upstream)
         self._upstreams[upstream.name] = upstream
-        self._merger.kept(upstream)
+        self._merger.on_stored(upstream)
         if known is None:
-            self._note_cold(upstream)
+            self._record_cold_time(upstream)
             return True
         if upstream.version > known.version:
-            self._note_cold(upstream)
+            self._record_cold_time(upstream)
         if upstream.born and known.born and upstream.born != known.born:
-            self._tell_rebirth(known, upstream)
-        same = replace(known, version=upstream.version, cold=upstream.cold)
-        return same != upstream or upstream.cold > known.cold
+            self._log_restart(known, upstream)
+        same = replace(known, version=upstream.version, cold_ms=upstream.cold_ms)
+        return same != upstream or upstream.cold_ms > known.cold_ms
 
-    def _note_cold(self, upstream: Upstream) -> None:
-        if upstream.cold:
-            self._cold_until[upstream.name] = self._monotonic() + upstream.cold / 1000
+    def _record_cold_time(self, upstream: Upstream) -> None:
+        if upstream.cold_ms:
+            self._cold_until[upstream.name] = self._monotonic() + upstream.cold_ms / 1000
         else:
             self._cold_until.pop(upstream.name, None)
 
-    def _tell_rebirth(self, before: Upstream, upstream: Upstream) -> None:
+    def _log_restart(self, before: Upstream, upstream: Upstream) -> None:
         self._events.emit(
             Kind.UPSTREAM,
             "the replica restarted under its name",
             replica=upstream.name,
             pool=upstream.pool,
             born_ms=upstream.born,
-            cold_ms=upstream.cold,
+            cold_ms=upstream.cold_ms,
         )
-        for listener in self._rebirth_listeners:
+        for listener in self._restart_listeners:
             listener(before)
 
     def _merge(self, candidate: Upstream, source: Source) -> Upstream | None:
         known = self._upstreams.get(candidate.name)
         if known is None:
-            self._tell(candidate, source)
+            self._log_state(candidate, source)
             return candidate
         merged = self._merger.merge(known, candidate)
         if merged == known:
             return None
         if merged.leaving != known.leaving:
-            self._tell(merged, source)
+            self._log_state(merged, source)
         return merged
 
-    def _tell(self, upstream: Upstream, source: Source) -> None:
-        word = "leaving" if upstream.leaving else "live"
+    def _log_state(self, upstream: Upstream, source: Source) -> None:
+        state = "leaving" if upstream.leaving else "live"
         self._events.emit(
             Kind.UPSTREAM,
             replica=upstream.name,
             pool=upstream.pool,
-            state=word,
+            state=state,
             listed=upstream.listed.name.lower(),
             listed_version=upstream.version,
-            signed=str(upstream.signed_leaving).lower(),
+            signed=str(upstream.leaving_by_signal).lower(),
             source=source,
-            sign_age_ms=self._sign_age_ms(upstream) if source is not Source.LIST else 0,
+            sign_age_ms=self._signal_age_ms(upstream) if source is not Source.LIST else 0,
         )
 
-    def _sign_age_ms(self, upstream: Upstream) -> int:
+    def _signal_age_ms(self, upstream: Upstream) -> int:
         """Return the age of the signal that a replica is leaving, 0 if there is none.
 
         Its time may be from the clock of another node, so the age may even be negative.
         """
-        return round(self._wall() * 1000) - upstream.sign_at if upstream.signed_leaving else 0
+        return (
+            round(self._wall() * 1000) - upstream.signalled_at_ms
+            if upstream.leaving_by_signal
+            else 0
+        )
 
 
 def _digest_of_domain(evacuation: Evacuation) -> int:
--- a/railsail/upstreams/evacuations.py
+++ b/railsail/upstreams/evacuations.py
@@ -28,16 +28,16 @@
 class Evacuations:
     """The newest record of each failure domain.
 
-    ``flood`` sends records to all neighbours but the given one; ``monotonic`` returns seconds.
+    ``broadcast`` sends records to all neighbours but the given one; ``monotonic`` returns seconds.
     """
 
     def __init__(
         self,
-        flood: Callable[[list[DomainRecord], str], None],
+        broadcast: Callable[[list[DomainRecord], str], None],
         events: EventLog,
         monotonic: Callable[[], float],
     ) -> None:
-        self._flood = flood
+        self._broadcast = broadcast
         self._events = events
         self._monotonic = monotonic
         self._known: dict[str, Evacuation] = {}
@@ -74,27 +74,27 @@
         for known in self.all() if listing.settled else ():
             if known.domain not in names and known.evacuated:
                 found.append(Evacuation(known.domain, listing.version, False))
-        self._take(found, "")
+        self._apply(found, "")
 
     def seen(self, event: WatchEvent) -> None:
         """Apply a watch event of the store."""
-        self._take([Evacuation(event.name, event.version, event.value is not None)], "")
+        self._apply([Evacuation(event.name, event.version, event.value is not None)], "")
 
     def received(self, node: str, records: list[DomainRecord]) -> None:
         """Apply records of the peer ``node``."""
-        self._take([Evacuation(r.domain, r.version, r.evacuated) for r in records], node)
+        self._apply([Evacuation(r.domain, r.version, r.evacuated) for r in records], node)
 
     def records(self) -> list[DomainRecord]:
         """Return all records, for a peer that requested them."""
         return [_to_record(evacuation) for evacuation in self.all()]
 
-    def _take(self, candidates: list[Evacuation], source: str) -> None:
+    def _apply(self, candidates: list[Evacuation], source: str) -> None:
         newer = [candidate for candidate in candidates if self._is_newer(candidate)]
         if not newer:
             return
         for evacuation in newer:
-            self._put(evacuation)
-        self._flood([_to_record(evacuation) for evacuation in newer], source)
+            self._store(evacuation)
+        self._broadcast([_to_record(evacuation) for evacuation in newer], source)
         for listener in self._listeners:
             listener()
 
@@ -102,7 +102,7 @@
         known = self._known.get(candidate.domain)
         return known is None or candidate.version > known.version
 
-    def _put(self, evacuation: Evacuation) -> None:
+    def _store(self, evacuation: Evacuation) -> None:
         was_active = self.active(evacuation.domain)
         self._known[evacuation.domain] = evacuation
         if not evacuation.evacuated:
--- a/railsail/upstreams/records.py
+++ b/railsail/upstreams/records.py
@@ -10,7 +10,7 @@
 from railsail.conf.values import parse_endpoint
 from railsail.peers.records import UpstreamRecord
 from railsail.store.base import WatchEvent
-from railsail.upstreams.refused import RefusedRecords
+from railsail.upstreams.refused import InvalidRecords
 
 
 class Listed(enum.IntEnum):
@@ -25,12 +25,12 @@
 class Upstream:
     """One replica.
 
-    ``endpoint`` is ``ip:port``. ``version`` is the version of the listed record. ``sign_leaving``
-    is the newest signal: whether the replica is leaving. It was given at ``sign_at`` milliseconds
-    since the Unix epoch, when the record had ``sign_version``. ``slots`` is the number of
-    concurrent calls, 0 if not listed. ``born`` is the start time of the replica in milliseconds
-    since the Unix epoch, 0 if not listed; it changes with each restart under the same name.
-    ``cold`` is for how many more milliseconds the replica was cold when the record was written.
+    ``endpoint`` is ``ip:port``. ``version`` is the version of the listed record. ``signal_leaving``
+    is the newest signal: whether the replica is leaving. It was given ``signalled_at_ms``
+    milliseconds since the Unix epoch, when the record had the version ``signal_version``. ``slots``
+    is the number of concurrent calls, 0 if not listed. ``born`` is when the replica started, in
+    milliseconds since the Unix epoch, 0 if not listed; it changes with each restart. ``cold_ms`` is
+    for how many more milliseconds the replica was cold when the record was written.
     ``software_version`` is empty if not listed.
     """
 
@@ -40,26 +40,26 @@
     failure_domain: str
     version: int
     listed: Listed
-    sign_version: int = 0
-    sign_at: int = 0
-    sign_leaving: bool = False
+    signal_version: int = 0
+    signalled_at_ms: int = 0
+    signal_leaving: bool = False
     slots: int = 0
     born: int = 0
-    cold: int = 0
+    cold_ms: int = 0
     software_version: str = ""
 
     @property
     def leaving(self) -> bool:
         """Return True if the replica drains before it stops, or is gone, and gets no new work."""
-        return self.signed_leaving or self.listed is not Listed.LIVE
+        return self.leaving_by_signal or self.listed is not Listed.LIVE
 
     @property
-    def signed_leaving(self) -> bool:
+    def leaving_by_signal(self) -> bool:
         """Return True if a signal since the start of the replica says that it is leaving."""
-        return self.sign_leaving and self.sign_at >= self.born
+        return self.signal_leaving and self.signalled_at_ms >= self.born
 
 
-def parse_record(event: WatchEvent, refused: RefusedRecords) -> Upstream | None:
+def parse_record(event: WatchEvent, invalid_records: InvalidRecords) -> Upstream | None:
     """Return the listed record of ``event``, or ``None`` if it is invalid."""
     value = event.value or {}
     try:
@@ -76,19 +76,21 @@
             listed,
             slots=slots,
             born=int(value.get("born", 0)),
-            cold=int(value.get("cold", 0)),
+            cold_ms=int(value.get("cold", 0)),
             software_version=str(value.get("software_version", "")),
         )
     except (KeyError, TypeError, ValueError) as problem:
-        refused.refused(event.name, f"{type(problem).__name__}: {problem}")
+        invalid_records.reject(event.name, f"{type(problem).__name__}: {problem}")
         return None
-    refused.accepted(event.name)
+    invalid_records.accept(event.name)
     return parsed
 
 
 def digest_of(upstream: Upstream) -> int:
     """Return a checksum of the parts of a record that must be equal on all nodes."""
-    text = f"{upstream.name} {upstream.version} {upstream.sign_version} {upstream.sign_at}"
+    text = (
+        f"{upstream.name} {upstream.version} {upstream.signal_version} {upstream.signalled_at_ms}"
+    )
     return zlib.crc32(text.encode())
 
 
--- a/railsail/upstreams/refused.py
+++ b/railsail/upstreams/refused.py
@@ -3,24 +3,24 @@
 from railsail.core.logs import get_logger
 
 # Bounds the names that are remembered. When there are more, all are forgotten, and logged again.
-MOST_REFUSED = 1000
+MAX_NAMES = 1000
 
 
-class RefusedRecords:
+class InvalidRecords:
     """Log each invalid record once, until a valid one of the same name is received."""
 
     def __init__(self) -> None:
-        self._told: dict[str, str] = {}
+        self._logged: dict[str, str] = {}
 
-    def refused(self, name: str, reason: str) -> None:
+    def reject(self, name: str, reason: str) -> None:
         """Log that a record is invalid for ``reason``, unless it was already logged."""
-        if self._told.get(name) == reason:
+        if self._logged.get(name) == reason:
             return
-        if len(self._told) >= MOST_REFUSED:
-            self._told.clear()
-        self._told[name] = reason
+        if len(self._logged) >= MAX_NAMES:
+            self._logged.clear()
+        self._logged[name] = reason
         get_logger().warning("invalid upstream record", name=name, reason=reason)
 
-    def accepted(self, name: str) -> None:
+    def accept(self, name: str) -> None:
         """Forget ``name``, whose record is now valid."""
-        self._told.pop(name, None)
+        self._logged.pop(name, None)
--- a/tests/platform/test_lives.py
+++ b/tests/platform/test_lives.py
@@ -76,7 +76,7 @@
         self.store.put("config", "main", cold)
         await self.until(lambda: node.carrier.catalog.version == 4)
         self.list_in(self.replicas[0], "a", cold_left_ms=2000)
-        await self.until(lambda: node.directory.get("i-0").cold)
+        await self.until(lambda: node.directory.get("i-0").cold_ms)
         begun = time.monotonic()
         while time.monotonic() - begun < 1.0:
             await asyncio.gather(*(self.call(node, "/once/") for _ in range(4)))
--- a/tests/upstreams/test_directory.py
+++ b/tests/upstreams/test_directory.py
@@ -9,7 +9,7 @@
 from railsail.store.versions import to_version
 from railsail.upstreams import refused as module
 from railsail.upstreams.directory import UpstreamDirectory
-from railsail.upstreams.merging import LEAVING_SECONDS
+from railsail.upstreams.merging import MAX_LEAVING_SECONDS
 from railsail.upstreams.records import Listed
 from railsail.upstreams.signs import Source
 
@@ -24,14 +24,14 @@
     def setUp(self):
         self.now = 100.0
         self.events = EventLog("n", Clock())
-        self.flooded = []
-        self.directory = self.make(self.flooded)
+        self.broadcasts = []
+        self.directory = self.make(self.broadcasts)
         self.changes = 0
         self.directory.on_change(self.count)
 
-    def make(self, flooded: list) -> UpstreamDirectory:
+    def make(self, broadcasts: list) -> UpstreamDirectory:
         return UpstreamDirectory(
-            lambda news, source: flooded.append(news),
+            lambda update, source: broadcasts.append(update),
             self.events,
             lambda: self.now,
             lambda: WALL + 2.0,
@@ -44,7 +44,7 @@
         self.directory.seen(WatchEvent("upstream", name, version, SPEC | changes))
 
 
-class RefusedRecordTests(DirectoryTestCase):
+class InvalidRecordTests(DirectoryTestCase):
     """Programs other than replicas may write records, which may be invalid."""
 
     def test_known_replica_with_an_invalid_record_is_gone(self):
@@ -71,21 +71,21 @@
         self.assertEqual(logger.return_value.warning.call_count, 1)
 
 
-class RebirthTests(DirectoryTestCase):
+class RestartTests(DirectoryTestCase):
     def test_listeners_are_notified_of_a_restart(self):
-        told = []
-        self.directory.on_rebirth(lambda before: told.append(before.name))
+        restarted = []
+        self.directory.on_rebirth(lambda before: restarted.append(before.name))
         self.see(1, born=1000)
         self.see(2, born=1000)
         self.see(3, born=2000)
-        self.assertEqual(told, ["r"])
+        self.assertEqual(restarted, ["r"])
 
     def test_first_record_with_a_start_time_is_no_restart(self):
-        told = []
-        self.directory.on_rebirth(lambda before: told.append(before.name))
+        restarted = []
+        self.directory.on_rebirth(lambda before: restarted.append(before.name))
         self.see(1)
         self.see(2, born=2000)
-        self.assertEqual(told, [])
+        self.assertEqual(restarted, [])
 
     def test_peers_receive_the_start_time(self):
         self.see(1, born=1000)
@@ -94,145 +94,145 @@
         self.assertEqual(other.get("r").born, 1000)
 
 
-class SignTests(DirectoryTestCase):
+class SignalTests(DirectoryTestCase):
     """A replica that signalled that it is leaving stays so until it restarts."""
 
-    def sign(self, name: str = "r") -> None:
+    def signal_leaving(self, name: str = "r") -> None:
         self.directory.sign_leaving(name, Source.ANSWER, WALL)
 
-    def leaves(self, directory: UpstreamDirectory | None = None) -> bool:
+    def is_leaving(self, directory: UpstreamDirectory | None = None) -> bool:
         return (directory or self.directory).get("r").leaving
 
-    def hear(self, other: UpstreamDirectory, flooded: list) -> None:
-        for news in flooded:
-            other.received("n", news)
+    def receive(self, other: UpstreamDirectory, broadcasts: list) -> None:
+        for update in broadcasts:
+            other.received("n", update)
 
     def test_newer_record_without_a_restart_does_not_clear_the_signal(self):
         for born in (0, BORN):
             with self.subTest(born=born):
-                self.directory = self.make(self.flooded)
+                self.directory = self.make(self.broadcasts)
                 self.see(1, born=born)
-                self.sign()
+                self.signal_leaving()
                 self.see(2, born=born, slots=9)
-                self.assertTrue(self.leaves())
+                self.assertTrue(self.is_leaving())
 
     def test_record_that_expired_and_was_written_again_does_not_clear_the_signal(self):
         self.see(1)
-        self.sign()
+        self.signal_leaving()
         self.directory.seen(WatchEvent("upstream", "r", 2, None))
         self.see(3)
-        self.assertTrue(self.leaves())
+        self.assertTrue(self.is_leaving())
 
     def test_replica_that_restarts_gets_work(self):
         self.see(1, born=BORN)
-        self.sign()
+        self.signal_leaving()
         self.see(2, born=BORN + 5000)
-        self.assertFalse(self.leaves())
+        self.assertFalse(self.is_leaving())
 
     def test_replica_without_a_start_time_gets_work_at_another_endpoint(self):
         self.see(1)
-        self.sign()
+        self.signal_leaving()
         self.see(2, endpoint="127.0.0.1:2")
-        self.assertFalse(self.leaves())
+        self.assertFalse(self.is_leaving())
 
     def test_record_from_before_a_restart_in_a_restored_store_is_ignored(self):
-        told = []
-        self.directory.on_rebirth(lambda before: told.append(before.name))
+        restarted = []
+        self.directory.on_rebirth(lambda before: restarted.append(before.name))
         self.see(1, born=BORN)
         self.see(2, born=BORN + 5000, slots=9)
-        self.assertEqual(told, ["r"])
+        self.assertEqual(restarted, ["r"])
         self.see(to_version(1, 1), born=BORN)
-        self.assertEqual((told, self.directory.get("r").slots), (["r"], 9))
+        self.assertEqual((restarted, self.directory.get("r").slots), (["r"], 9))
         self.see(to_version(1, 2), born=BORN + 5000, slots=8)
-        self.assertEqual((told, self.directory.get("r").slots), (["r"], 8))
+        self.assertEqual((restarted, self.directory.get("r").slots), (["r"], 8))
 
     def test_replica_that_was_also_listed_as_leaving_gets_work_long_after(self):
         self.see(1)
         self.see(2, state="leaving")
-        self.sign()
-        self.now += LEAVING_SECONDS + 1
+        self.signal_leaving()
+        self.now += MAX_LEAVING_SECONDS + 1
         self.see(3)
-        self.assertFalse(self.leaves())
+        self.assertFalse(self.is_leaving())
 
     def test_restored_store_does_not_bring_a_leaving_replica_back(self):
         for gone in (False, True):
             with self.subTest(gone=gone):
-                self.directory = self.make(self.flooded)
+                self.directory = self.make(self.broadcasts)
                 self.see(1, state="leaving")
                 if gone:
                     self.directory.seen(WatchEvent("upstream", "r", 2, None))
                 self.see(to_version(1, 1))
-                self.assertTrue(self.leaves())
+                self.assertTrue(self.is_leaving())
 
     def test_replica_listed_as_live_again_without_a_restored_store_gets_work(self):
         self.see(1, state="leaving")
         self.see(2)
-        self.assertFalse(self.leaves())
+        self.assertFalse(self.is_leaving())
 
     def test_replica_without_a_start_time_gets_work_long_after(self):
         self.see(1)
-        self.sign()
-        self.now += LEAVING_SECONDS + 1
-        self.assertTrue(self.leaves())
+        self.signal_leaving()
+        self.now += MAX_LEAVING_SECONDS + 1
+        self.assertTrue(self.is_leaving())
         self.see(2)
-        self.assertFalse(self.leaves())
+        self.assertFalse(self.is_leaving())
 
     def test_signal_from_a_node_whose_clock_is_behind_counts(self):
         self.see(1, born=BORN)
         self.directory.sign_leaving("r", Source.ANSWER, BORN / 1000 - 60)
-        self.assertTrue(self.leaves())
+        self.assertTrue(self.is_leaving())
 
     def test_peers_receive_the_signal_and_the_restart(self):
         self.see(1, born=BORN)
-        self.sign()
+        self.signal_leaving()
         other = self.make([])
-        self.hear(other, self.flooded)
-        self.assertTrue(self.leaves(other))
+        self.receive(other, self.broadcasts)
+        self.assertTrue(self.is_leaving(other))
         self.see(2, born=BORN + 5000)
-        self.hear(other, self.flooded[-1:])
-        self.assertFalse(self.leaves(other))
+        self.receive(other, self.broadcasts[-1:])
+        self.assertFalse(self.is_leaving(other))
         self.assertEqual(other.digest, self.directory.digest)
 
     def test_late_signal_from_before_a_restart_does_not_count(self):
         self.see(1, born=BORN)
-        other = self.make(told := [])
-        self.hear(other, self.flooded)
+        other = self.make(replies := [])
+        self.receive(other, self.broadcasts)
         self.see(2, born=BORN + 5000)
         other.sign_leaving("r", Source.MISDIRECTED, WALL + 60)
-        self.directory.received("n", told[-1])
-        self.assertFalse(self.leaves())
+        self.directory.received("n", replies[-1])
+        self.assertFalse(self.is_leaving())
 
     def test_nodes_that_receive_a_signal_and_a_restart_in_any_order_agree(self):
         self.see(1, born=BORN)
-        other = self.make(told := [])
-        self.hear(other, self.flooded)
-        self.sign()
+        other = self.make(replies := [])
+        self.receive(other, self.broadcasts)
+        self.signal_leaving()
         other.seen(WatchEvent("upstream", "r", 2, SPEC | {"born": BORN + 5000}))
-        self.hear(other, list(self.flooded))
-        self.hear(self.directory, list(told))
-        self.hear(other, list(self.flooded))
-        self.assertEqual((self.leaves(), self.leaves(other)), (False, False))
+        self.receive(other, list(self.broadcasts))
+        self.receive(self.directory, list(replies))
+        self.receive(other, list(self.broadcasts))
+        self.assertEqual((self.is_leaving(), self.is_leaving(other)), (False, False))
         self.assertEqual(other.digest, self.directory.digest)
 
     def test_signal_in_many_answers_is_broadcast_once(self):
         self.see(1)
-        before = len(self.flooded)
+        before = len(self.broadcasts)
         for _ in range(100):
-            self.sign()
-        self.assertEqual(len(self.flooded) - before, 1)
+            self.signal_leaving()
+        self.assertEqual(len(self.broadcasts) - before, 1)
 
     def test_event_has_source_and_age_of_the_signal(self):
         self.see(1)
-        self.sign()
-        told = [e.facts for e in self.events if e.kind is Kind.UPSTREAM][-1]
-        self.assertEqual((told["state"], told["source"]), ("leaving", "answer"))
-        self.assertEqual(told["sign_age_ms"], 2000)
+        self.signal_leaving()
+        facts = [e.facts for e in self.events if e.kind is Kind.UPSTREAM][-1]
+        self.assertEqual((facts["state"], facts["source"]), ("leaving", "answer"))
+        self.assertEqual(facts["sign_age_ms"], 2000)
 
     def test_load_report_can_clear_its_own_signal(self):
         self.see(1)
         self.directory.sign_leaving("r", Source.LOAD, WALL)
         self.directory.withdraw("r", Source.LOAD, WALL + 1)
-        self.assertFalse(self.leaves())
+        self.assertFalse(self.is_leaving())
 
 
 class ColdTests(DirectoryTestCase):
@@ -298,9 +298,9 @@
 
     def test_peers_receive_an_evacuation_at_once_and_on_request(self):
         self.evacuate(2)
-        for news in (self.flooded[-1], self.directory.news()):
+        for update in (self.broadcasts[-1], self.directory.news()):
             other = self.make([])
-            other.received("n", news)
+            other.received("n", update)
             self.assertTrue(other.evacuations.active("a"))
 
     def test_digest_covers_evacuations(self):
@@ -310,8 +310,8 @@
 
     def test_evacuation_is_logged(self):
         self.evacuate(2)
-        told = [event.facts["state"] for event in self.events if event.kind is Kind.EVACUATION]
-        self.assertEqual(told, ["evacuated"])
+        states = [event.facts["state"] for event in self.events if event.kind is Kind.EVACUATION]
+        self.assertEqual(states, ["evacuated"])
 
 
 if __name__ == "__main__":
