--- a/benchmarks/signs.py
+++ b/benchmarks/signs.py
@@ -119,8 +119,8 @@
     """Play both runs, and print their figures."""
     configure_logs("critical", "benchmark")
     logging.getLogger("tornado").setLevel(logging.CRITICAL)
-    hearing = heard.HeardSigns._heard
-    with mock.patch.object(heard.HeardSigns, "_heard", _deaf if off else hearing):
+    hearing = heard.HeardSigns._record
+    with mock.patch.object(heard.HeardSigns, "_record", _deaf if off else hearing):
         run = asyncio.run(_play(seconds, {"model-0": Faults(says_leaving=True)}))
         late, others = run.late_calls("model-0")
         print("leaving: late, others", (late, others), "sent, served", (run.sent, run.served))
--- a/railsail/platform/http.py
+++ b/railsail/platform/http.py
@@ -15,7 +15,7 @@
     RoutedRequest,
 )
 from railsail.routing.protocol import ROUTE_PROTOCOLS
-from railsail.upstreams.signs import AnswerSigns, read_rest
+from railsail.upstreams.signs import AnswerSigns, read_backoff
 
 REQUEST_ID = "Request-Id"
 DEADLINE = "Deadline-Ms"
@@ -143,7 +143,7 @@
     def read_signs(self, status: int, headers: HTTPHeaders, wall: float) -> AnswerSigns:
         """Return the signals about the replica itself in the head of its answer."""
         leaving = headers.get(LEAVING, "").strip() not in _NOT_LEAVING
-        return AnswerSigns(leaving, read_rest(status, headers, wall))
+        return AnswerSigns(leaving, read_backoff(status, headers, wall))
 
     def own_headers(self, request_id: str, retry_after: float | None) -> HTTPHeaders:
         """Return the headers of an answer that the fleet gives itself.
--- a/railsail/upstreams/heard.py
+++ b/railsail/upstreams/heard.py
@@ -12,7 +12,7 @@
 from railsail.upstreams.rests import ReplicaBackoffs
 from railsail.upstreams.signs import AnswerSigns, Source
 
-SignReader = Callable[[int, HTTPHeaders, float], AnswerSigns]
+SignalReader = Callable[[int, HTTPHeaders, float], AnswerSigns]
 
 
 class HeardSigns:
@@ -23,37 +23,37 @@
     """
 
     def __init__(
-        self, directory: UpstreamDirectory, rests: ReplicaBackoffs, kernel: Kernel
+        self, directory: UpstreamDirectory, backoffs: ReplicaBackoffs, kernel: Kernel
     ) -> None:
         self._directory = directory
-        self._rests = rests
+        self._backoffs = backoffs
         self._clock = kernel.clock
         self._events = kernel.events
-        directory.on_rebirth(self._reborn)
+        directory.on_rebirth(self._on_restart)
 
-    def listener(self, replica: str, read: SignReader) -> HeadListener:
+    def listener(self, replica: str, read: SignalReader) -> HeadListener:
         """Return a listener for the heads of answers of ``replica``; ``read`` parses signals."""
 
         def on_head(status: int, headers: HTTPHeaders) -> None:
-            self._heard(replica, status, read(status, headers, self._clock.wall()))
+            self._record(replica, status, read(status, headers, self._clock.wall()))
 
         return on_head
 
-    def _heard(self, replica: str, status: int, signs: AnswerSigns) -> None:
-        if signs.leaving:
+    def _record(self, replica: str, status: int, signals: AnswerSigns) -> None:
+        if signals.leaving:
             self._directory.sign_leaving(replica, Source.ANSWER, self._clock.wall())
         now = self._clock.monotonic()
-        if not signs.rest:
-            self._rests.answered(replica, now)
-        elif self._rests.asked(replica, signs.rest, now):
+        if not signals.backoff_seconds:
+            self._backoffs.record_answer(replica, now)
+        elif self._backoffs.extend(replica, signals.backoff_seconds, now):
             self._events.emit(
                 Kind.UPSTREAM,
                 "the replica asked this node to back off",
                 replica=replica,
                 status=status,
-                rest_ms=round(signs.rest * 1000),
+                rest_ms=round(signals.backoff_seconds * 1000),
             )
 
-    def _reborn(self, before: Upstream) -> None:
+    def _on_restart(self, former: Upstream) -> None:
         # The new process has asked for no backoff.
-        self._rests.forget(before.name)
+        self._backoffs.forget(former.name)
--- a/railsail/upstreams/rests.py
+++ b/railsail/upstreams/rests.py
@@ -13,11 +13,11 @@
 TRIAL_SECONDS = 1.0
 # Bounds the replicas that are remembered, enough for a fleet of 680 replicas. When there are more,
 # the one whose backoff ends first is forgotten.
-MOST_REPLICAS = 1024
+MAX_REPLICAS = 1024
 
 
 @dataclass
-class _Rest:
+class _Backoff:
     """The backoff of one replica; ``tried_at`` is when it was tried after ``until``."""
 
     until: float
@@ -35,43 +35,43 @@
     """The backoffs for which replicas asked this node."""
 
     def __init__(self) -> None:
-        self._rests: dict[str, _Rest] = {}
+        self._backoffs: dict[str, _Backoff] = {}
 
     def __bool__(self) -> bool:
-        return bool(self._rests)
+        return bool(self._backoffs)
 
-    def asked(self, replica: str, seconds: float, now: float) -> bool:
+    def extend(self, replica: str, seconds: float, now: float) -> bool:
         """Record that ``replica`` asked for a backoff of ``seconds`` from ``now`` on.
 
         Return True if that makes its backoff longer; it is never made shorter.
         """
         until = now + seconds
-        known = self._rests.get(replica)
+        known = self._backoffs.get(replica)
         if known is not None and known.until >= until:
             return False
-        self._rests[replica] = _Rest(until)
-        if len(self._rests) > MOST_REPLICAS:
-            del self._rests[min(self._rests, key=lambda name: self._rests[name].until)]
+        self._backoffs[replica] = _Backoff(until)
+        if len(self._backoffs) > MAX_REPLICAS:
+            del self._backoffs[min(self._backoffs, key=lambda name: self._backoffs[name].until)]
         return True
 
-    def answered(self, replica: str, now: float) -> None:
+    def record_answer(self, replica: str, now: float) -> None:
         """Record an answer without a request for backoff, which ends a backoff that is over.
 
         Before its time is over, the answer may be to an earlier request.
         """
-        known = self._rests.get(replica)
+        known = self._backoffs.get(replica)
         if known is not None and now >= known.until:
-            del self._rests[replica]
+            del self._backoffs[replica]
 
     def sent(self, replica: str, now: float) -> None:
         """Record that a request is sent to ``replica``, which may be the one that tries it."""
-        known = self._rests.get(replica)
+        known = self._backoffs.get(replica)
         if known is not None and now >= known.until:
             known.tried_at = now
 
     def forget(self, replica: str) -> None:
         """Forget the backoff of a replica that has restarted or is gone."""
-        self._rests.pop(replica, None)
+        self._backoffs.pop(replica, None)
 
     def resting(self, replica: str, now: float) -> bool:
         """Return True if ``replica`` may not be sent requests at ``now``."""
@@ -79,10 +79,10 @@
 
     def seconds_left(self, replica: str, now: float) -> float:
         """Return after how many seconds ``replica`` may be sent a request, 0 if it may be now."""
-        known = self._rests.get(replica)
+        known = self._backoffs.get(replica)
         return max(0.0, known.free_at - now) if known is not None else 0.0
 
     def all_resting(self, now: float) -> list[str]:
         """Return the replicas that may not be sent requests at ``now``, longest backoff first."""
-        resting = [name for name, rest in self._rests.items() if rest.free_at > now]
-        return sorted(resting, key=lambda name: -self._rests[name].free_at)
+        names = [name for name, backoff in self._backoffs.items() if backoff.free_at > now]
+        return sorted(names, key=lambda name: -self._backoffs[name].free_at)
--- a/railsail/upstreams/signs.py
+++ b/railsail/upstreams/signs.py
@@ -13,7 +13,7 @@
 
 # Bounds the backoff that a replica can ask for, so that a single wrong answer does not keep a node
 # from using it for good. Replicas that restart or shed load ask for some seconds.
-MOST_REST_SECONDS = 3600.0
+MAX_BACKOFF_SECONDS = 3600.0
 
 
 class Source(enum.StrEnum):
@@ -29,20 +29,20 @@
 class AnswerSigns(msgspec.Struct, frozen=True):
     """The signals in one answer of a replica.
 
-    ``leaving`` is true if the replica is to get no new work. For ``rest`` seconds, 0 for none, this
-    node is to send it nothing.
+    ``leaving`` is true if the replica is to get no new work. This node is to send it nothing for
+    ``backoff_seconds``, 0 for none.
     """
 
     leaving: bool = False
-    rest: float = 0.0
+    backoff_seconds: float = 0.0
 
 
 def read_signs(status: int, headers: HTTPHeaders, wall: float) -> AnswerSigns:
     """Return the signals in an answer; ``wall`` is now, in seconds since the Unix epoch."""
     leaving = headers.get("X-Leaving", "").strip().lower() == "true"
-    return AnswerSigns(leaving, read_rest(status, headers, wall))
+    return AnswerSigns(leaving, read_backoff(status, headers, wall))
 
 
-def read_rest(status: int, headers: HTTPHeaders, wall: float) -> float:
+def read_backoff(status: int, headers: HTTPHeaders, wall: float) -> float:
     """Return the seconds of backoff that a refusal asks for, 0 for none or another answer."""
-    return rest_seconds(status, headers, wall, MOST_REST_SECONDS)
+    return rest_seconds(status, headers, wall, MAX_BACKOFF_SECONDS)
--- a/tests/dispatch/test_entry.py
+++ b/tests/dispatch/test_entry.py
@@ -269,7 +269,7 @@
             await asyncio.sleep(0)
 
     def rest(self, replica: str, seconds: float = 30.0) -> None:
-        self.rests.asked(replica, seconds, self.clock.monotonic())
+        self.rests.extend(replica, seconds, self.clock.monotonic())
 
     def placed(self) -> list[Place]:
         """Return the tickets that were placed, with a first message or by themselves."""
--- a/tests/dispatch/test_rollouts.py
+++ b/tests/dispatch/test_rollouts.py
@@ -407,7 +407,7 @@
         self.book.set(None, "v2")
         want = PoolRequest("r", "model", "one", 0.0, 10.0, False)
         for name in ("old0", "old1"):
-            self.rests.asked(name, 10.0, self.clock.now)
+            self.rests.extend(name, 10.0, self.clock.now)
         self.assertIsNotNone(self.gate.refusal(want))
 
 
--- a/tests/upstreams/test_signs.py
+++ b/tests/upstreams/test_signs.py
@@ -7,40 +7,40 @@
 from tornado.httputil import HTTPHeaders
 
 from railsail.platform.http import PlatformProtocol
-from railsail.upstreams.signs import MOST_REST_SECONDS, read_signs
+from railsail.upstreams.signs import MAX_BACKOFF_SECONDS, read_signs
 
 WALL = 1_800_000_000.0
 
 
-def rest(value: str, status: int = 503) -> float:
-    return read_signs(status, HTTPHeaders({"Retry-After": value}), WALL).rest
+def backoff(value: str, status: int = 503) -> float:
+    return read_signs(status, HTTPHeaders({"Retry-After": value}), WALL).backoff_seconds
 
 
-class RestValueTests(unittest.TestCase):
+class RetryAfterTests(unittest.TestCase):
     def test_seconds_and_fractions(self):
-        self.assertEqual([rest("3"), rest(" 0.25 "), rest("0")], [3.0, 0.25, 0.0])
+        self.assertEqual([backoff("3"), backoff(" 0.25 "), backoff("0")], [3.0, 0.25, 0.0])
 
     def test_more_than_an_hour_is_bounded(self):
-        self.assertEqual(rest("3600"), 3600.0)
-        self.assertEqual(rest("1e300"), MOST_REST_SECONDS)
+        self.assertEqual(backoff("3600"), 3600.0)
+        self.assertEqual(backoff("1e300"), MAX_BACKOFF_SECONDS)
 
     def test_date_in_the_future(self):
         date = format_datetime(datetime.fromtimestamp(WALL + 90, UTC), usegmt=True)
-        self.assertEqual(rest(date), 90.0)
+        self.assertEqual(backoff(date), 90.0)
 
     def test_date_in_the_past_is_zero(self):
-        self.assertEqual(rest("Sun, 06 Nov 1994 08:49:37 GMT"), 0.0)
+        self.assertEqual(backoff("Sun, 06 Nov 1994 08:49:37 GMT"), 0.0)
 
     def test_invalid_value_is_zero(self):
         values = ("", "soon", "-5", "nan", "inf", "-inf", "3 s", "Sun, 99 Foo", "\u0663" * 400)
-        self.assertEqual([rest(value) for value in values], [0.0] * len(values))
+        self.assertEqual([backoff(value) for value in values], [0.0] * len(values))
 
     def test_header_is_ignored_in_answers_that_are_no_refusals(self):
-        self.assertEqual([rest("3", status) for status in (200, 301, 404, 500)], [0.0] * 4)
-        self.assertEqual([rest("3", status) for status in (429, 503)], [3.0, 3.0])
+        self.assertEqual([backoff("3", status) for status in (200, 301, 404, 500)], [0.0] * 4)
+        self.assertEqual([backoff("3", status) for status in (429, 503)], [3.0, 3.0])
 
 
-class LeavingValueTests(unittest.TestCase):
+class LeavingTests(unittest.TestCase):
     def test_x_leaving_header(self):
         said = {"true": True, "True": True, "false": False, "": False, "0": False}
         for value, leaves in said.items():
@@ -55,7 +55,7 @@
 
     def test_retry_after_of_the_platform(self):
         headers = HTTPHeaders({"Retry-After": "3"})
-        self.assertEqual(PlatformProtocol().read_signs(503, headers, WALL).rest, 3.0)
+        self.assertEqual(PlatformProtocol().read_signs(503, headers, WALL).backoff_seconds, 3.0)
 
 
 if __name__ == "__main__":
