--- a/railsail/upstreams/engine.py
+++ b/railsail/upstreams/engine.py
@@ -27,15 +27,15 @@
 from railsail.upstreams.refusals import refusal
 from railsail.upstreams.sse import BadStream, EventSplitter, StreamEvent
 
-RESUME_TRIES = 4
-RESUME_PAUSE_SECONDS = 0.2
-SHORT_CALL_SECONDS = 2.0
-MOST_ANSWER_BYTES = 16 << 20
+MAX_ATTEMPTS = 4
+RESUME_BACKOFF_SECONDS = 0.2
+CONTROL_CALL_SECONDS = 2.0
+MAX_ANSWER_BYTES = 16 << 20
 EVENT_STREAM = "text/event-stream"
 _SERVER_ERROR = 500
 
 
-class _Crossed(CutOff):
+class _ForeignAnswer(CutOff):
     """The answer or event belongs to another request."""
 
 
@@ -51,51 +51,51 @@
         self.cost = 0.0
         self.status = 0
         self.refused: NotRun | None = None
-        self.other = Collector(MOST_ANSWER_BYTES)
+        self.plain_answer = Collector(MAX_ANSWER_BYTES)
 
     @property
-    def events(self) -> bool:
+    def is_event_stream(self) -> bool:
         """Return True if the answer is an event stream, not an error with a plain body."""
-        return self.other.headers.get("Content-Type", "").startswith(EVENT_STREAM)
+        return self.plain_answer.headers.get("Content-Type", "").startswith(EVENT_STREAM)
 
     async def head(self, status: int, headers: HTTPHeaders) -> None:
         self.status = status
         self.refused = refusal(status, headers)
-        await self.other.head(status, headers)
+        await self.plain_answer.head(status, headers)
         self._splitter = EventSplitter()
         if headers.get("X-Request-Id") != self._call.request_id and self.refused is None:
-            raise _Crossed("the answer bore another request's id")
+            raise _ForeignAnswer("the answer bore another request's id")
 
     async def data(self, chunk: bytes) -> None:
-        if not self.events:
-            await self.other.data(chunk)
+        if not self.is_event_stream:
+            await self.plain_answer.data(chunk)
             return
         # Events that arrive together are forwarded together, because a write costs as much as
         # handling an event.
-        taken = [event.raw for event in self._splitter.feed(chunk) if self._take(event)]
-        if not taken:
+        accepted = [event.raw for event in self._splitter.feed(chunk) if self._accept(event)]
+        if not accepted:
             return
         if not self._sink.started:
             await self._sink.start(self.status, EVENT_STREAM)
-        await self._sink.write(b"".join(taken))
+        await self._sink.write(b"".join(accepted))
         self._sink.progress(self.cost)
 
-    def _take(self, event: StreamEvent) -> bool:
+    def _accept(self, event: StreamEvent) -> bool:
         if event.number < self.next_number or self.done:
             # After a resume, the engine repeats the events that may have been lost.
             return False
         if event.number > self.next_number:
             raise BadStream(f"event {self.next_number} is missing")
         if not event.done:
-            self._check(event)
+            self._check_id(event)
         self.next_number += 1
         self.done = event.done
         return True
 
-    def _check(self, event: StreamEvent) -> None:
+    def _check_id(self, event: StreamEvent) -> None:
         body = event.body()
         if body.id != self._call.request_id:
-            raise _Crossed("an event bore another request's id")
+            raise _ForeignAnswer("an event bore another request's id")
         self.cost = max(self.cost, body.usage.total_tokens)
 
 
@@ -115,19 +115,19 @@
         """Make the call once; resume a stream that breaks off at the same engine."""
         if call.stream:
             return await self._run_stream(call, sink)
-        return await self._run_whole(call, sink)
+        return await self._run_plain(call, sink)
 
-    async def _run_whole(self, call: UpstreamCall, sink: AnswerSink) -> Outcome:
-        answer = Collector(MOST_ANSWER_BYTES)
+    async def _run_plain(self, call: UpstreamCall, sink: AnswerSink) -> Outcome:
+        answer = Collector(MAX_ANSWER_BYTES)
         try:
             await exchange(_request(call), answer)
         except NotSent as problem:
             return NotRun(Reason.UNREACHABLE, str(problem))
         except CutOff as problem:
             return Unknown(str(problem), broke_off=True)
-        return await self._pass_on_whole(call, sink, answer)
+        return await self._forward_plain(call, sink, answer)
 
-    async def _pass_on_whole(
+    async def _forward_plain(
         self, call: UpstreamCall, sink: AnswerSink, answer: Collector
     ) -> Outcome:
         refused = refusal(answer.status, answer.headers)
@@ -157,7 +157,7 @@
         answer = _StreamAnswer(call, sink)
         request = _request(call)
         problem = ""
-        for attempt in range(RESUME_TRIES):
+        for attempt in range(MAX_ATTEMPTS):
             try:
                 await exchange(request, answer)
                 problem = "the stream ended early"
@@ -170,26 +170,26 @@
                     break
             except (CutOff, BadStream) as caught:
                 problem = str(caught)
-            outcome = await self._judge_stream(call, sink, answer, attempt)
+            outcome = await self._stream_outcome(call, sink, answer, attempt)
             if outcome is not None:
                 return outcome
-            await asyncio.sleep(RESUME_PAUSE_SECONDS * attempt)
+            await asyncio.sleep(RESUME_BACKOFF_SECONDS * attempt)
             path = f"/v1/streams/{call.request_id}?after={answer.next_number}"
             headers = {"X-Request-Id": call.request_id}
             request = HttpRequest(call.endpoint, "GET", path, headers, on_head=call.on_head)
         return Unknown(problem, answer.cost, broke_off=True)
 
-    async def _judge_stream(
+    async def _stream_outcome(
         self, call: UpstreamCall, sink: AnswerSink, answer: _StreamAnswer, attempt: int
     ) -> Outcome | None:
         if answer.done:
             return Completed(answer.status, answer.cost)
         if answer.refused is not None and attempt == 0:
             return answer.refused
-        if attempt > 0 and asks_rest(answer.status, answer.other.headers):
+        if attempt > 0 and asks_rest(answer.status, answer.plain_answer.headers):
             return Unknown("the engine turned the stream away", answer.cost, asked_rest=True)
-        if attempt == 0 and answer.status >= 400 and not answer.events:
-            return await self._pass_on_whole(call, sink, answer.other)
+        if attempt == 0 and answer.status >= 400 and not answer.is_event_stream:
+            return await self._forward_plain(call, sink, answer.plain_answer)
         if attempt > 0 and answer.status == 404:
             return Unknown("the engine does not know the stream any more", answer.cost)
         return None
@@ -197,7 +197,7 @@
     async def load(self, endpoint: str, on_head: HeadListener) -> LoadReport | None:
         """Return the load that the engine reports, or ``None`` if it did not answer."""
         request = HttpRequest(endpoint, "GET", "/v1/load", {}, on_head=on_head)
-        answer = await fetch(request, SHORT_CALL_SECONDS)
+        answer = await fetch(request, CONTROL_CALL_SECONDS)
         if answer is None or answer.status != 200:
             return None
         try:
@@ -209,7 +209,7 @@
         """Ask the engine to stop a stream."""
         path = f"/v1/streams/{call.request_id}/cancel"
         request = HttpRequest(call.endpoint, "POST", path, {}, on_head=call.on_head)
-        await fetch(request, SHORT_CALL_SECONDS)
+        await fetch(request, CONTROL_CALL_SECONDS)
 
 
 def _request(call: UpstreamCall) -> HttpRequest:
--- a/railsail/upstreams/service.py
+++ b/railsail/upstreams/service.py
@@ -11,7 +11,7 @@
 from railsail.upstreams.refusals import refusal
 
 _SERVER_ERROR = 500
-MOST_HELD_BYTES = 64 << 10
+MAX_HELD_BYTES = 64 << 10
 
 
 class _Answer:
@@ -27,35 +27,35 @@
         self._held = b""
         self.status = 0
         self.refused: NotRun | None = None
-        self.crossed = False
+        self.foreign = False
         self.asked_rest = False
 
     async def head(self, status: int, headers: HTTPHeaders) -> None:
         self.status = status
         self.refused = refusal(status, headers)
         self.asked_rest = asks_rest(status, headers)
-        self.crossed = headers.get("X-Request-Id", self._call.request_id) != self._call.request_id
+        self.foreign = headers.get("X-Request-Id", self._call.request_id) != self._call.request_id
         self._content_type = headers.get("Content-Type", "application/octet-stream")
 
     @property
-    def good(self) -> bool:
-        return not (self.refused or self.crossed or self.status >= _SERVER_ERROR)
+    def can_forward(self) -> bool:
+        return not (self.refused or self.foreign or self.status >= _SERVER_ERROR)
 
     async def data(self, chunk: bytes) -> None:
-        if not self.good:
+        if not self.can_forward:
             return
         if self._sink.started:
             await self._sink.write(chunk)
             return
         self._held += chunk
-        if len(self._held) > MOST_HELD_BYTES:
-            await self._pass_on(whole=False)
+        if len(self._held) > MAX_HELD_BYTES:
+            await self._forward(whole=False)
 
-    async def end(self) -> None:
+    async def finish(self) -> None:
         if not self._sink.started:
-            await self._pass_on(whole=True)
+            await self._forward(whole=True)
 
-    async def _pass_on(self, whole: bool) -> None:
+    async def _forward(self, whole: bool) -> None:
         await self._sink.start(self.status, self._content_type, whole)
         await self._sink.write(self._held)
         self._held = b""
@@ -85,12 +85,12 @@
             return Unknown(str(problem), self._cost(call, started), broke_off=True)
         if answer.refused is not None:
             return answer.refused
-        if answer.crossed:
+        if answer.foreign:
             return Unknown("the answer bore another request's id", self._cost(call, started))
         if answer.status >= _SERVER_ERROR:
             cost = self._cost(call, started)
             return Unknown(f"status {answer.status}", cost, asked_rest=answer.asked_rest)
-        await answer.end()
+        await answer.finish()
         return Completed(answer.status, self._cost(call, started))
 
     def _cost(self, call: UpstreamCall, started: float) -> float:
--- a/railsail/upstreams/sse.py
+++ b/railsail/upstreams/sse.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-MOST_EVENT_BYTES = 1 << 20
+MAX_EVENT_BYTES = 1 << 20
 DONE = b"[DONE]"
 
 
@@ -60,10 +60,10 @@
     def feed(self, chunk: bytes) -> list[StreamEvent]:
         """Return the events that ``chunk`` completes; raise ``BadStream`` if one is too long."""
         self._buffer += chunk
-        *whole, self._buffer = self._buffer.split(b"\n\n")
-        if len(self._buffer) > MOST_EVENT_BYTES:
+        *complete, self._buffer = self._buffer.split(b"\n\n")
+        if len(self._buffer) > MAX_EVENT_BYTES:
             raise BadStream("an event is too long")
-        return [_parse(raw) for raw in whole if raw.strip()]
+        return [_parse(raw) for raw in complete if raw.strip()]
 
 
 def _parse(raw: bytes) -> StreamEvent:
@@ -72,13 +72,13 @@
     for line in raw.split(b"\n"):
         field, _, value = line.partition(b":")
         if field == b"id":
-            number = _number(value)
+            number = _parse_number(value)
         elif field == b"data":
             data = value.strip()
     return StreamEvent(raw + b"\n\n", number, data)
 
 
-def _number(value: bytes) -> int:
+def _parse_number(value: bytes) -> int:
     text = value.strip()
     if not text.isdigit() or len(text) > 18:
         raise BadStream("an event has no number")
