--- a/railsail/platform/http.py
+++ b/railsail/platform/http.py
@@ -51,7 +51,7 @@
 )
 # Headers that control a replica and that only the fleet may send. With one of them, a caller could
 # occupy slots and memory of a replica, make it copy memory, or make it refuse the request.
-_ORDERS = frozenset(
+_REPLICA_CONTROLS = frozenset(
     {
         REPLICA,
         "Expect-Version",
@@ -65,10 +65,12 @@
 )
 # ``Expect: 100-continue`` is for this node only: the body has been received when the request is
 # forwarded.
-_TO_THIS_NODE = frozenset({"Expect"})
+_FOR_THIS_NODE = frozenset({"Expect"})
 # Headers of answers by which replicas describe themselves; they have no meaning in a request.
-_SAID_BY_REPLICAS = frozenset({SIGNATURE, NOT_RUN, LEAVING, "Instance-Id", "Weight-Versions"})
-_SET_BY_FLEET = _ORDERS | _SAID_BY_REPLICAS | {KEY, WORKSPACE, DEADLINE, "Expect"}
+_SENT_BY_REPLICAS = frozenset({SIGNATURE, NOT_RUN, LEAVING, "Instance-Id", "Weight-Versions"})
+_DROPPED_FROM_REQUESTS = (
+    _REPLICA_CONTROLS | _SENT_BY_REPLICAS | {KEY, WORKSPACE, DEADLINE, "Expect"}
+)
 
 
 @ROUTE_PROTOCOLS.register("prepared")
@@ -85,19 +87,19 @@
             host=headers.get("Host", ""),
             target=target,
             path=target.partition("?")[0],
-            headers=_end_to_end(headers, _SET_BY_FLEET),
+            headers=_end_to_end(headers, _DROPPED_FROM_REQUESTS),
             body=body,
-            key=_key(headers.get(KEY, "")),
-            deadline=_number(headers.get(DEADLINE, ""), DEADLINE) / 1000,
+            key=_bearer_key(headers.get(KEY, "")),
+            deadline=_parse_number(headers.get(DEADLINE, ""), DEADLINE) / 1000,
             last_event=headers.get(LAST_EVENT, ""),
-            prompt=_prompt(headers),
+            prompt=_parse_prompt(headers),
         )
 
     def read_origin(self, headers: HTTPHeaders) -> Origin:
         """Return the origin of a request, without parsing the rest of it."""
         return Origin(
             headers.get(REQUEST_ID, ""),
-            _key(headers.get(KEY, "")),
+            _bearer_key(headers.get(KEY, "")),
             headers.get("Host", ""),
             _deadline_ms(headers) / 1000,
         )
@@ -107,7 +109,7 @@
 
         ``spent`` are the seconds since it was received, by which its deadline is shortened.
         """
-        kept = _end_to_end(headers, _TO_THIS_NODE)
+        kept = _end_to_end(headers, _FOR_THIS_NODE)
         deadline = _deadline_ms(kept)
         if deadline:
             kept[DEADLINE] = str(max(1, math.floor(deadline - spent * 1000)))
@@ -161,47 +163,49 @@
 def _deadline_ms(headers: HTTPHeaders) -> float:
     """Return the deadline, 0 for none or an invalid one, which ``read_request`` refuses."""
     try:
-        return _number(headers.get(DEADLINE, ""), DEADLINE)
+        return _parse_number(headers.get(DEADLINE, ""), DEADLINE)
     except ValueError:
         return 0.0
 
 
 def _end_to_end(headers: HTTPHeaders, dropped: frozenset[str]) -> HTTPHeaders:
-    named = {word.strip().title() for word in headers.get("Connection", "").split(",")}
+    connection_options = {
+        option.strip().title() for option in headers.get("Connection", "").split(",")
+    }
     kept = HTTPHeaders()
     for name, value in headers.get_all():
-        if name in _HOP_BY_HOP or name in dropped or name in named - {REQUEST_ID}:
+        if name in _HOP_BY_HOP or name in dropped or name in connection_options - {REQUEST_ID}:
             continue
         kept.add(name, value)
     return kept
 
 
-def _key(authorization: str) -> str:
+def _bearer_key(authorization: str) -> str:
     if not authorization.lower().startswith(_BEARER):
         return ""
     return authorization[len(_BEARER) :].strip()
 
 
-def _prompt(headers: HTTPHeaders) -> Prompt:
+def _parse_prompt(headers: HTTPHeaders) -> Prompt:
     counts = headers.get(TOKENS, "")
     if not counts:
         return Prompt()
-    tokens, _, most = counts.partition(",")
+    tokens, _, max_output = counts.partition(",")
     hint = headers.get(LENGTH_HINT, "")
     return Prompt(
-        int(_number(tokens, TOKENS)),
-        int(_number(most, TOKENS)),
-        int(_number(hint, LENGTH_HINT)),
-        tuple(_part(word) for word in headers.get(PARTS, "").split(",") if word.strip()),
+        int(_parse_number(tokens, TOKENS)),
+        int(_parse_number(max_output, TOKENS)),
+        int(_parse_number(hint, LENGTH_HINT)),
+        tuple(_parse_part(part) for part in headers.get(PARTS, "").split(",") if part.strip()),
     )
 
 
-def _part(word: str) -> PromptPart:
-    digest, _, tokens = word.strip().partition(":")
-    return PromptPart(zlib.crc32(digest.encode()), int(_number(tokens, PARTS)))
+def _parse_part(part: str) -> PromptPart:
+    digest, _, tokens = part.strip().partition(":")
+    return PromptPart(zlib.crc32(digest.encode()), int(_parse_number(tokens, PARTS)))
 
 
-def _number(text: str, name: str) -> float:
+def _parse_number(text: str, name: str) -> float:
     text = text.strip()
     if not text:
         return 0.0
--- a/railsail/platform/objects.py
+++ b/railsail/platform/objects.py
@@ -14,9 +14,9 @@
 from railsail.objects.parse import to_plain
 from railsail.routing.defaults import DEFAULT_CLASS, DEFAULT_POLICY
 
-MS = 1000.0
+MS_PER_SECOND = 1000.0
 # Bounds the duration of a rollout: a week.
-MOST_ROLLOUT_SECONDS = 604_800
+MAX_ROLLOUT_SECONDS = 604_800
 STREAMING = "streaming"
 IDEMPOTENT = "idempotent"
 
@@ -157,7 +157,7 @@
 
     service: Text
     target_version: Text | int
-    duration_s: Annotated[float, msgspec.Meta(gt=0, le=MOST_ROLLOUT_SECONDS)]
+    duration_s: Annotated[float, msgspec.Meta(gt=0, le=MAX_ROLLOUT_SECONDS)]
 
 
 class RolloutStatus(msgspec.Struct, frozen=True):
@@ -250,9 +250,9 @@
         resumable=route.resumable,
         public=route.anonymous,
         affinity=route.sticky,
-        timeout=route.timeout_ms / MS,
-        objective=route.slo_ms / MS,
-        pause=route.gap_slo_ms / MS,
+        timeout=route.timeout_ms / MS_PER_SECOND,
+        objective=route.slo_ms / MS_PER_SECOND,
+        pause=route.gap_slo_ms / MS_PER_SECOND,
         priority=route.priority,
         max_attempts=route.max_attempts,
         regions=tuple(route.allowed_regions),
--- a/railsail/platform/store.py
+++ b/railsail/platform/store.py
@@ -20,19 +20,19 @@
     replica_value,
     rollout_value,
 )
-from railsail.platform.salvage import salvage
+from railsail.platform.salvage import recover_objects
 from railsail.store.base import STORES, Listing, StoredObject, WatchEvent, WatchResult
 from railsail.store.calls import GONE, NOT_FOUND, StoreCalls
 from railsail.store.versions import era_of, revision_of, to_version
 
 CALL_SECONDS = 2.0
-MOST_BYTES = 64 << 20
-MOST_PAGES = 1000
+MAX_ANSWER_BYTES = 64 << 20
+MAX_PAGES = 1000
 # The store's generation: how often the store was restored from an older copy. The header is in all
 # answers once that has happened.
-ERA = "Store-Era"
+GENERATION_HEADER = "Store-Era"
 # Versions are integers below 2 ** 62, the lower 40 bits of which hold the revision.
-MOST_ERA_DIGITS = 6
+MAX_GENERATION_DIGITS = 6
 
 
 def _plain(spec: bytes, status: bytes) -> dict[str, object]:
@@ -47,7 +47,7 @@
     return replica_value(spec)
 
 
-def _nothing(spec: bytes, status: bytes) -> dict[str, object]:
+def _no_fields(spec: bytes, status: bytes) -> dict[str, object]:
     """Return no fields, since objects of this kind only matter by their existence."""
     return {}
 
@@ -77,7 +77,7 @@
 _KINDS = {
     "configuration": _Kind("config", _configuration, "main", "head"),
     "upstream": _Kind("servers", _replica),
-    "evacuation": _Kind("evacuations", _nothing),
+    "evacuation": _Kind("evacuations", _no_fields),
     "rollout": _Kind("rollouts", rollout_value),
     "rollout-ledger": _Kind("railsail-rollouts", _plain),
     "node": _Kind("railsail-nodes", _plain),
@@ -95,8 +95,8 @@
     def __init__(self, endpoints: Sequence[Endpoint], metrics: Metrics, rng: random.Random) -> None:
         self._base = f"http://{endpoints[0]}"
         # The latest generation of the store in any answer.
-        self._known_era = 0
-        self._calls = StoreCalls(metrics, CALL_SECONDS, MOST_BYTES)
+        self._latest_generation = 0
+        self._calls = StoreCalls(metrics, CALL_SECONDS, MAX_ANSWER_BYTES)
 
     async def get(self, kind: str, name: str) -> StoredObject | None:
         """Return an object, or ``None`` if there is none."""
@@ -104,28 +104,28 @@
         response = await self._call("get", "GET", path)
         if response.code == NOT_FOUND:
             return None
-        return _object(kind, _decode(response, StoredItem), _era(response))
+        return _object(kind, _decode(response, StoredItem), _generation(response))
 
     async def list(self, kind: str) -> Listing:
         """Return all objects of ``kind``."""
         objects: list[StoredObject] = []
         after = ""
         version: int | None = None
-        era = 0
-        for _ in range(MOST_PAGES):
+        generation = 0
+        for _ in range(MAX_PAGES):
             query = f"?since_rev={quote(after)}" if after else ""
             response = await self._call("list", "GET", _path(kind) + query)
-            if after and _era(response) != era:
+            if after and _generation(response) != generation:
                 raise StoreUnavailable("the store came back from a copy while it was listed")
-            era = _era(response)
+            generation = _generation(response)
             if response.code == NOT_FOUND:
-                return Listing(version or to_version(era, 0), tuple(objects))
+                return Listing(version or to_version(generation, 0), tuple(objects))
             page = _decode_many(response, ListPage)
             # The pages are read one after the other. A watch from the version of the first one on
             # returns the changes that were made in the meantime.
-            at = to_version(era, page.at)
+            at = to_version(generation, page.at)
             version = at if version is None else min(version, at)
-            objects += [_object(kind, item, era) for item in page.items]
+            objects += [_object(kind, item, generation) for item in page.items]
             if not page.more or not page.items:
                 break
             after = page.items[-1].metadata.name
@@ -133,7 +133,7 @@
 
     async def put(self, kind: str, name: str, value: dict[str, object], expected: int) -> int:
         """Write an object if its version is ``expected``, 0 for none; return the new version."""
-        self._check_era(expected)
+        self._check_generation(expected)
         metadata: dict[str, object] = {"name": name}
         body = {"metadata": metadata, "spec": value}
         if expected:
@@ -142,21 +142,21 @@
         else:
             path, method = _path(kind), "POST"
         response = await self._call("put", method, path, msgspec.json.encode(body))
-        return to_version(_era(response), _decode(response, StoredItem).metadata.revision)
+        return to_version(_generation(response), _decode(response, StoredItem).metadata.revision)
 
     async def put_status(
         self, kind: str, name: str, value: dict[str, object], expected: int
     ) -> int:
         """Replace an object's status if its version is ``expected``; return the new version."""
-        self._check_era(expected)
+        self._check_generation(expected)
         body = {"metadata": {"name": name, "revision": revision_of(expected)}, "status": value}
         path = f"{_path(kind)}/{quote(name)}/status"
         response = await self._call("put", "PUT", path, msgspec.json.encode(body))
-        return to_version(_era(response), _decode(response, StoredItem).metadata.revision)
+        return to_version(_generation(response), _decode(response, StoredItem).metadata.revision)
 
     async def delete(self, kind: str, name: str, expected: int) -> None:
         """Delete an object if its version is ``expected``."""
-        self._check_era(expected)
+        self._check_generation(expected)
         path = f"{_path(kind)}/{quote(name)}?revision={revision_of(expected)}"
         await self._call("delete", "DELETE", path)
 
@@ -167,13 +167,13 @@
         response = await self._call("watch", "GET", path, waits=seconds)
         if response.code in (GONE, NOT_FOUND):
             return WatchResult(since, (), expired=True)
-        era = _era(response)
-        if era != era_of(since):
+        generation = _generation(response)
+        if generation != era_of(since):
             # In this generation, the revision of ``since`` may belong to another change.
             return WatchResult(since, (), expired=True)
         changes = _decode_many(response, Changes)
-        events = [_event(kind, change.object, change.gone, era) for change in changes.events]
-        return WatchResult(to_version(era, changes.at), tuple(events))
+        events = [_event(kind, change.object, change.gone, generation) for change in changes.events]
+        return WatchResult(to_version(generation, changes.at), tuple(events))
 
     async def _call(
         self,
@@ -185,15 +185,15 @@
     ) -> HTTPResponse:
         url = f"{self._base}{path}"
         response = await self._calls.call(operation, method, url, body, waits)
-        self._known_era = max(self._known_era, _era(response))
+        self._latest_generation = max(self._latest_generation, _generation(response))
         return response
 
-    def _check_era(self, expected: int) -> None:
+    def _check_generation(self, expected: int) -> None:
         """Raise ``StoreConflict`` if ``expected`` was read before the store was last restored.
 
         The store may have given the same revision to another change, which this node has not seen.
         """
-        if expected and era_of(expected) < self._known_era:
+        if expected and era_of(expected) < self._latest_generation:
             raise StoreConflict("the version expected is of an earlier era")
 
 
@@ -201,12 +201,12 @@
     return f"/objects/{_KINDS[kind].path}"
 
 
-def _era(response: HTTPResponse) -> int:
+def _generation(response: HTTPResponse) -> int:
     """Return the generation of the store, 0 if it was never restored from a copy."""
-    text = response.headers.get(ERA, "").strip()
+    text = response.headers.get(GENERATION_HEADER, "").strip()
     if not text:
         return 0
-    if not text.isascii() or not text.isdigit() or len(text) > MOST_ERA_DIGITS:
+    if not text.isascii() or not text.isdigit() or len(text) > MAX_GENERATION_DIGITS:
         raise StoreUnavailable(f"the store's era cannot be read: {text!r}")
     return int(text)
 
@@ -225,12 +225,12 @@
     except (msgspec.DecodeError, UnicodeDecodeError) as problem:
         get_logger().warning("invalid answer of the store: recovering objects", reason=str(problem))
     try:
-        return msgspec.json.decode(salvage(response.body), type=shape)
+        return msgspec.json.decode(recover_objects(response.body), type=shape)
     except msgspec.DecodeError as problem:
         raise StoreUnavailable(f"the store's answer cannot be read: {problem}") from None
 
 
-def _object(kind: str, item: StoredItem, era: int) -> StoredObject:
+def _object(kind: str, item: StoredItem, generation: int) -> StoredObject:
     known = _KINDS[kind]
     name = known.to_product(item.metadata.name)
     try:
@@ -240,12 +240,12 @@
             raise StoreUnavailable(f"{kind}/{name} cannot be read: {problem}") from None
         # An invalid object must not hide the others. The listener to its kind refuses empty values.
         value = {}
-    return StoredObject(kind, name, to_version(era, item.metadata.revision), value)
+    return StoredObject(kind, name, to_version(generation, item.metadata.revision), value)
 
 
-def _event(kind: str, item: StoredItem, gone: bool, era: int) -> WatchEvent:
+def _event(kind: str, item: StoredItem, gone: bool, generation: int) -> WatchEvent:
     if gone:
         name = _KINDS[kind].to_product(item.metadata.name)
-        return WatchEvent(kind, name, to_version(era, item.metadata.revision), None)
-    stored = _object(kind, item, era)
+        return WatchEvent(kind, name, to_version(generation, item.metadata.revision), None)
+    stored = _object(kind, item, generation)
     return WatchEvent(kind, stored.name, stored.version, stored.value)
--- a/railsail/upstreams/engine.py
+++ b/railsail/upstreams/engine.py
@@ -24,7 +24,7 @@
     exchange,
     fetch,
 )
-from railsail.upstreams.refusals import refusal
+from railsail.upstreams.refusals import read_refusal
 from railsail.upstreams.sse import BadStream, EventSplitter, StreamEvent
 
 MAX_ATTEMPTS = 4
@@ -60,7 +60,7 @@
 
     async def head(self, status: int, headers: HTTPHeaders) -> None:
         self.status = status
-        self.refused = refusal(status, headers)
+        self.refused = read_refusal(status, headers)
         await self.plain_answer.head(status, headers)
         self._splitter = EventSplitter()
         if headers.get("X-Request-Id") != self._call.request_id and self.refused is None:
@@ -130,7 +130,7 @@
     async def _forward_plain(
         self, call: UpstreamCall, sink: AnswerSink, answer: Collector
     ) -> Outcome:
-        refused = refusal(answer.status, answer.headers)
+        refused = read_refusal(answer.status, answer.headers)
         if refused is not None:
             return refused
         if answer.headers.get("X-Request-Id") != call.request_id:
--- a/railsail/upstreams/idle.py
+++ b/railsail/upstreams/idle.py
@@ -32,24 +32,24 @@
         self._max_total = max_total
         # Connections in the order in which they became idle.
         self._target_of: dict[Item, Place] = {}
-        self._at: dict[Place, list[Item]] = {}
+        self._items_at: dict[Place, list[Item]] = {}
 
     def __len__(self) -> int:
         return len(self._target_of)
 
     def targets(self) -> list[Place]:
         """Return the replicas, with their endpoints, that have idle connections."""
-        return list(self._at)
+        return list(self._items_at)
 
     def put(self, target: Place, item: Item) -> list[Item]:
         """Keep ``item``; return the oldest items that have to be closed to make space for it."""
         self._target_of[item] = target
-        self._at.setdefault(target, []).append(item)
+        self._items_at.setdefault(target, []).append(item)
         return list(self._remove_surplus(target))
 
     def _remove_surplus(self, target: Place) -> Iterator[Item]:
-        if len(self._at[target]) > self._max_per_replica:
-            oldest = self._at[target][0]
+        if len(self._items_at[target]) > self._max_per_replica:
+            oldest = self._items_at[target][0]
             self.remove(oldest)
             yield oldest
         if len(self._target_of) > self._max_total:
@@ -59,7 +59,7 @@
 
     def take(self, target: Place) -> Item | None:
         """Remove and return the connection to ``target`` that was used last, ``None`` for none."""
-        items = self._at.get(target)
+        items = self._items_at.get(target)
         if not items:
             return None
         item = items[-1]
@@ -71,15 +71,15 @@
         target = self._target_of.pop(item, None)
         if target is None:
             return False
-        items = self._at[target]
+        items = self._items_at[target]
         items.remove(item)
         if not items:
-            del self._at[target]
+            del self._items_at[target]
         return True
 
     def drop(self, target: Place) -> list[Item]:
         """Remove and return all connections to ``target``."""
-        dropped = list(self._at.get(target, ()))
+        dropped = list(self._items_at.get(target, ()))
         for item in dropped:
             self.remove(item)
         return dropped
--- a/railsail/upstreams/refusals.py
+++ b/railsail/upstreams/refusals.py
@@ -10,7 +10,7 @@
 from railsail.core.retryafter import TURNED_AWAY, asks_rest
 
 
-def refusal(status: int, headers: HTTPHeaders) -> NotRun | None:
+def read_refusal(status: int, headers: HTTPHeaders) -> NotRun | None:
     """Return the outcome of a refused request, ``None`` if the request may have run."""
     if status not in TURNED_AWAY or headers.get("X-Not-Run") != "true":
         return None
--- a/railsail/upstreams/service.py
+++ b/railsail/upstreams/service.py
@@ -8,7 +8,7 @@
 from railsail.objects.kinds import UPSTREAM_KINDS, CostUnit
 from railsail.upstreams.base import AnswerSink, UpstreamCall, UpstreamKind
 from railsail.upstreams.http import CutOff, HttpRequest, NotSent, exchange
-from railsail.upstreams.refusals import refusal
+from railsail.upstreams.refusals import read_refusal
 
 _SERVER_ERROR = 500
 MAX_HELD_BYTES = 64 << 10
@@ -32,7 +32,7 @@
 
     async def head(self, status: int, headers: HTTPHeaders) -> None:
         self.status = status
-        self.refused = refusal(status, headers)
+        self.refused = read_refusal(status, headers)
         self.asked_rest = asks_rest(status, headers)
         self.foreign = headers.get("X-Request-Id", self._call.request_id) != self._call.request_id
         self._content_type = headers.get("Content-Type", "application/octet-stream")
--- a/tests/platform/test_http.py
+++ b/tests/platform/test_http.py
@@ -56,13 +56,13 @@
                 read(**headers)
 
     def test_headers_that_control_replicas_are_dropped_from_requests(self):
-        orders = ["Hold", "Pin-Ms", "Kv-Backup", "Kv-From", "Kv-Fetch", "Wait-Ms"]
-        orders += ["Expect-Version", "Expect-Instance", "Tenant", "Not-Run", "Response-Seal"]
-        for order in orders:
-            with self.subTest(order=order):
-                given = {order.lower(): "1", "X-Other": "2"}
+        controls = ["Hold", "Pin-Ms", "Kv-Backup", "Kv-From", "Kv-Fetch", "Wait-Ms"]
+        controls += ["Expect-Version", "Expect-Instance", "Tenant", "Not-Run", "Response-Seal"]
+        for control in controls:
+            with self.subTest(control=control):
+                given = {control.lower(): "1", "X-Other": "2"}
                 sent = PROTOCOL.request_headers(read(**given), Dispatch("i-1", "", 2.0))
-                self.assertNotEqual(sent.get(order), "1")
+                self.assertNotEqual(sent.get(control), "1")
                 self.assertEqual(sent["X-Other"], "2")
 
     def test_prompt_headers_are_forwarded_unchanged(self):
