--- a/railsail/platform/store.py
+++ b/railsail/platform/store.py
@@ -20,7 +20,7 @@
     replica_value,
     rollout_value,
 )
-from railsail.platform.salvage import recover_objects
+from railsail.platform.recovery import recover_objects
 from railsail.store.base import STORES, Listing, StoredObject, WatchEvent, WatchResult
 from railsail.store.calls import GONE, NOT_FOUND, StoreCalls
 from railsail.store.versions import era_of, revision_of, to_version
--- a/railsail/upstreams/directory.py
+++ b/railsail/upstreams/directory.py
@@ -23,6 +23,7 @@
 from railsail.store.base import Listing, WatchEvent
 from railsail.store.watcher import as_event
 from railsail.upstreams.evacuations import Evacuation, Evacuations
+from railsail.upstreams.invalidrecords import InvalidRecords
 from railsail.upstreams.merging import RecordMerger
 from railsail.upstreams.records import (
     Listed,
@@ -32,7 +33,6 @@
     parse_record,
     to_record,
 )
-from railsail.upstreams.refused import InvalidRecords
 from railsail.upstreams.signs import Source
 
 KIND = "upstream"
--- a/railsail/upstreams/records.py
+++ b/railsail/upstreams/records.py
@@ -10,7 +10,7 @@
 from railsail.conf.values import parse_endpoint
 from railsail.peers.records import UpstreamRecord
 from railsail.store.base import WatchEvent
-from railsail.upstreams.refused import InvalidRecords
+from railsail.upstreams.invalidrecords import InvalidRecords
 
 
 class Listed(enum.IntEnum):
--- a/tests/upstreams/test_directory.py
+++ b/tests/upstreams/test_directory.py
@@ -7,7 +7,7 @@
 from railsail.core.events import EventLog, Kind
 from railsail.store.base import Listing, StoredObject, WatchEvent
 from railsail.store.versions import to_version
-from railsail.upstreams import refused as module
+from railsail.upstreams import invalidrecords as module
 from railsail.upstreams.directory import UpstreamDirectory
 from railsail.upstreams.merging import MAX_LEAVING_SECONDS
 from railsail.upstreams.records import Listed
