--- a/tests/upstreams/test_http.py
+++ b/tests/upstreams/test_http.py
@@ -7,7 +7,7 @@
 from railsail.upstreams.http import Collector, CutOff, HttpRequest, NotSent, exchange
 
 CHUNK = b"x" * 65_536
-MOST_CHUNKS = 4096
+MAX_CHUNKS = 4096
 
 
 class ExchangeTests(unittest.IsolatedAsyncioTestCase):
@@ -52,18 +52,18 @@
 
     async def test_slow_receiver_slows_the_sender_down(self):
         sent = []
-        held = asyncio.Event()
+        blocked = asyncio.Event()
 
         async def handle(reader, writer) -> None:
             await reader.readuntil(b"\r\n\r\n")
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 268435456\r\n\r\n")
-            for _ in range(MOST_CHUNKS):
+            for _ in range(MAX_CHUNKS):
                 writer.write(CHUNK)
                 sent.append(1)
                 drained = asyncio.ensure_future(writer.drain())
                 await asyncio.sleep(0)
                 if not drained.done() and not (await asyncio.wait([drained], timeout=1.0))[0]:
-                    held.set()
+                    blocked.set()
                 await drained
 
         class Stalled(Collector):
@@ -71,8 +71,8 @@
                 await asyncio.Event().wait()
 
         running = asyncio.ensure_future(exchange(await self.serve(handle), Stalled()))
-        await held.wait()
-        self.assertLess(len(sent), MOST_CHUNKS // 2)
+        await blocked.wait()
+        self.assertLess(len(sent), MAX_CHUNKS // 2)
         running.cancel()
         await asyncio.gather(running, return_exceptions=True)
 
--- a/tests/upstreams/test_idle.py
+++ b/tests/upstreams/test_idle.py
@@ -9,7 +9,7 @@
 
 ONE = Place("one", "10.0.0.1:80")
 TWO = Place("two", "10.0.0.2:80")
-MOST = 20.0
+MAX_SECONDS = 20.0
 
 
 class IdleConnectionsTests(unittest.TestCase):
@@ -52,20 +52,20 @@
 
 class KeepAliveTests(unittest.TestCase):
     def test_idle_seconds_follow_the_keep_alive_header(self):
-        told = {
-            "": MOST,
+        expected = {
+            "": MAX_SECONDS,
             "timeout=5": 5 - MARGIN_SECONDS,
             "timeout=5, max=100": 5 - MARGIN_SECONDS,
             "max=100, Timeout = 5": 5 - MARGIN_SECONDS,
             "5": 5 - MARGIN_SECONDS,
-            "timeout=600": MOST,
+            "timeout=600": MAX_SECONDS,
             "timeout=0": 0.0,
-            "max=100": MOST,
+            "max=100": MAX_SECONDS,
         }
-        for text, seconds in told.items():
+        for text, seconds in expected.items():
             with self.subTest(text):
                 headers = HTTPHeaders({"Keep-Alive": text} if text else {})
-                self.assertEqual(idle_seconds(headers, MOST), seconds)
+                self.assertEqual(idle_seconds(headers, MAX_SECONDS), seconds)
 
     def test_connection_header_close_forbids_keeping(self):
         for text, kept in {"close": False, "x, Close": False, "keep-alive": True}.items():
--- a/tests/upstreams/test_signs.py
+++ b/tests/upstreams/test_signs.py
@@ -42,16 +42,16 @@
 
 class LeavingTests(unittest.TestCase):
     def test_x_leaving_header(self):
-        said = {"true": True, "True": True, "false": False, "": False, "0": False}
-        for value, leaves in said.items():
+        expected = {"true": True, "True": True, "false": False, "": False, "0": False}
+        for value, leaving in expected.items():
             headers = HTTPHeaders({"X-Leaving": value})
-            self.assertEqual(read_signs(200, headers, WALL).leaving, leaves, value)
+            self.assertEqual(read_signs(200, headers, WALL).leaving, leaving, value)
 
     def test_leaving_header_of_the_platform(self):
         protocol = PlatformProtocol()
-        for value, leaves in {"1": True, "0": False, "": False}.items():
+        for value, leaving in {"1": True, "0": False, "": False}.items():
             headers = HTTPHeaders({"Server-Leaving": value})
-            self.assertEqual(protocol.read_signs(200, headers, WALL).leaving, leaves, value)
+            self.assertEqual(protocol.read_signs(200, headers, WALL).leaving, leaving, value)
 
     def test_retry_after_of_the_platform(self):
         headers = HTTPHeaders({"Retry-After": "3"})
