--- a/railsail/platform/http.py
+++ b/railsail/platform/http.py
@@ -18,16 +18,21 @@
 from railsail.upstreams.signs import AnswerSigns, read_backoff
 
 REQUEST_ID = "Request-Id"
+# The time that is left, in milliseconds.
 DEADLINE = "Deadline-Ms"
 LAST_EVENT = "Last-Event-Id"
+# The tokens of the prompt and the maximum of its output, separated by a comma.
 TOKENS = "Token-Count"
+# The parts of a prompt from its start, each as ``digest:tokens``, separated by commas.
 PARTS = "Prompt-Prefix"
+# The expected output, in tokens.
 LENGTH_HINT = "Length-Hint"
 WORKSPACE = "Tenant"
+# The replica that is to run a request. Another replica at its address answers 421.
 REPLICA = "Expect-Instance"
 SIGNATURE = "Response-Seal"
 NOT_RUN = "Not-Run"
-# In answers of any kind: the replica that sends it is going to stop.
+# In answers of any kind: the replica that sent it is leaving.
 LEAVING = "Server-Leaving"
 _NOT_LEAVING = ("", "0")
 KEY = "Authorization"
--- a/railsail/platform/store.py
+++ b/railsail/platform/store.py
@@ -31,7 +31,8 @@
 # The store's generation: how often the store was restored from an older copy. The header is in all
 # answers once that has happened.
 GENERATION_HEADER = "Store-Era"
-# Versions are integers below 2 ** 62, the lower 40 bits of which hold the revision.
+# Versions are integers below 2 ** 62. The lower 40 bits hold the revision, which leaves 22 bits for
+# the generation.
 MAX_GENERATION_DIGITS = 6
 
 
@@ -113,6 +114,7 @@
         version: int | None = None
         generation = 0
         for _ in range(MAX_PAGES):
+            # Despite its name, the parameter takes the name of the last object, not a revision.
             query = f"?since_rev={quote(after)}" if after else ""
             response = await self._call("list", "GET", _path(kind) + query)
             if after and _generation(response) != generation:
--- a/railsail/upstreams/connections.py
+++ b/railsail/upstreams/connections.py
@@ -27,7 +27,7 @@
 
 
 class ConnectionPool:
-    """Keep idle connections to replicas for at most ``seconds``.
+    """A pool of idle connections to replicas, which are kept for at most ``seconds``.
 
     ``takes_work`` returns whether requests may be sent to a replica at its endpoint. At most
     ``max_per_replica`` idle connections are kept for each of them.
@@ -92,7 +92,7 @@
         if not reason:
             return stream
         self._log(f"an idle connection cannot be used: {reason}", request, stream)
-        # Its cause, such as a restart of the replica, may affect the other connections to it.
+        # The cause, such as a restart of the replica, may affect its other connections too.
         self.drop(request.replica, reason)
         return None
 
@@ -146,7 +146,7 @@
         )
 
     def drop(self, replica: str, reason: str) -> None:
-        """Close the idle connections to ``replica``; ``reason`` is the metric's label."""
+        """Close the idle connections to ``replica``; ``reason`` is a label of the metric."""
         for target in self._idle.targets():
             if target.replica == replica:
                 self._drop_target(target, reason)
--- a/railsail/upstreams/directory.py
+++ b/railsail/upstreams/directory.py
@@ -78,7 +78,7 @@
         self._wall = wall
         self._merger = RecordMerger(monotonic)
         self.evacuations = Evacuations(self._broadcast_evacuations, events, monotonic)
-        self.evacuations.on_change(self._changed)
+        self.evacuations.on_change(self._notify_listeners)
         # When the cold time of each replica ends, on the monotonic clock. It counts from when this
         # node received the record, because the wall clocks of nodes differ and may jump.
         self._cold_until: dict[str, float] = {}
@@ -97,7 +97,7 @@
         """Call ``listener`` with the former record of each replica that has restarted."""
         self._restart_listeners.append(listener)
 
-    def _changed(self) -> None:
+    def _notify_listeners(self) -> None:
         for listener in self._listeners:
             listener()
 
@@ -117,7 +117,7 @@
     def follow_rollouts(self, rules: VersionRules) -> None:
         """Let ``rules`` decide from now on which software versions get new work."""
         self._rules = rules
-        self._changed()
+        self._notify_listeners()
 
     @property
     def follows_rollouts(self) -> bool:
@@ -126,7 +126,7 @@
 
     def rollouts_changed(self) -> None:
         """Notify the listeners that the rules now allow other software versions."""
-        self._changed()
+        self._notify_listeners()
 
     def rollout(self, pool: str) -> Order | None:
         """Return the order of the running rollout of ``pool``, ``None`` if none runs."""
@@ -261,7 +261,7 @@
             return
         self._broadcast(UpstreamNews([to_record(upstream) for upstream in changed]), node)
         if must_notify:
-            self._changed()
+            self._notify_listeners()
 
     def _store(self, upstream: Upstream) -> bool:
         """Store a record; return True if more has changed than a cold time that counts down."""
@@ -279,7 +279,7 @@
         if upstream.version > known.version:
             self._record_cold_time(upstream)
         if upstream.born and known.born and upstream.born != known.born:
-            self._log_restart(known, upstream)
+            self._report_restart(known, upstream)
         same = replace(known, version=upstream.version, cold_ms=upstream.cold_ms)
         return same != upstream or upstream.cold_ms > known.cold_ms
 
@@ -289,7 +289,7 @@
         else:
             self._cold_until.pop(upstream.name, None)
 
-    def _log_restart(self, before: Upstream, upstream: Upstream) -> None:
+    def _report_restart(self, former: Upstream, upstream: Upstream) -> None:
         self._events.emit(
             Kind.UPSTREAM,
             "the replica restarted under its name",
@@ -299,7 +299,7 @@
             cold_ms=upstream.cold_ms,
         )
         for listener in self._restart_listeners:
-            listener(before)
+            listener(former)
 
     def _merge(self, candidate: Upstream, source: Source) -> Upstream | None:
         known = self._upstreams.get(candidate.name)
--- a/railsail/upstreams/engine.py
+++ b/railsail/upstreams/engine.py
@@ -27,8 +27,10 @@
 from railsail.upstreams.refusals import read_refusal
 from railsail.upstreams.sse import BadStream, EventSplitter, StreamEvent
 
+# Attempts at one stream: the call itself, and resumes with linear backoff.
 MAX_ATTEMPTS = 4
 RESUME_BACKOFF_SECONDS = 0.2
+# Bounds requests for load reports and cancellations.
 CONTROL_CALL_SECONDS = 2.0
 MAX_ANSWER_BYTES = 16 << 20
 EVENT_STREAM = "text/event-stream"
@@ -40,7 +42,10 @@
 
 
 class _StreamAnswer:
-    """Forward the events of one stream, each once and in order, and check that they are its own."""
+    """The receiver of one stream, across resumes.
+
+    It forwards each event once and in order, and checks that the events belong to the call.
+    """
 
     def __init__(self, call: UpstreamCall, sink: AnswerSink) -> None:
         self._call = call
@@ -99,7 +104,7 @@
         self.cost = max(self.cost, body.usage.total_tokens)
 
 
-def _usage(body: dict[str, object]) -> float:
+def _total_tokens(body: dict[str, object]) -> float:
     usage = body.get("usage")
     total = usage.get("total_tokens") if isinstance(usage, dict) else None
     return float(total) if isinstance(total, int | float) else 0.0
@@ -146,7 +151,7 @@
                 return Unknown("the answer is not JSON")
             if not isinstance(body, dict) or body.get("id") != call.request_id:
                 return Unknown("the answer bore another request's id")
-            cost = _usage(body)
+            cost = _total_tokens(body)
         sink.progress(cost)
         content_type = answer.headers.get("Content-Type", "application/json")
         await sink.start(answer.status, content_type, whole=True)
--- a/railsail/upstreams/heard.py
+++ b/railsail/upstreams/heard.py
@@ -16,7 +16,7 @@
 
 
 class HeardSigns:
-    """Record the signals in the heads of replicas' answers.
+    """The recorder of the signals in the heads of replicas' answers.
 
     A signal that a replica is leaving is broadcast to all nodes by the directory. A request for
     backoff applies to this node only.
--- a/railsail/upstreams/http.py
+++ b/railsail/upstreams/http.py
@@ -22,6 +22,7 @@
 from railsail.upstreams.streams import UpstreamStream
 
 CONNECT_TIMEOUT_SECONDS = 2.0
+# The connection to a replica that sends nothing for this long is closed.
 MAX_SILENCE_SECONDS = 60.0
 MAX_BODY_BYTES = 1 << 30
 MAX_HEADER_BYTES = 64 << 10
@@ -53,7 +54,7 @@
 
 
 def read_no_id(headers: HTTPHeaders) -> str:
-    """Return an empty id, for answers that don't name their request."""
+    """Return an empty id, for answers that do not name their request."""
     return ""
 
 
@@ -82,7 +83,7 @@
 
 
 class Receiver(Protocol):
-    """The destination of an answer; an exchange awaits it, which slows the sender down."""
+    """The destination of an answer; an exchange awaits it, so a slow one slows the replica down."""
 
     async def head(self, status: int, headers: HTTPHeaders) -> None:
         """Handle the status and the headers."""
@@ -92,7 +93,7 @@
 
 
 class Connections(Protocol):
-    """The source of the connections of exchanges, to which they are given back.
+    """Provides connections for exchanges, and gets them back afterwards.
 
     ``max_idle_seconds`` is the maximum time for which a connection is kept idle.
     """
--- a/railsail/upstreams/invalidrecords.py
+++ b/railsail/upstreams/invalidrecords.py
@@ -7,7 +7,7 @@
 
 
 class InvalidRecords:
-    """Log each invalid record once, until a valid one of the same name is received."""
+    """A log of invalid records: one line each, until a valid one of the same name is received."""
 
     def __init__(self) -> None:
         self._logged: dict[str, str] = {}
--- a/railsail/upstreams/merging.py
+++ b/railsail/upstreams/merging.py
@@ -1,4 +1,4 @@
-"""Merge the records of a replica that come from the store and from peers, in any order.
+"""Merge the records of a replica that are received from the store and from peers, in any order.
 
 A replica that is leaving stays so until it restarts. A signal therefore holds until then, whatever
 later records say: such a record may have been written before the signal, and arrive late. A restart
@@ -20,7 +20,7 @@
 
 
 class RecordMerger:
-    """Merge records, and remember what is needed to recognize restarts and outdated records.
+    """Merges records, with the state that is needed to recognize restarts and outdated records.
 
     ``monotonic`` returns seconds.
     """
--- a/railsail/upstreams/service.py
+++ b/railsail/upstreams/service.py
@@ -11,13 +11,15 @@
 from railsail.upstreams.refusals import read_refusal
 
 _SERVER_ERROR = 500
+# Longer answers are forwarded as they are received.
 MAX_HELD_BYTES = 64 << 10
 
 
 class _Answer:
-    """Hold a short answer back until it is complete; forward a long one as it is received.
+    """The receiver of an answer.
 
-    A short answer that breaks off has thus sent nothing to the caller.
+    It forwards a short answer only once that is complete, so that nothing is sent to the caller if
+    it breaks off. A long answer is forwarded as it is received.
     """
 
     def __init__(self, call: UpstreamCall, sink: AnswerSink) -> None:
--- a/railsail/upstreams/signs.py
+++ b/railsail/upstreams/signs.py
@@ -44,5 +44,5 @@
 
 
 def read_backoff(status: int, headers: HTTPHeaders, wall: float) -> float:
-    """Return the seconds of backoff that a refusal asks for, 0 for none or another answer."""
+    """Return for how many seconds of backoff an answer asks, 0 if it is no refusal or asks none."""
     return rest_seconds(status, headers, wall, MAX_BACKOFF_SECONDS)
--- a/railsail/upstreams/sse.py
+++ b/railsail/upstreams/sse.py
@@ -47,7 +47,7 @@
 
 
 class EventSplitter:
-    """Split a body, fed in chunks, into events."""
+    """A parser that splits a body, fed in chunks, into events."""
 
     def __init__(self) -> None:
         self._buffer = b""
