--- a/railsail/upstreams/connections.py
+++ b/railsail/upstreams/connections.py
@@ -194,7 +194,7 @@
 async def _probe(stream: UpstreamStream, line: bytes) -> str:
     """Probe a kept connection with ``line``, the first line of the next request.
 
-    Return why the connection cannot be used, an empty string if it can.
+    Return why the connection cannot be used, as a label of the metric; an empty string if it can.
     """
     if not stream.is_idle():
         return "closed"
--- a/railsail/upstreams/http.py
+++ b/railsail/upstreams/http.py
@@ -93,7 +93,7 @@
 
 
 class Connections(Protocol):
-    """Provides connections for exchanges, and gets them back afterwards.
+    """A provider of connections for exchanges, which gets them back afterwards.
 
     ``max_idle_seconds`` is the maximum time for which a connection is kept idle.
     """
--- a/railsail/upstreams/merging.py
+++ b/railsail/upstreams/merging.py
@@ -20,9 +20,10 @@
 
 
 class RecordMerger:
-    """Merges records, with the state that is needed to recognize restarts and outdated records.
+    """A merger of records.
 
-    ``monotonic`` returns seconds.
+    It remembers what is needed to recognize restarts and outdated records. ``monotonic`` returns
+    seconds.
     """
 
     def __init__(self, monotonic: Callable[[], float]) -> None:
--- a/railsail/upstreams/signs.py
+++ b/railsail/upstreams/signs.py
@@ -44,5 +44,5 @@
 
 
 def read_backoff(status: int, headers: HTTPHeaders, wall: float) -> float:
-    """Return for how many seconds of backoff an answer asks, 0 if it is no refusal or asks none."""
+    """Return the seconds of backoff for which an answer asks, 0 unless it refuses a request."""
     return rest_seconds(status, headers, wall, MAX_BACKOFF_SECONDS)
--- a/tests/upstreams/test_connections.py
+++ b/tests/upstreams/test_connections.py
@@ -116,7 +116,7 @@
 
     def new_pool(self, seconds: float, max_per_replica: int = 1) -> ConnectionPool:
         return ConnectionPool(
-            seconds, lambda place: place not in self.leaving, self.kernel, max_per_replica
+            seconds, lambda target: target not in self.leaving, self.kernel, max_per_replica
         )
 
     async def send(self, method: str = "POST", body: bytes = b"body", **given) -> Collector:
--- a/tests/upstreams/test_directory.py
+++ b/tests/upstreams/test_directory.py
@@ -40,7 +40,7 @@
     def count(self) -> None:
         self.changes += 1
 
-    def see(self, version: int, name: str = "r", **changes) -> None:
+    def receive_record(self, version: int, name: str = "r", **changes) -> None:
         self.directory.seen(WatchEvent("upstream", name, version, SPEC | changes))
 
 
@@ -48,14 +48,14 @@
     """Programs other than replicas may write records, which may be invalid."""
 
     def test_known_replica_with_an_invalid_record_is_gone(self):
-        self.see(1)
+        self.receive_record(1)
         self.directory.seen(WatchEvent("upstream", "r", 2, {}))
         self.assertEqual(self.directory.get("r").listed, Listed.GONE)
 
     def test_replica_gets_work_again_after_a_valid_record(self):
-        self.see(1)
+        self.receive_record(1)
         self.directory.seen(WatchEvent("upstream", "r", 2, {}))
-        self.see(3)
+        self.receive_record(3)
         self.assertTrue(self.directory.takes_work(self.directory.get("r")))
 
     def test_invalid_record_in_a_list_does_not_hide_the_others(self):
@@ -74,21 +74,21 @@
 class RestartTests(DirectoryTestCase):
     def test_listeners_are_notified_of_a_restart(self):
         restarted = []
-        self.directory.on_rebirth(lambda before: restarted.append(before.name))
-        self.see(1, born=1000)
-        self.see(2, born=1000)
-        self.see(3, born=2000)
+        self.directory.on_rebirth(lambda former: restarted.append(former.name))
+        self.receive_record(1, born=1000)
+        self.receive_record(2, born=1000)
+        self.receive_record(3, born=2000)
         self.assertEqual(restarted, ["r"])
 
     def test_first_record_with_a_start_time_is_no_restart(self):
         restarted = []
-        self.directory.on_rebirth(lambda before: restarted.append(before.name))
-        self.see(1)
-        self.see(2, born=2000)
+        self.directory.on_rebirth(lambda former: restarted.append(former.name))
+        self.receive_record(1)
+        self.receive_record(2, born=2000)
         self.assertEqual(restarted, [])
 
     def test_peers_receive_the_start_time(self):
-        self.see(1, born=1000)
+        self.receive_record(1, born=1000)
         other = self.make([])
         other.received("n", self.directory.news())
         self.assertEqual(other.get("r").born, 1000)
@@ -111,99 +111,99 @@
         for born in (0, BORN):
             with self.subTest(born=born):
                 self.directory = self.make(self.broadcasts)
-                self.see(1, born=born)
+                self.receive_record(1, born=born)
                 self.signal_leaving()
-                self.see(2, born=born, slots=9)
+                self.receive_record(2, born=born, slots=9)
                 self.assertTrue(self.is_leaving())
 
     def test_record_that_expired_and_was_written_again_does_not_clear_the_signal(self):
-        self.see(1)
+        self.receive_record(1)
         self.signal_leaving()
         self.directory.seen(WatchEvent("upstream", "r", 2, None))
-        self.see(3)
+        self.receive_record(3)
         self.assertTrue(self.is_leaving())
 
     def test_replica_that_restarts_gets_work(self):
-        self.see(1, born=BORN)
+        self.receive_record(1, born=BORN)
         self.signal_leaving()
-        self.see(2, born=BORN + 5000)
+        self.receive_record(2, born=BORN + 5000)
         self.assertFalse(self.is_leaving())
 
     def test_replica_without_a_start_time_gets_work_at_another_endpoint(self):
-        self.see(1)
+        self.receive_record(1)
         self.signal_leaving()
-        self.see(2, endpoint="127.0.0.1:2")
+        self.receive_record(2, endpoint="127.0.0.1:2")
         self.assertFalse(self.is_leaving())
 
     def test_record_from_before_a_restart_in_a_restored_store_is_ignored(self):
         restarted = []
-        self.directory.on_rebirth(lambda before: restarted.append(before.name))
-        self.see(1, born=BORN)
-        self.see(2, born=BORN + 5000, slots=9)
+        self.directory.on_rebirth(lambda former: restarted.append(former.name))
+        self.receive_record(1, born=BORN)
+        self.receive_record(2, born=BORN + 5000, slots=9)
         self.assertEqual(restarted, ["r"])
-        self.see(to_version(1, 1), born=BORN)
+        self.receive_record(to_version(1, 1), born=BORN)
         self.assertEqual((restarted, self.directory.get("r").slots), (["r"], 9))
-        self.see(to_version(1, 2), born=BORN + 5000, slots=8)
+        self.receive_record(to_version(1, 2), born=BORN + 5000, slots=8)
         self.assertEqual((restarted, self.directory.get("r").slots), (["r"], 8))
 
     def test_replica_that_was_also_listed_as_leaving_gets_work_long_after(self):
-        self.see(1)
-        self.see(2, state="leaving")
+        self.receive_record(1)
+        self.receive_record(2, state="leaving")
         self.signal_leaving()
         self.now += MAX_LEAVING_SECONDS + 1
-        self.see(3)
+        self.receive_record(3)
         self.assertFalse(self.is_leaving())
 
     def test_restored_store_does_not_bring_a_leaving_replica_back(self):
         for gone in (False, True):
             with self.subTest(gone=gone):
                 self.directory = self.make(self.broadcasts)
-                self.see(1, state="leaving")
+                self.receive_record(1, state="leaving")
                 if gone:
                     self.directory.seen(WatchEvent("upstream", "r", 2, None))
-                self.see(to_version(1, 1))
+                self.receive_record(to_version(1, 1))
                 self.assertTrue(self.is_leaving())
 
     def test_replica_listed_as_live_again_without_a_restored_store_gets_work(self):
-        self.see(1, state="leaving")
-        self.see(2)
+        self.receive_record(1, state="leaving")
+        self.receive_record(2)
         self.assertFalse(self.is_leaving())
 
     def test_replica_without_a_start_time_gets_work_long_after(self):
-        self.see(1)
+        self.receive_record(1)
         self.signal_leaving()
         self.now += MAX_LEAVING_SECONDS + 1
         self.assertTrue(self.is_leaving())
-        self.see(2)
+        self.receive_record(2)
         self.assertFalse(self.is_leaving())
 
     def test_signal_from_a_node_whose_clock_is_behind_counts(self):
-        self.see(1, born=BORN)
+        self.receive_record(1, born=BORN)
         self.directory.sign_leaving("r", Source.ANSWER, BORN / 1000 - 60)
         self.assertTrue(self.is_leaving())
 
     def test_peers_receive_the_signal_and_the_restart(self):
-        self.see(1, born=BORN)
+        self.receive_record(1, born=BORN)
         self.signal_leaving()
         other = self.make([])
         self.receive(other, self.broadcasts)
         self.assertTrue(self.is_leaving(other))
-        self.see(2, born=BORN + 5000)
+        self.receive_record(2, born=BORN + 5000)
         self.receive(other, self.broadcasts[-1:])
         self.assertFalse(self.is_leaving(other))
         self.assertEqual(other.digest, self.directory.digest)
 
     def test_late_signal_from_before_a_restart_does_not_count(self):
-        self.see(1, born=BORN)
+        self.receive_record(1, born=BORN)
         other = self.make(replies := [])
         self.receive(other, self.broadcasts)
-        self.see(2, born=BORN + 5000)
+        self.receive_record(2, born=BORN + 5000)
         other.sign_leaving("r", Source.MISDIRECTED, WALL + 60)
         self.directory.received("n", replies[-1])
         self.assertFalse(self.is_leaving())
 
     def test_nodes_that_receive_a_signal_and_a_restart_in_any_order_agree(self):
-        self.see(1, born=BORN)
+        self.receive_record(1, born=BORN)
         other = self.make(replies := [])
         self.receive(other, self.broadcasts)
         self.signal_leaving()
@@ -215,21 +215,21 @@
         self.assertEqual(other.digest, self.directory.digest)
 
     def test_signal_in_many_answers_is_broadcast_once(self):
-        self.see(1)
+        self.receive_record(1)
         before = len(self.broadcasts)
         for _ in range(100):
             self.signal_leaving()
         self.assertEqual(len(self.broadcasts) - before, 1)
 
     def test_event_has_source_and_age_of_the_signal(self):
-        self.see(1)
+        self.receive_record(1)
         self.signal_leaving()
         facts = [e.facts for e in self.events if e.kind is Kind.UPSTREAM][-1]
         self.assertEqual((facts["state"], facts["source"]), ("leaving", "answer"))
         self.assertEqual(facts["sign_age_ms"], 2000)
 
     def test_load_report_can_clear_its_own_signal(self):
-        self.see(1)
+        self.receive_record(1)
         self.directory.sign_leaving("r", Source.LOAD, WALL)
         self.directory.withdraw("r", Source.LOAD, WALL + 1)
         self.assertFalse(self.is_leaving())
@@ -237,26 +237,26 @@
 
 class ColdTests(DirectoryTestCase):
     def test_cold_time_counts_from_when_the_record_was_received(self):
-        self.see(1, cold=3000)
+        self.receive_record(1, cold=3000)
         self.assertAlmostEqual(self.directory.cold_seconds("r", 3.0), 3.0)
         self.now += 2.5
         self.assertAlmostEqual(self.directory.cold_seconds("r", 3.0), 0.5)
 
     def test_replica_without_a_cold_time_is_not_cold(self):
-        self.see(1)
+        self.receive_record(1)
         self.assertLessEqual(self.directory.cold_seconds("r", 3.0), 0)
 
     def test_listeners_are_not_notified_of_a_cold_time_that_counts_down(self):
-        self.see(1, cold=3000)
+        self.receive_record(1, cold=3000)
         before = self.changes
-        self.see(2, cold=1800)
-        self.see(3, cold=0)
+        self.receive_record(2, cold=1800)
+        self.receive_record(3, cold=0)
         self.assertEqual(self.changes, before)
-        self.see(4, cold=3000)
+        self.receive_record(4, cold=3000)
         self.assertEqual(self.changes, before + 1)
 
     def test_replicas_are_cold_after_an_evacuation(self):
-        self.see(1)
+        self.receive_record(1)
         evacuations = self.directory.evacuations
         evacuations.seen(WatchEvent("evacuation", "a", 2, {}))
         evacuations.seen(WatchEvent("evacuation", "a", 3, None))
@@ -267,7 +267,7 @@
 class EvacuationTests(DirectoryTestCase):
     def setUp(self):
         super().setUp()
-        self.see(1)
+        self.receive_record(1)
         self.evacuations = self.directory.evacuations
 
     def takes_work(self) -> bool:
@@ -281,7 +281,7 @@
         self.evacuate(2)
         self.assertFalse(self.takes_work())
         self.assertEqual(self.changes, before + 1)
-        self.see(3, name="late")
+        self.receive_record(3, name="late")
         self.assertFalse(self.directory.takes_work(self.directory.get("late")))
 
     def test_replicas_get_work_again_after_an_evacuation(self):
--- a/tests/upstreams/test_http.py
+++ b/tests/upstreams/test_http.py
@@ -39,14 +39,14 @@
             await exchange(request, Collector())
 
     async def test_incomplete_answers_are_cut_off(self):
-        bad = {
+        answers = {
             "nothing": b"",
             "short": b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi",
             "cut chunks": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n",
             "no length": b"HTTP/1.1 200 OK\r\n\r\nhi",
             "no HTTP": b"good day\r\n\r\n",
         }
-        for name, data in bad.items():
+        for name, data in answers.items():
             with self.subTest(name), self.assertRaises(CutOff):
                 await self.answer(data)
 
--- a/tests/upstreams/test_idle.py
+++ b/tests/upstreams/test_idle.py
@@ -22,24 +22,24 @@
         taken = [self.idle.take(ONE) for _ in range(3)]
         self.assertEqual(taken, ["b", "a", None])
 
-    def test_oldest_of_a_full_place_is_removed(self):
+    def test_oldest_connection_of_a_replica_is_removed_at_its_limit(self):
         self.idle.put(ONE, "a")
         self.idle.put(ONE, "b")
         self.assertEqual(self.idle.put(ONE, "c"), ["a"])
         self.assertEqual(len(self.idle), 2)
 
-    def test_oldest_of_all_is_removed_at_the_limit(self):
-        for place, item in ((ONE, "a"), (TWO, "b"), (TWO, "c")):
-            self.idle.put(place, item)
+    def test_oldest_connection_of_all_is_removed_at_the_total_limit(self):
+        for target, item in ((ONE, "a"), (TWO, "b"), (TWO, "c")):
+            self.idle.put(target, item)
         self.assertEqual(self.idle.put(ONE, "d"), ["a"])
         self.assertEqual(self.idle.take(ONE), "d")
 
-    def test_another_replica_or_endpoint_is_another_place(self):
+    def test_connection_is_not_taken_for_another_replica_or_endpoint(self):
         self.idle.put(ONE, "a")
         self.assertIsNone(self.idle.take(Place("two", ONE.endpoint)))
         self.assertIsNone(self.idle.take(Place("one", TWO.endpoint)))
 
-    def test_dropped_place_is_empty(self):
+    def test_dropped_replica_has_no_connections(self):
         self.idle.put(ONE, "a")
         self.idle.put(TWO, "b")
         self.assertEqual((self.idle.drop(ONE), self.idle.drop(ONE)), (["a"], []))
