--- a/railsail/platform/http.py
+++ b/railsail/platform/http.py
@@ -1,4 +1,4 @@
-"""The headers of the platform's clients and replicas."""
+"""The headers that the platform's callers and replicas send and expect."""
 
 import math
 import zlib
@@ -15,26 +15,31 @@
     RoutedRequest,
 )
 from railsail.routing.protocol import ROUTE_PROTOCOLS
-from railsail.upstreams.signs import AnswerSigns, read_rest
+from railsail.upstreams.signs import AnswerSigns, read_backoff
 
 REQUEST_ID = "Request-Id"
+# The time that is left, in milliseconds.
 DEADLINE = "Deadline-Ms"
 LAST_EVENT = "Last-Event-Id"
+# The tokens of the prompt and the maximum of its output, separated by a comma.
 TOKENS = "Token-Count"
+# The parts of a prompt from its start, each as ``digest:tokens``, separated by commas.
 PARTS = "Prompt-Prefix"
+# The expected output, in tokens.
 LENGTH_HINT = "Length-Hint"
 WORKSPACE = "Tenant"
+# The replica that is to run a request. Another replica at its address answers 421.
 REPLICA = "Expect-Instance"
 SIGNATURE = "Response-Seal"
 NOT_RUN = "Not-Run"
-# In answers of any kind: the replica that gives them is going to end.
+# In answers of any kind: the replica that sent it is leaving.
 LEAVING = "Server-Leaving"
 _NOT_LEAVING = ("", "0")
 KEY = "Authorization"
 _MISDIRECTED = 421
 _BEARER = "bearer "
-# Headers that belong to one connection (RFC 9110, section 7.6.1), and the length of a body, which
-# is written anew.
+# Headers that apply to one connection only (RFC 9110, section 7.6.1), and the length of the body,
+# which is set again for the next one.
 _HOP_BY_HOP = frozenset(
     {
         "Connection",
@@ -49,9 +54,9 @@
         "Upgrade",
     }
 )
-# Orders to a replica that only the fleet may give. A caller that sent one would keep slots and
-# memory of a replica, have memory copied, or make the replica turn its request away.
-_ORDERS = frozenset(
+# Headers that control a replica and that only the fleet may send. With one of them, a caller could
+# occupy slots and memory of a replica, make it copy memory, or make it refuse the request.
+_REPLICA_CONTROLS = frozenset(
     {
         REPLICA,
         "Expect-Version",
@@ -63,47 +68,53 @@
         "Wait-Ms",
     }
 )
-# A caller that expects a word before it sends its body has sent it by then.
-_TO_THIS_NODE = frozenset({"Expect"})
-# What replicas say about themselves in answers means nothing in a request.
-_SAID_BY_REPLICAS = frozenset({SIGNATURE, NOT_RUN, LEAVING, "Instance-Id", "Weight-Versions"})
-_SET_BY_FLEET = _ORDERS | _SAID_BY_REPLICAS | {KEY, WORKSPACE, DEADLINE, "Expect"}
+# ``Expect: 100-continue`` is for this node only: the body has been received when the request is
+# forwarded.
+_FOR_THIS_NODE = frozenset({"Expect"})
+# Headers of answers by which replicas describe themselves; they have no meaning in a request.
+_SENT_BY_REPLICAS = frozenset({SIGNATURE, NOT_RUN, LEAVING, "Instance-Id", "Weight-Versions"})
+_DROPPED_FROM_REQUESTS = (
+    _REPLICA_CONTROLS | _SENT_BY_REPLICAS | {KEY, WORKSPACE, DEADLINE, "Expect"}
+)
 
 
 @ROUTE_PROTOCOLS.register("prepared")
 class PlatformProtocol:
-    """Read and write the platform's headers."""
+    """The route protocol of the platform."""
 
     def read_request(
         self, method: str, target: str, headers: HTTPHeaders, body: bytes
     ) -> RoutedRequest:
-        """Return the request; raise ``ValueError`` with what is wrong."""
+        """Return the parsed request; raise ``ValueError`` if a header is invalid."""
         return RoutedRequest(
             id=headers.get(REQUEST_ID, ""),
             method=method,
             host=headers.get("Host", ""),
             target=target,
             path=target.partition("?")[0],
-            headers=_end_to_end(headers, _SET_BY_FLEET),
+            headers=_end_to_end(headers, _DROPPED_FROM_REQUESTS),
             body=body,
-            key=_key(headers.get(KEY, "")),
-            deadline=_number(headers.get(DEADLINE, ""), DEADLINE) / 1000,
+            key=_bearer_key(headers.get(KEY, "")),
+            deadline=_parse_number(headers.get(DEADLINE, ""), DEADLINE) / 1000,
             last_event=headers.get(LAST_EVENT, ""),
-            prompt=_prompt(headers),
+            prompt=_parse_prompt(headers),
         )
 
     def read_origin(self, headers: HTTPHeaders) -> Origin:
-        """Return who sent a request, without reading the rest of it."""
+        """Return the origin of a request, without parsing the rest of it."""
         return Origin(
             headers.get(REQUEST_ID, ""),
-            _key(headers.get(KEY, "")),
+            _bearer_key(headers.get(KEY, "")),
             headers.get("Host", ""),
             _deadline_ms(headers) / 1000,
         )
 
     def forward_headers(self, headers: HTTPHeaders, spent: float) -> HTTPHeaders:
-        """Return the headers with which a request is handed on to another node."""
-        kept = _end_to_end(headers, _TO_THIS_NODE)
+        """Return the headers with which a request is forwarded to another node.
+
+        ``spent`` are the seconds since it was received, by which its deadline is shortened.
+        """
+        kept = _end_to_end(headers, _FOR_THIS_NODE)
         deadline = _deadline_ms(kept)
         if deadline:
             kept[DEADLINE] = str(max(1, math.floor(deadline - spent * 1000)))
@@ -121,7 +132,7 @@
         return headers
 
     def read_answer(self, status: int, headers: HTTPHeaders) -> AnswerHead:
-        """Return what the head of a replica's answer says."""
+        """Return the parsed head of a replica's answer."""
         return AnswerHead(
             status,
             _end_to_end(headers, frozenset()),
@@ -133,16 +144,19 @@
         )
 
     def answered_id(self, headers: HTTPHeaders) -> str:
-        """Return the id of the request that an answer belongs to, nothing if it does not say."""
+        """Return the id of the request that an answer belongs to, empty if it has none."""
         return headers.get(REQUEST_ID, "")
 
     def read_signs(self, status: int, headers: HTTPHeaders, wall: float) -> AnswerSigns:
-        """Return what the head of a replica's answer says of the replica itself."""
+        """Return the signals about the replica itself in the head of its answer."""
         leaving = headers.get(LEAVING, "").strip() not in _NOT_LEAVING
-        return AnswerSigns(leaving, read_rest(status, headers, wall))
+        return AnswerSigns(leaving, read_backoff(status, headers, wall))
 
     def own_headers(self, request_id: str, retry_after: float | None) -> HTTPHeaders:
-        """Return the headers of an answer of the fleet's own."""
+        """Return the headers of an answer that the fleet gives itself.
+
+        ``retry_after`` is in seconds.
+        """
         headers = HTTPHeaders({"Content-Type": "text/plain"})
         if request_id:
             headers[REQUEST_ID] = request_id
@@ -152,49 +166,51 @@
 
 
 def _deadline_ms(headers: HTTPHeaders) -> float:
-    """Return the deadline, 0 for none or a bad one: that is told where all of it is read."""
+    """Return the deadline, 0 for none or an invalid one, which ``read_request`` refuses."""
     try:
-        return _number(headers.get(DEADLINE, ""), DEADLINE)
+        return _parse_number(headers.get(DEADLINE, ""), DEADLINE)
     except ValueError:
         return 0.0
 
 
 def _end_to_end(headers: HTTPHeaders, dropped: frozenset[str]) -> HTTPHeaders:
-    named = {word.strip().title() for word in headers.get("Connection", "").split(",")}
+    connection_options = {
+        option.strip().title() for option in headers.get("Connection", "").split(",")
+    }
     kept = HTTPHeaders()
     for name, value in headers.get_all():
-        if name in _HOP_BY_HOP or name in dropped or name in named - {REQUEST_ID}:
+        if name in _HOP_BY_HOP or name in dropped or name in connection_options - {REQUEST_ID}:
             continue
         kept.add(name, value)
     return kept
 
 
-def _key(authorization: str) -> str:
+def _bearer_key(authorization: str) -> str:
     if not authorization.lower().startswith(_BEARER):
         return ""
     return authorization[len(_BEARER) :].strip()
 
 
-def _prompt(headers: HTTPHeaders) -> Prompt:
+def _parse_prompt(headers: HTTPHeaders) -> Prompt:
     counts = headers.get(TOKENS, "")
     if not counts:
         return Prompt()
-    tokens, _, most = counts.partition(",")
+    tokens, _, max_output = counts.partition(",")
     hint = headers.get(LENGTH_HINT, "")
     return Prompt(
-        int(_number(tokens, TOKENS)),
-        int(_number(most, TOKENS)),
-        int(_number(hint, LENGTH_HINT)),
-        tuple(_part(word) for word in headers.get(PARTS, "").split(",") if word.strip()),
+        int(_parse_number(tokens, TOKENS)),
+        int(_parse_number(max_output, TOKENS)),
+        int(_parse_number(hint, LENGTH_HINT)),
+        tuple(_parse_part(part) for part in headers.get(PARTS, "").split(",") if part.strip()),
     )
 
 
-def _part(word: str) -> PromptPart:
-    digest, _, tokens = word.strip().partition(":")
-    return PromptPart(zlib.crc32(digest.encode()), int(_number(tokens, PARTS)))
+def _parse_part(part: str) -> PromptPart:
+    digest, _, tokens = part.strip().partition(":")
+    return PromptPart(zlib.crc32(digest.encode()), int(_parse_number(tokens, PARTS)))
 
 
-def _number(text: str, name: str) -> float:
+def _parse_number(text: str, name: str) -> float:
     text = text.strip()
     if not text:
         return 0.0
--- a/railsail/platform/store.py
+++ b/railsail/platform/store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's metadata store."""
+"""A client of the platform's object store."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -20,18 +20,20 @@
     replica_value,
     rollout_value,
 )
-from railsail.platform.salvage import salvage
+from railsail.platform.recovery import recover_objects
 from railsail.store.base import STORES, Listing, StoredObject, WatchEvent, WatchResult
 from railsail.store.calls import GONE, NOT_FOUND, StoreCalls
 from railsail.store.versions import era_of, revision_of, to_version
 
 CALL_SECONDS = 2.0
-MOST_BYTES = 64 << 20
-MOST_PAGES = 1000
-# In all answers, once the store has come back from an older copy: how often it did.
-ERA = "Store-Era"
-# Versions are whole numbers below 2 ** 62, of which 2 ** 40 are revisions.
-MOST_ERA_DIGITS = 6
+MAX_ANSWER_BYTES = 64 << 20
+MAX_PAGES = 1000
+# The store's generation: how often the store was restored from an older copy. The header is in all
+# answers once that has happened.
+GENERATION_HEADER = "Store-Era"
+# Versions are integers below 2 ** 62. The lower 40 bits hold the revision, which leaves 22 bits for
+# the generation.
+MAX_GENERATION_DIGITS = 6
 
 
 def _plain(spec: bytes, status: bytes) -> dict[str, object]:
@@ -46,16 +48,18 @@
     return replica_value(spec)
 
 
-def _nothing(spec: bytes, status: bytes) -> dict[str, object]:
-    """Return no fields, whatever ``spec`` holds: that there is an object says all."""
+def _no_fields(spec: bytes, status: bytes) -> dict[str, object]:
+    """Return no fields, since objects of this kind only matter by their existence."""
     return {}
 
 
 @dataclass(frozen=True)
 class _Kind:
-    """A kind of the platform: its name, how spec and status are read, and the one object known.
+    """A kind of objects of the platform.
 
-    Of ``platform_name`` the product speaks as ``product_name``; other names are the same in both.
+    ``path`` is its name in paths. ``read`` decodes spec and status of an object. The object that
+    the platform calls ``platform_name`` is called ``product_name`` in railsail; the names of all
+    other objects are the same in both.
     """
 
     path: str
@@ -70,11 +74,11 @@
         return self.platform_name if name == self.product_name else name
 
 
-# By the product's kinds.
+# The platform's kinds, by railsail's names for them.
 _KINDS = {
     "configuration": _Kind("config", _configuration, "main", "head"),
     "upstream": _Kind("servers", _replica),
-    "evacuation": _Kind("evacuations", _nothing),
+    "evacuation": _Kind("evacuations", _no_fields),
     "rollout": _Kind("rollouts", rollout_value),
     "rollout-ledger": _Kind("railsail-rollouts", _plain),
     "node": _Kind("railsail-nodes", _plain),
@@ -84,16 +88,16 @@
 
 @STORES.register("prepared")
 class PlatformStore:
-    """Speak to the platform's store; each call is made once, and the caller decides on more."""
+    """A client of the platform's store; it makes each call once and leaves retries to callers."""
 
-    # One watch of this store is about one kind.
+    # A watch of this store covers a single kind.
     watches_many = False
 
     def __init__(self, endpoints: Sequence[Endpoint], metrics: Metrics, rng: random.Random) -> None:
         self._base = f"http://{endpoints[0]}"
-        # The latest era that an answer told.
-        self._known_era = 0
-        self._calls = StoreCalls(metrics, CALL_SECONDS, MOST_BYTES)
+        # The latest generation of the store in any answer.
+        self._latest_generation = 0
+        self._calls = StoreCalls(metrics, CALL_SECONDS, MAX_ANSWER_BYTES)
 
     async def get(self, kind: str, name: str) -> StoredObject | None:
         """Return an object, or ``None`` if there is none."""
@@ -101,35 +105,37 @@
         response = await self._call("get", "GET", path)
         if response.code == NOT_FOUND:
             return None
-        return _object(kind, _decode(response, StoredItem), _era(response))
+        return _object(kind, _decode(response, StoredItem), _generation(response))
 
     async def list(self, kind: str) -> Listing:
         """Return all objects of ``kind``."""
         objects: list[StoredObject] = []
         after = ""
         version: int | None = None
-        era = 0
-        for _ in range(MOST_PAGES):
+        generation = 0
+        for _ in range(MAX_PAGES):
+            # Despite its name, the parameter takes the name of the last object, not a revision.
             query = f"?since_rev={quote(after)}" if after else ""
             response = await self._call("list", "GET", _path(kind) + query)
-            if after and _era(response) != era:
+            if after and _generation(response) != generation:
                 raise StoreUnavailable("the store came back from a copy while it was listed")
-            era = _era(response)
+            generation = _generation(response)
             if response.code == NOT_FOUND:
-                return Listing(version or to_version(era, 0), tuple(objects))
+                return Listing(version or to_version(generation, 0), tuple(objects))
             page = _decode_many(response, ListPage)
-            # What changed while later pages were read is told by a watch from the first one on.
-            at = to_version(era, page.at)
+            # The pages are read one after the other. A watch from the version of the first one on
+            # returns the changes that were made in the meantime.
+            at = to_version(generation, page.at)
             version = at if version is None else min(version, at)
-            objects += [_object(kind, item, era) for item in page.items]
+            objects += [_object(kind, item, generation) for item in page.items]
             if not page.more or not page.items:
                 break
             after = page.items[-1].metadata.name
         return Listing(version or 0, tuple(objects))
 
     async def put(self, kind: str, name: str, value: dict[str, object], expected: int) -> int:
-        """Write an object if its version is ``expected``, and return the new version."""
-        self._check_era(expected)
+        """Write an object if its version is ``expected``, 0 for none; return the new version."""
+        self._check_generation(expected)
         metadata: dict[str, object] = {"name": name}
         body = {"metadata": metadata, "spec": value}
         if expected:
@@ -138,38 +144,38 @@
         else:
             path, method = _path(kind), "POST"
         response = await self._call("put", method, path, msgspec.json.encode(body))
-        return to_version(_era(response), _decode(response, StoredItem).metadata.revision)
+        return to_version(_generation(response), _decode(response, StoredItem).metadata.revision)
 
     async def put_status(
         self, kind: str, name: str, value: dict[str, object], expected: int
     ) -> int:
-        """Replace the status of an object if its version is ``expected``; return the new one."""
-        self._check_era(expected)
+        """Replace an object's status if its version is ``expected``; return the new version."""
+        self._check_generation(expected)
         body = {"metadata": {"name": name, "revision": revision_of(expected)}, "status": value}
         path = f"{_path(kind)}/{quote(name)}/status"
         response = await self._call("put", "PUT", path, msgspec.json.encode(body))
-        return to_version(_era(response), _decode(response, StoredItem).metadata.revision)
+        return to_version(_generation(response), _decode(response, StoredItem).metadata.revision)
 
     async def delete(self, kind: str, name: str, expected: int) -> None:
         """Delete an object if its version is ``expected``."""
-        self._check_era(expected)
+        self._check_generation(expected)
         path = f"{_path(kind)}/{quote(name)}?revision={revision_of(expected)}"
         await self._call("delete", "DELETE", path)
 
     async def watch(self, kinds: tuple[str, ...], since: int, seconds: float) -> WatchResult:
-        """Wait at most ``seconds`` for changes of the one kind of ``kinds`` after ``since``."""
+        """Wait at most ``seconds`` for changes after ``since``; ``kinds`` has exactly one kind."""
         (kind,) = kinds
         path = f"{_path(kind)}?watch={revision_of(since)}&wait_ms={int(seconds * 1000)}"
         response = await self._call("watch", "GET", path, waits=seconds)
         if response.code in (GONE, NOT_FOUND):
             return WatchResult(since, (), expired=True)
-        era = _era(response)
-        if era != era_of(since):
-            # The store knows the revision again, or for the first time, as that of another change.
+        generation = _generation(response)
+        if generation != era_of(since):
+            # In this generation, the revision of ``since`` may belong to another change.
             return WatchResult(since, (), expired=True)
         changes = _decode_many(response, Changes)
-        events = [_event(kind, change.object, change.gone, era) for change in changes.events]
-        return WatchResult(to_version(era, changes.at), tuple(events))
+        events = [_event(kind, change.object, change.gone, generation) for change in changes.events]
+        return WatchResult(to_version(generation, changes.at), tuple(events))
 
     async def _call(
         self,
@@ -181,15 +187,15 @@
     ) -> HTTPResponse:
         url = f"{self._base}{path}"
         response = await self._calls.call(operation, method, url, body, waits)
-        self._known_era = max(self._known_era, _era(response))
+        self._latest_generation = max(self._latest_generation, _generation(response))
         return response
 
-    def _check_era(self, expected: int) -> None:
-        """Raise ``StoreConflict`` if ``expected`` was read before the store came back from a copy.
+    def _check_generation(self, expected: int) -> None:
+        """Raise ``StoreConflict`` if ``expected`` was read before the store was last restored.
 
-        Its revision may have been given out again, to a change that nobody here has seen.
+        The store may have given the same revision to another change, which this node has not seen.
         """
-        if expected and era_of(expected) < self._known_era:
+        if expected and era_of(expected) < self._latest_generation:
             raise StoreConflict("the version expected is of an earlier era")
 
 
@@ -197,12 +203,12 @@
     return f"/objects/{_KINDS[kind].path}"
 
 
-def _era(response: HTTPResponse) -> int:
-    """Return how often the store has come back from a copy, 0 where it does not say so."""
-    text = response.headers.get(ERA, "").strip()
+def _generation(response: HTTPResponse) -> int:
+    """Return the generation of the store, 0 if it was never restored from a copy."""
+    text = response.headers.get(GENERATION_HEADER, "").strip()
     if not text:
         return 0
-    if not text.isascii() or not text.isdigit() or len(text) > MOST_ERA_DIGITS:
+    if not text.isascii() or not text.isdigit() or len(text) > MAX_GENERATION_DIGITS:
         raise StoreUnavailable(f"the store's era cannot be read: {text!r}")
     return int(text)
 
@@ -215,18 +221,18 @@
 
 
 def _decode_many(response: HTTPResponse, shape: type):
-    """Return an answer about many objects, also where one of them makes it unreadable."""
+    """Return an answer with many objects, also if one of them has invalid bytes."""
     try:
         return msgspec.json.decode(response.body, type=shape)
     except (msgspec.DecodeError, UnicodeDecodeError) as problem:
-        get_logger().warning("the store's answer is searched for objects", reason=str(problem))
+        get_logger().warning("invalid answer of the store: recovering objects", reason=str(problem))
     try:
-        return msgspec.json.decode(salvage(response.body), type=shape)
+        return msgspec.json.decode(recover_objects(response.body), type=shape)
     except msgspec.DecodeError as problem:
         raise StoreUnavailable(f"the store's answer cannot be read: {problem}") from None
 
 
-def _object(kind: str, item: StoredItem, era: int) -> StoredObject:
+def _object(kind: str, item: StoredItem, generation: int) -> StoredObject:
     known = _KINDS[kind]
     name = known.to_product(item.metadata.name)
     try:
@@ -234,14 +240,14 @@
     except msgspec.DecodeError as problem:
         if known.product_name:
             raise StoreUnavailable(f"{kind}/{name} cannot be read: {problem}") from None
-        # One of many that cannot be read must not hide the others; its listener refuses it.
+        # An invalid object must not hide the others. The listener to its kind refuses empty values.
         value = {}
-    return StoredObject(kind, name, to_version(era, item.metadata.revision), value)
+    return StoredObject(kind, name, to_version(generation, item.metadata.revision), value)
 
 
-def _event(kind: str, item: StoredItem, gone: bool, era: int) -> WatchEvent:
+def _event(kind: str, item: StoredItem, gone: bool, generation: int) -> WatchEvent:
     if gone:
         name = _KINDS[kind].to_product(item.metadata.name)
-        return WatchEvent(kind, name, to_version(era, item.metadata.revision), None)
-    stored = _object(kind, item, era)
+        return WatchEvent(kind, name, to_version(generation, item.metadata.revision), None)
+    stored = _object(kind, item, generation)
     return WatchEvent(kind, stored.name, stored.version, stored.value)
--- a/railsail/upstreams/connections.py
+++ b/railsail/upstreams/connections.py
@@ -1,9 +1,10 @@
-"""Connections to replicas that are kept between requests: a connection pool for each replica.
+"""A pool of keep-alive connections to replicas.
 
-A replica may forget an idle connection without a word, and resets what is next sent on it; whether
-a request ran is then not known. So the first line of a request goes ahead, which no replica can
-run. The rest follows when the line was acknowledged and nothing else came. If that fails, no
-request was sent, and it goes on a new connection. This takes a round trip, as connecting does.
+A replica may drop an idle connection without notice and reset it when the next request arrives. It
+is then not known whether that request ran. A kept connection is therefore probed with the first
+line of the request, which no replica can run on its own. The rest of the request follows once the
+line was acknowledged and nothing else was received. If the probe fails, no request was sent, and
+the request uses a new connection. The probe takes a round trip, as connecting does.
 """
 
 import asyncio
@@ -12,21 +13,24 @@
 from railsail.core.events import Fact, Kind
 from railsail.core.kernel import Kernel
 from railsail.upstreams.http import CutOff, HttpRequest, connect, first_line
-from railsail.upstreams.idle import MOST_AT_PLACE, IdleConnections, Place
+from railsail.upstreams.idle import MAX_IDLE_PER_REPLICA, IdleConnections, Place
 from railsail.upstreams.streams import UpstreamStream
 
-# A connection is looked at after the time that it took to connect and a little more, and then less
-# and less often. The replica's process may reset it after its system has acknowledged the line.
-SETTLE_SECONDS = 0.003
-MOST_PAUSE_SECONDS = 0.05
-# Acknowledgements may be held back for 40 ms.
-MOST_CHECK_SECONDS = 0.1
+# A probe is first checked after the time that the connection took to connect plus this margin, then
+# with exponential backoff. The margin leaves the replica's process the time to reset the connection
+# after its operating system has acknowledged the line.
+PROBE_MARGIN_SECONDS = 0.003
+# Bounds the time to the first check.
+MAX_FIRST_CHECK_SECONDS = 0.05
+# Bounds the whole probe. An operating system may delay an acknowledgement by 40 ms.
+MAX_PROBE_SECONDS = 0.1
 
 
 class ConnectionPool:
-    """Keep idle connections to replicas for at most ``seconds``.
+    """A pool of idle connections to replicas, which are kept for at most ``seconds``.
 
-    ``takes_work`` says whether requests may be sent to a place.
+    ``takes_work`` returns whether requests may be sent to a replica at its endpoint. At most
+    ``max_per_replica`` idle connections are kept for each of them.
     """
 
     def __init__(
@@ -34,37 +38,38 @@
         seconds: float,
         takes_work: Callable[[Place], bool],
         kernel: Kernel,
-        most_at_place: int = MOST_AT_PLACE,
+        max_per_replica: int = MAX_IDLE_PER_REPLICA,
     ) -> None:
-        self.most_idle_seconds = seconds
+        self.max_idle_seconds = seconds
         self._takes_work = takes_work
         self._clock = kernel.clock
         self._events = kernel.events
         self._metrics = kernel.metrics
-        self._idle: IdleConnections[UpstreamStream] = IdleConnections(most_at_place)
+        self._idle: IdleConnections[UpstreamStream] = IdleConnections(max_per_replica)
         self._expiries: dict[UpstreamStream, asyncio.TimerHandle] = {}
         self._closed = False
-        # Replicas may have forgotten the connections of a process that stood still.
+        # While this process was suspended, replicas may have dropped their connections to it.
         kernel.pauses.on_end(lambda seconds: self.clear("pause"))
 
     def __len__(self) -> int:
         return len(self._idle)
 
-    def keeps(self, request: HttpRequest) -> bool:
-        """Say whether the connection of ``request`` may be kept.
+    def can_keep(self, request: HttpRequest) -> bool:
+        """Return True if ``request`` may use a kept connection, and its own be kept after it.
 
-        Without an id a late answer to another request cannot be told from its own. A path that
-        breaks the first line is refused by the codec, and must not be sent ahead.
+        A request without an id may not, because a late answer to an earlier request could be taken
+        for its own. Neither may one with a control character in its path: the codec refuses it, so
+        its first line must not be sent either.
         """
-        if self._closed or not self.most_idle_seconds:
+        if self._closed or not self.max_idle_seconds:
             return False
         named = request.replica and request.request_id
         return bool(named) and request.method != "HEAD" and request.path.isprintable()
 
-    async def take(self, request: HttpRequest) -> UpstreamStream:
+    async def acquire(self, request: HttpRequest) -> UpstreamStream:
         """Return a connection for ``request``; raise ``NotSent`` if there is none."""
-        if self.keeps(request):
-            stream = await self._take_idle(request)
+        if self.can_keep(request):
+            stream = await self._acquire_idle(request)
             if stream is not None:
                 self._metrics.upstream_connections.inc({"use": "kept"})
                 return stream
@@ -72,60 +77,62 @@
         self._metrics.upstream_connections.inc({"use": "new"})
         return stream
 
-    async def _take_idle(self, request: HttpRequest) -> UpstreamStream | None:
-        stream = self._idle.take(_place(request))
+    async def _acquire_idle(self, request: HttpRequest) -> UpstreamStream | None:
+        stream = self._idle.take(_target(request))
         if stream is None:
             return None
         self._expiries.pop(stream).cancel()
         stream.set_close_callback(None)
         reason = "cancelled"
         try:
-            reason = await _check(stream, first_line(request))
+            reason = await _probe(stream, first_line(request))
         finally:
             if reason:
                 self._discard(stream, reason)
         if not reason:
             return stream
-        self._tell(f"an idle connection is {reason}", request, stream)
-        # What ended this connection may have ended the others of its replica.
+        self._log(f"an idle connection cannot be used: {reason}", request, stream)
+        # The cause, such as a restart of the replica, may affect its other connections too.
         self.drop(request.replica, reason)
         return None
 
-    def give_back(self, request: HttpRequest, stream: UpstreamStream, seconds: float) -> None:
-        """Take back the connection of a whole answer, which may be idle for ``seconds``."""
+    def release(self, request: HttpRequest, stream: UpstreamStream, seconds: float) -> None:
+        """Keep a connection after a complete answer, idle for at most ``seconds``, or close it."""
         stream.answers += 1
         stream.answered_at = self._clock.monotonic()
-        reason = self._unfit(request, stream, seconds)
+        reason = self._reason_to_close(request, stream, seconds)
         if reason:
             self._discard(stream, reason)
             return
-        for surplus in self._idle.put(_place(request), stream):
-            self._end(surplus, "surplus")
+        for surplus in self._idle.put(_target(request), stream):
+            self._close_idle(surplus, "surplus")
         loop = asyncio.get_running_loop()
         self._expiries[stream] = loop.call_later(seconds, self._remove, stream, "idle")
         stream.set_close_callback(lambda: self._remove(stream, "closed"))
 
-    def _unfit(self, request: HttpRequest, stream: UpstreamStream, seconds: float) -> str:
-        if seconds <= 0 or not self.keeps(request):
+    def _reason_to_close(self, request: HttpRequest, stream: UpstreamStream, seconds: float) -> str:
+        if seconds <= 0 or not self.can_keep(request):
             return "not-kept"
-        if not self._takes_work(_place(request)):
+        if not self._takes_work(_target(request)):
             return "leaving"
-        # A request that is not written whole would go on where the next one is due.
-        if stream.writing() or not stream.quiet():
+        # The unwritten rest of this request would be sent in front of the next one.
+        if stream.writing() or not stream.is_idle():
             return "unread"
         return ""
 
-    def broke(self, request: HttpRequest, stream: UpstreamStream, problem: BaseException) -> None:
-        """Close the connection of an exchange that ended with ``problem``."""
+    def release_failed(
+        self, request: HttpRequest, stream: UpstreamStream, problem: BaseException
+    ) -> None:
+        """Close the connection of an exchange that failed with ``problem``."""
         self._discard(stream, "broke")
         if not isinstance(problem, CutOff):
             return
         self.drop(request.replica, "broke")
         if stream.reused:
             detail = "a kept connection broke under a request"
-            self._tell(detail, request, stream, notable=True, problem=str(problem))
+            self._log(detail, request, stream, notable=True, problem=str(problem))
 
-    def _tell(
+    def _log(
         self, detail: str, request: HttpRequest, stream: UpstreamStream, **facts: Fact
     ) -> None:
         self._events.emit(
@@ -139,36 +146,36 @@
         )
 
     def drop(self, replica: str, reason: str) -> None:
-        """Close the idle connections of ``replica``."""
-        for place in self._idle.places():
-            if place.replica == replica:
-                self._drop_place(place, reason)
+        """Close the idle connections to ``replica``; ``reason`` is a label of the metric."""
+        for target in self._idle.targets():
+            if target.replica == replica:
+                self._drop_target(target, reason)
 
-    def _drop_place(self, place: Place, reason: str) -> None:
-        for stream in self._idle.drop(place):
-            self._end(stream, reason)
+    def _drop_target(self, target: Place, reason: str) -> None:
+        for stream in self._idle.drop(target):
+            self._close_idle(stream, reason)
 
     def review(self) -> None:
-        """Close the idle connections of replicas that may not be sent requests any more."""
-        for place in self._idle.places():
-            if not self._takes_work(place):
-                self._drop_place(place, "leaving")
+        """Close the idle connections to replicas that may not be sent requests any more."""
+        for target in self._idle.targets():
+            if not self._takes_work(target):
+                self._drop_target(target, "leaving")
 
     def clear(self, reason: str) -> None:
         """Close all idle connections."""
-        for place in self._idle.places():
-            self._drop_place(place, reason)
+        for target in self._idle.targets():
+            self._drop_target(target, reason)
 
     def close(self) -> None:
-        """Close all idle connections, and keep no more."""
+        """Close all idle connections, and keep none from now on."""
         self._closed = True
         self.clear("stop")
 
     def _remove(self, stream: UpstreamStream, reason: str) -> None:
         if self._idle.remove(stream):
-            self._end(stream, reason)
+            self._close_idle(stream, reason)
 
-    def _end(self, stream: UpstreamStream, reason: str) -> None:
+    def _close_idle(self, stream: UpstreamStream, reason: str) -> None:
         expiry = self._expiries.pop(stream, None)
         if expiry is not None:
             expiry.cancel()
@@ -180,23 +187,26 @@
         self._metrics.upstream_connections_closed.inc({"reason": reason})
 
 
-def _place(request: HttpRequest) -> Place:
+def _target(request: HttpRequest) -> Place:
     return Place(request.replica, request.endpoint)
 
 
-async def _check(stream: UpstreamStream, line: bytes) -> str:
-    """Send ``line`` ahead; return why the connection cannot be used, nothing if it can."""
-    if not stream.quiet():
+async def _probe(stream: UpstreamStream, line: bytes) -> str:
+    """Probe a kept connection with ``line``, the first line of the next request.
+
+    Return why the connection cannot be used, as a label of the metric; an empty string if it can.
+    """
+    if not stream.is_idle():
         return "closed"
     loop = asyncio.get_running_loop()
-    ends_at = loop.time() + MOST_CHECK_SECONDS
-    pause = min(stream.connect_seconds + SETTLE_SECONDS, MOST_PAUSE_SECONDS)
+    ends_at = loop.time() + MAX_PROBE_SECONDS
+    pause = min(stream.connect_seconds + PROBE_MARGIN_SECONDS, MAX_FIRST_CHECK_SECONDS)
     stream.set_nodelay(True)
-    stream.send_ahead(line)
+    stream.send_in_advance(line)
     while loop.time() < ends_at:
         await asyncio.sleep(min(pause, ends_at - loop.time()))
         acknowledged = stream.acknowledged()
-        if not stream.quiet():
+        if not stream.is_idle():
             return "forgotten"
         if acknowledged:
             return ""
--- a/railsail/upstreams/http.py
+++ b/railsail/upstreams/http.py
@@ -1,8 +1,8 @@
-"""One HTTP exchange over one connection, with an exact point of no return.
+"""One HTTP exchange over one connection, which reports whether the request may have run.
 
-The library's client pools, retries and queues out of sight in some versions; here an exchange takes
-one connection and sends one request, by the library's own HTTP/1 codec. Until all of its head is
-written the request has not run; from then on that is not known.
+Some versions of Tornado's client pool connections, retry or queue requests on their own. An
+exchange here uses one connection and sends one request, through Tornado's HTTP/1 codec. Before its
+whole head is written, the request has not run; after that, it may have.
 """
 
 import asyncio
@@ -18,19 +18,20 @@
 from railsail.conf.values import parse_endpoint
 from railsail.core.exceptions import RailsailError
 from railsail.core.sockets import CannotConnect, open_stream
-from railsail.upstreams.keepalive import FIRST_ERROR, idle_seconds, may_be_kept
+from railsail.upstreams.keepalive import MIN_ERROR_STATUS, idle_seconds, may_be_kept
 from railsail.upstreams.streams import UpstreamStream
 
-CONNECT_SECONDS = 2.0
-SILENT_SECONDS = 60.0
-MOST_BODY_BYTES = 1 << 30
-MOST_HEADER_BYTES = 64 << 10
+CONNECT_TIMEOUT_SECONDS = 2.0
+# The connection to a replica that sends nothing for this long is closed.
+MAX_SILENCE_SECONDS = 60.0
+MAX_BODY_BYTES = 1 << 30
+MAX_HEADER_BYTES = 64 << 10
 
 
 class NotSent(RailsailError):
-    """No request was written.
+    """No request was sent.
 
-    ``refused`` says that nobody listens at the replica's port, though its host answers.
+    ``refused`` is true if the host of the replica answered, but nothing listens at its port.
     """
 
     def __init__(self, reason: str, refused: bool = False) -> None:
@@ -39,32 +40,33 @@
 
 
 class CutOff(RailsailError):
-    """The request was written at least in part, and no whole answer came."""
+    """The request was sent, at least in part, and no complete answer was received."""
 
 
 HeadListener = Callable[[int, HTTPHeaders], None]
 
 
 def ignore_head(status: int, headers: HTTPHeaders) -> None:
-    """Take no note of what an answer says of its replica."""
+    """Do nothing with the head of an answer."""
 
 
 IdReader = Callable[[HTTPHeaders], str]
 
 
 def read_no_id(headers: HTTPHeaders) -> str:
-    """Return no id of the request that an answer belongs to."""
+    """Return an empty id, for answers that do not name their request."""
     return ""
 
 
 @dataclass(frozen=True)
 class HttpRequest:
-    """What is sent; ``endpoint`` is ``ip:port``.
+    """A request to send to ``endpoint``, which is ``ip:port``.
 
-    ``open_ended`` says that an answer without a length is whole when its connection was closed in
-    order. ``connect_seconds`` bounds the time to connect. ``on_head`` hears status and headers of
-    any answer before its receiver does, which may refuse it. Connections are kept by ``replica``;
-    ``read_id`` reads from an answer the id of its request, which is ``request_id``.
+    If ``open_ended``, an answer without a length is complete when its connection was closed without
+    an error. ``connect_seconds`` bounds the time to connect. ``on_head`` is called with status and
+    headers of any answer before its receiver, which may refuse the answer. The connection may be
+    kept only for a request that names its ``replica`` and ``request_id``; ``read_id`` returns the
+    id of the request that an answer belongs to, from the headers of the answer.
     """
 
     endpoint: str
@@ -73,7 +75,7 @@
     headers: Mapping[str, str]
     body: bytes = b""
     open_ended: bool = False
-    connect_seconds: float = CONNECT_SECONDS
+    connect_seconds: float = CONNECT_TIMEOUT_SECONDS
     on_head: HeadListener = ignore_head
     replica: str = ""
     request_id: str = ""
@@ -81,51 +83,58 @@
 
 
 class Receiver(Protocol):
-    """Where an exchange puts what comes back; awaiting it holds the sender back."""
+    """The destination of an answer; an exchange awaits it, so a slow one slows the replica down."""
 
     async def head(self, status: int, headers: HTTPHeaders) -> None:
-        """Take the status and the headers."""
+        """Handle the status and the headers."""
 
     async def data(self, chunk: bytes) -> None:
-        """Take a piece of the body."""
+        """Handle a chunk of the body."""
 
 
 class Connections(Protocol):
-    """Where exchanges take their connections from, and what becomes of these afterwards."""
+    """A provider of connections for exchanges, which gets them back afterwards.
 
-    most_idle_seconds: float
+    ``max_idle_seconds`` is the maximum time for which a connection is kept idle.
+    """
+
+    max_idle_seconds: float
 
-    def keeps(self, request: HttpRequest) -> bool:
-        """Say whether the connection of ``request`` may be kept."""
+    def can_keep(self, request: HttpRequest) -> bool:
+        """Return True if the connection of ``request`` may be kept."""
 
-    async def take(self, request: HttpRequest) -> UpstreamStream:
+    async def acquire(self, request: HttpRequest) -> UpstreamStream:
         """Return a connection for ``request``; raise ``NotSent`` if there is none."""
 
-    def give_back(self, request: HttpRequest, stream: UpstreamStream, seconds: float) -> None:
-        """Take back the connection of a whole answer, which may be idle for ``seconds``."""
+    def release(self, request: HttpRequest, stream: UpstreamStream, seconds: float) -> None:
+        """Take back a connection after a complete answer; it may be idle for ``seconds``."""
 
-    def broke(self, request: HttpRequest, stream: UpstreamStream, problem: BaseException) -> None:
-        """Close the connection of an exchange that ended with ``problem``."""
+    def release_failed(
+        self, request: HttpRequest, stream: UpstreamStream, problem: BaseException
+    ) -> None:
+        """Close the connection of an exchange that failed with ``problem``."""
 
 
 class NewConnections:
-    """Open a connection for each exchange, and close it after it."""
+    """Connections that are opened for one exchange each, and closed after it."""
 
-    most_idle_seconds = 0.0
+    max_idle_seconds = 0.0
 
-    def keeps(self, request: HttpRequest) -> bool:
-        """Say that no connection is kept."""
+    def can_keep(self, request: HttpRequest) -> bool:
+        """Return False: no connection is kept."""
         return False
 
-    async def take(self, request: HttpRequest) -> UpstreamStream:
+    async def acquire(self, request: HttpRequest) -> UpstreamStream:
         """Return a new connection; raise ``NotSent`` if there is none."""
         return await connect(request)
 
-    def give_back(self, request: HttpRequest, stream: UpstreamStream, seconds: float) -> None:
+    def release(self, request: HttpRequest, stream: UpstreamStream, seconds: float) -> None:
         """Close the connection."""
         stream.close()
 
-    def broke(self, request: HttpRequest, stream: UpstreamStream, problem: BaseException) -> None:
+    def release_failed(
+        self, request: HttpRequest, stream: UpstreamStream, problem: BaseException
+    ) -> None:
         """Close the connection."""
         stream.close()
 
@@ -139,139 +148,144 @@
         request: HttpRequest,
         receiver: Receiver,
         stream: UpstreamStream,
-        most_idle_seconds: float,
+        max_idle_seconds: float,
     ) -> None:
         self._request = request
         self._receiver = receiver
         self._stream = stream
-        self._most_idle_seconds = most_idle_seconds
+        self._max_idle_seconds = max_idle_seconds
         self.error: Exception | None = None
         self._loop = asyncio.get_running_loop()
-        self.whole = False
-        self.framed = False
-        # It answers another request, whose answer came late.
+        self.complete = False
+        self.delimited = False
+        # The answer is a late one to an earlier request on this connection.
         self.foreign = False
         self.idle_seconds = 0.0
-        self.busy = False
-        self.last = self._loop.time()
+        self.receiver_busy = False
+        self.last_progress_at = self._loop.time()
 
     def headers_received(
         self, start_line: RequestStartLine | ResponseStartLine, headers: HTTPHeaders
     ) -> Awaitable[None] | None:
-        self.framed = "Content-Length" in headers or "Transfer-Encoding" in headers
-        self.framed = self.framed or start_line.code in (204, 304)
+        self.delimited = "Content-Length" in headers or "Transfer-Encoding" in headers
+        self.delimited = self.delimited or start_line.code in (204, 304)
         self.foreign = self._is_foreign(start_line.code, headers)
         if self.foreign:
             return None
         self.idle_seconds = 0.0
-        if self.framed and may_be_kept(start_line, headers):
-            self.idle_seconds = idle_seconds(headers, self._most_idle_seconds)
+        if self.delimited and may_be_kept(start_line, headers):
+            self.idle_seconds = idle_seconds(headers, self._max_idle_seconds)
         self._request.on_head(start_line.code, headers)
-        return self._guard(self._receiver.head(start_line.code, headers))
+        return self._run_receiver(self._receiver.head(start_line.code, headers))
 
     def _is_foreign(self, status: int, headers: HTTPHeaders) -> bool:
-        """Say whether an answer on a kept connection belongs to another request."""
+        """Return True if an answer on a kept connection belongs to another request."""
         if not self._stream.reused:
             return False
         answered = self._request.read_id(headers)
         if not answered:
-            # An error may have been answered before the id was read; a success was not.
-            return status < FIRST_ERROR
+            # A replica may send an error before it has read the id, but not a success.
+            return status < MIN_ERROR_STATUS
         return answered != self._request.request_id
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
-        return None if self.foreign else self._guard(self._receiver.data(chunk))
+        return None if self.foreign else self._run_receiver(self._receiver.data(chunk))
 
     def finish(self) -> None:
-        self.whole = True
+        self.complete = True
         if self._stream.writing() and not self.foreign:
-            # The replica may never read the rest of the request, for which the codec would wait.
+            # The codec would wait until the rest of the request is written, which the replica may
+            # never read.
             self._stream.close()
 
     def on_connection_close(self) -> None:
-        self.whole = False
+        self.complete = False
 
     def expect_another(self) -> None:
-        """Expect the request's own answer after one that belonged to another request."""
-        self.whole = False
-        self.last = self._loop.time()
+        """Prepare for the request's own answer after one that belonged to another request."""
+        self.complete = False
+        self.last_progress_at = self._loop.time()
 
-    async def _guard(self, work: Awaitable[None]) -> None:
-        # Time during which the caller holds us back is not silence of the upstream.
-        self.busy = True
+    async def _run_receiver(self, work: Awaitable[None]) -> None:
+        # While the receiver waits for a slow caller, the replica does not count as silent.
+        self.receiver_busy = True
         try:
             await work
         except Exception as problem:
-            # The library would log what is raised here, and hide it from whoever called.
+            # Tornado would log an exception raised here, and not pass it to the caller.
             self.error = problem
             self._stream.close()
         finally:
-            self.busy = False
-            self.last = self._loop.time()
+            self.receiver_busy = False
+            self.last_progress_at = self._loop.time()
 
     def silent(self) -> bool:
-        return not self.busy and self._loop.time() - self.last > SILENT_SECONDS
+        return (
+            not self.receiver_busy
+            and self._loop.time() - self.last_progress_at > MAX_SILENCE_SECONDS
+        )
 
 
 async def exchange(
     request: HttpRequest, receiver: Receiver, connections: Connections = NEW_CONNECTIONS
 ) -> None:
-    """Send ``request`` and put the whole answer into ``receiver``.
+    """Send ``request`` and pass the whole answer to ``receiver``.
 
-    Raise ``NotSent`` or ``CutOff``. Cancelling the task closes the connection.
+    Raise ``NotSent`` or ``CutOff`` if that fails, or the error that ``receiver`` raised. Cancelling
+    the task closes the connection.
     """
-    stream = await connections.take(request)
-    most_idle = connections.most_idle_seconds if connections.keeps(request) else 0.0
+    stream = await connections.acquire(request)
+    max_idle = connections.max_idle_seconds if connections.can_keep(request) else 0.0
     try:
-        seconds = await _exchange_on(stream, request, receiver, most_idle)
+        seconds = await _exchange_on(stream, request, receiver, max_idle)
     except BaseException as problem:
-        connections.broke(request, stream, problem)
+        connections.release_failed(request, stream, problem)
         raise
-    connections.give_back(request, stream, seconds)
+    connections.release(request, stream, seconds)
 
 
 async def connect(request: HttpRequest) -> UpstreamStream:
     """Return a new connection for ``request``; raise ``NotSent`` if there is none."""
     target = parse_endpoint(request.endpoint)
     loop = asyncio.get_running_loop()
-    begun = loop.time()
+    started = loop.time()
     try:
         stream = await open_stream(target.ip, target.port, request.connect_seconds, UpstreamStream)
     except CannotConnect as problem:
         reason = f"the replica cannot be connected to: {problem}"
         raise NotSent(reason, problem.refused) from None
-    stream.connect_seconds = loop.time() - begun
+    stream.connect_seconds = loop.time() - started
     return stream
 
 
 async def _exchange_on(
-    stream: UpstreamStream, request: HttpRequest, receiver: Receiver, most_idle: float
+    stream: UpstreamStream, request: HttpRequest, receiver: Receiver, max_idle: float
 ) -> float:
-    """Make an exchange on ``stream``; return for how long the connection may be idle after it."""
-    delegate = _Delegate(request, receiver, stream, most_idle)
-    watch = asyncio.ensure_future(_close_when_silent(stream, delegate))
+    """Make an exchange on ``stream``; return for how many seconds it may be idle afterwards."""
+    delegate = _Delegate(request, receiver, stream, max_idle)
+    silence_check = asyncio.ensure_future(_close_when_silent(stream, delegate))
     try:
         connection = _codec(stream)
         start = RequestStartLine(request.method, request.path, "")
-        connection.write_headers(start, _headers(request, most_idle > 0), request.body)
+        connection.write_headers(start, _headers(request, max_idle > 0), request.body)
         connection.finish()
         await connection.read_response(delegate)
-        if delegate.foreign and delegate.whole:
-            await _read_own(stream, delegate)
+        if delegate.foreign and delegate.complete:
+            await _read_own_answer(stream, delegate)
     except (OSError, StreamClosedError, ValueError) as problem:
         if delegate.error is not None:
             raise delegate.error from None
         raise CutOff(f"the connection to the replica broke: {problem}") from None
     finally:
-        watch.cancel()
+        silence_check.cancel()
     if delegate.error is not None:
         raise delegate.error
-    _check_whole(stream, request, delegate)
+    _check_complete(stream, request, delegate)
     return delegate.idle_seconds
 
 
-async def _read_own(stream: UpstreamStream, delegate: _Delegate) -> None:
-    # One answer too many may come late, and stands before the request's own.
+async def _read_own_answer(stream: UpstreamStream, delegate: _Delegate) -> None:
+    # At most one late answer is skipped. The connection is not kept after it.
     delegate.expect_another()
     connection = _codec(stream)
     connection.finish()
@@ -279,25 +293,25 @@
     delegate.idle_seconds = 0.0
 
 
-def _check_whole(stream: UpstreamStream, request: HttpRequest, delegate: _Delegate) -> None:
+def _check_complete(stream: UpstreamStream, request: HttpRequest, delegate: _Delegate) -> None:
     if delegate.foreign:
         raise CutOff("the replica answered another request")
-    if not delegate.whole:
+    if not delegate.complete:
         raise CutOff("the replica closed before the end of its answer")
-    if not delegate.framed and not (request.open_ended and stream.error is None):
-        # A body that only ends with the connection may be cut short without a sign.
+    if not delegate.delimited and not (request.open_ended and stream.error is None):
+        # A body that ends with its connection may be truncated without any error.
         raise CutOff("the replica gave no length of its answer")
 
 
 def _codec(stream: UpstreamStream) -> HTTP1Connection:
     parameters = HTTP1ConnectionParameters(
-        no_keep_alive=True, max_header_size=MOST_HEADER_BYTES, max_body_size=MOST_BODY_BYTES
+        no_keep_alive=True, max_header_size=MAX_HEADER_BYTES, max_body_size=MAX_BODY_BYTES
     )
     return HTTP1Connection(stream, is_client=True, params=parameters)
 
 
 def first_line(request: HttpRequest) -> bytes:
-    """Return the first bytes of ``request`` as the codec writes them: its first line."""
+    """Return the first line of ``request``, byte for byte as the codec writes it."""
     return f"{request.method} {request.path} HTTP/1.1\r\n".encode()
 
 
@@ -314,18 +328,21 @@
 
 async def _close_when_silent(stream: IOStream, delegate: _Delegate) -> None:
     while not delegate.silent():
-        await asyncio.sleep(SILENT_SECONDS / 10)
+        await asyncio.sleep(MAX_SILENCE_SECONDS / 10)
     stream.close()
 
 
 class Collector:
-    """A receiver that keeps a short answer in memory."""
+    """A receiver that keeps a short answer in memory.
+
+    Its ``data`` raises ``ValueError`` if the body has more than ``max_bytes``.
+    """
 
-    def __init__(self, most_bytes: int = 1 << 20) -> None:
+    def __init__(self, max_bytes: int = 1 << 20) -> None:
         self.status = 0
         self.headers = HTTPHeaders()
         self.body = b""
-        self._most_bytes = most_bytes
+        self._max_bytes = max_bytes
 
     async def head(self, status: int, headers: HTTPHeaders) -> None:
         """Keep status and headers."""
@@ -333,17 +350,15 @@
         self.headers = headers
 
     async def data(self, chunk: bytes) -> None:
-        """Keep a piece of the body."""
-        if len(self.body) + len(chunk) > self._most_bytes:
+        """Keep a chunk of the body."""
+        if len(self.body) + len(chunk) > self._max_bytes:
             raise ValueError("the answer is too long")
         self.body += chunk
 
 
-async def fetch(
-    request: HttpRequest, seconds: float, most_bytes: int = 1 << 20
-) -> Collector | None:
-    """Return a short answer, or ``None`` if none came within ``seconds``."""
-    collector = Collector(most_bytes)
+async def fetch(request: HttpRequest, seconds: float, max_bytes: int = 1 << 20) -> Collector | None:
+    """Return a short answer, or ``None`` if none was received within ``seconds``."""
+    collector = Collector(max_bytes)
     with contextlib.suppress(NotSent, CutOff, TimeoutError):
         async with asyncio.timeout(seconds):
             await exchange(request, collector)
--- a/railsail/upstreams/idle.py
+++ b/railsail/upstreams/idle.py
@@ -1,61 +1,65 @@
-"""Which idle connections are kept, and which of them goes next; no input or output."""
+"""Which idle connections are kept, and which one is used or closed next; does no I/O."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
 from typing import Generic, TypeVar
 
-# A replica bounds the connections of all nodes together, and a large fleet has a hundred nodes.
-MOST_AT_PLACE = 1
-# Of the descriptors of a node, callers' connections and running requests need the most.
-MOST_IN_ALL = 256
+# Bounds the idle connections to one replica. A replica limits its connections from all nodes
+# together, and a large fleet has a hundred nodes.
+MAX_IDLE_PER_REPLICA = 1
+# Bounds the idle connections of a node. Most of its file descriptors are needed for the connections
+# of callers and for running requests.
+MAX_IDLE_CONNECTIONS = 256
 
 Item = TypeVar("Item")
 
 
 @dataclass(frozen=True)
 class Place:
-    """A replica at an endpoint ``ip:port``, which another replica may be given later."""
+    """A replica and its endpoint ``ip:port``, which may be another replica's later."""
 
     replica: str
     endpoint: str
 
 
 class IdleConnections(Generic[Item]):
-    """Hold idle connections by place; the one that was used last is used next."""
+    """Idle connections by replica; the one that was used last is used next."""
 
-    def __init__(self, most_at_place: int = MOST_AT_PLACE, most_in_all: int = MOST_IN_ALL) -> None:
-        self._most_at_place = most_at_place
-        self._most_in_all = most_in_all
-        # In the order in which they became idle.
-        self._place_of: dict[Item, Place] = {}
-        self._at: dict[Place, list[Item]] = {}
+    def __init__(
+        self, max_per_replica: int = MAX_IDLE_PER_REPLICA, max_total: int = MAX_IDLE_CONNECTIONS
+    ) -> None:
+        self._max_per_replica = max_per_replica
+        self._max_total = max_total
+        # Connections in the order in which they became idle.
+        self._target_of: dict[Item, Place] = {}
+        self._items_at: dict[Place, list[Item]] = {}
 
     def __len__(self) -> int:
-        return len(self._place_of)
+        return len(self._target_of)
 
-    def places(self) -> list[Place]:
-        """Return the places that have idle connections."""
-        return list(self._at)
+    def targets(self) -> list[Place]:
+        """Return the replicas, with their endpoints, that have idle connections."""
+        return list(self._items_at)
 
-    def put(self, place: Place, item: Item) -> list[Item]:
-        """Hold ``item``; return those that have to be closed for it, the oldest ones."""
-        self._place_of[item] = place
-        self._at.setdefault(place, []).append(item)
-        return list(self._remove_surplus(place))
+    def put(self, target: Place, item: Item) -> list[Item]:
+        """Keep ``item``; return the oldest items that have to be closed to make space for it."""
+        self._target_of[item] = target
+        self._items_at.setdefault(target, []).append(item)
+        return list(self._remove_surplus(target))
 
-    def _remove_surplus(self, place: Place) -> Iterator[Item]:
-        if len(self._at[place]) > self._most_at_place:
-            oldest = self._at[place][0]
+    def _remove_surplus(self, target: Place) -> Iterator[Item]:
+        if len(self._items_at[target]) > self._max_per_replica:
+            oldest = self._items_at[target][0]
             self.remove(oldest)
             yield oldest
-        if len(self._place_of) > self._most_in_all:
-            oldest = next(iter(self._place_of))
+        if len(self._target_of) > self._max_total:
+            oldest = next(iter(self._target_of))
             self.remove(oldest)
             yield oldest
 
-    def take(self, place: Place) -> Item | None:
-        """Return the connection to ``place`` that was used last, which is held no more."""
-        items = self._at.get(place)
+    def take(self, target: Place) -> Item | None:
+        """Remove and return the connection to ``target`` that was used last, ``None`` for none."""
+        items = self._items_at.get(target)
         if not items:
             return None
         item = items[-1]
@@ -63,19 +67,19 @@
         return item
 
     def remove(self, item: Item) -> bool:
-        """Hold ``item`` no more; say whether it was held."""
-        place = self._place_of.pop(item, None)
-        if place is None:
+        """Remove ``item``; return True if it was kept."""
+        target = self._target_of.pop(item, None)
+        if target is None:
             return False
-        items = self._at[place]
+        items = self._items_at[target]
         items.remove(item)
         if not items:
-            del self._at[place]
+            del self._items_at[target]
         return True
 
-    def drop(self, place: Place) -> list[Item]:
-        """Return all connections to ``place``, which are held no more."""
-        dropped = list(self._at.get(place, ()))
+    def drop(self, target: Place) -> list[Item]:
+        """Remove and return all connections to ``target``."""
+        dropped = list(self._items_at.get(target, ()))
         for item in dropped:
             self.remove(item)
         return dropped
--- /dev/null
+++ b/railsail/upstreams/invalidrecords.py
@@ -0,0 +1,26 @@
+"""Log invalid records of replicas once each, because one may be written again and again."""
+
+from railsail.core.logs import get_logger
+
+# Bounds the names that are remembered. When there are more, all are forgotten, and logged again.
+MAX_NAMES = 1000
+
+
+class InvalidRecords:
+    """A log of invalid records: one line each, until a valid one of the same name is received."""
+
+    def __init__(self) -> None:
+        self._logged: dict[str, str] = {}
+
+    def reject(self, name: str, reason: str) -> None:
+        """Log that a record is invalid for ``reason``, unless it was already logged."""
+        if self._logged.get(name) == reason:
+            return
+        if len(self._logged) >= MAX_NAMES:
+            self._logged.clear()
+        self._logged[name] = reason
+        get_logger().warning("invalid upstream record", name=name, reason=reason)
+
+    def accept(self, name: str) -> None:
+        """Forget ``name``, whose record is now valid."""
+        self._logged.pop(name, None)
--- a/railsail/upstreams/records.py
+++ b/railsail/upstreams/records.py
@@ -1,4 +1,4 @@
-"""The record of one replica: what the list says of it, and a sign that it leaves."""
+"""The record of one replica: what the platform's list says, and a signal that it is leaving."""
 
 import enum
 import zlib
@@ -10,11 +10,11 @@
 from railsail.conf.values import parse_endpoint
 from railsail.peers.records import UpstreamRecord
 from railsail.store.base import WatchEvent
-from railsail.upstreams.refused import RefusedRecords
+from railsail.upstreams.invalidrecords import InvalidRecords
 
 
 class Listed(enum.IntEnum):
-    """What the platform's list says of a replica."""
+    """The state of a replica in the platform's list."""
 
     LIVE = 0
     LEAVING = 1
@@ -23,13 +23,15 @@
 
 @dataclass(frozen=True)
 class Upstream:
-    """One replica; ``endpoint`` is ``ip:port``, ``slots`` is 0 where the list does not tell them.
-
-    ``version`` is that of the listed record. The sign was given when the record had
-    ``sign_version``, at ``sign_at`` milliseconds since the Unix epoch. ``born`` is when the replica
-    started, in the same unit, 0 where it does not say so: it tells lives under one name apart. The
-    replica was cold for ``cold`` milliseconds more when it wrote the record. It runs
-    ``software_version``, empty where it does not say so.
+    """One replica.
+
+    ``endpoint`` is ``ip:port``. ``version`` is the version of the listed record. ``signal_leaving``
+    is the newest signal: whether the replica is leaving. It was given ``signalled_at_ms``
+    milliseconds since the Unix epoch, when the record had the version ``signal_version``. ``slots``
+    is the number of concurrent calls, 0 if not listed. ``born`` is when the replica started, in
+    milliseconds since the Unix epoch, 0 if not listed; it changes with each restart. ``cold_ms`` is
+    for how many more milliseconds the replica was cold when the record was written.
+    ``software_version`` is empty if not listed.
     """
 
     name: str
@@ -38,27 +40,27 @@
     failure_domain: str
     version: int
     listed: Listed
-    sign_version: int = 0
-    sign_at: int = 0
-    sign_leaving: bool = False
+    signal_version: int = 0
+    signalled_at_ms: int = 0
+    signal_leaving: bool = False
     slots: int = 0
     born: int = 0
-    cold: int = 0
+    cold_ms: int = 0
     software_version: str = ""
 
     @property
     def leaving(self) -> bool:
-        """Say whether the replica must get no new work."""
-        return self.signed_leaving or self.listed is not Listed.LIVE
+        """Return True if the replica drains before it stops, or is gone, and gets no new work."""
+        return self.leaving_by_signal or self.listed is not Listed.LIVE
 
     @property
-    def signed_leaving(self) -> bool:
-        """Say whether a sign says that the replica leaves, and not one of a life before."""
-        return self.sign_leaving and self.sign_at >= self.born
+    def leaving_by_signal(self) -> bool:
+        """Return True if a signal since the start of the replica says that it is leaving."""
+        return self.signal_leaving and self.signalled_at_ms >= self.born
 
 
-def parse_record(event: WatchEvent, refused: RefusedRecords) -> Upstream | None:
-    """Return the record that the list holds, or ``None`` if it cannot be read."""
+def parse_record(event: WatchEvent, invalid_records: InvalidRecords) -> Upstream | None:
+    """Return the listed record of ``event``, or ``None`` if it is invalid."""
     value = event.value or {}
     try:
         endpoint = str(parse_endpoint(str(value["endpoint"])))
@@ -74,32 +76,34 @@
             listed,
             slots=slots,
             born=int(value.get("born", 0)),
-            cold=int(value.get("cold", 0)),
+            cold_ms=int(value.get("cold", 0)),
             software_version=str(value.get("software_version", "")),
         )
     except (KeyError, TypeError, ValueError) as problem:
-        refused.refused(event.name, f"{type(problem).__name__}: {problem}")
+        invalid_records.reject(event.name, f"{type(problem).__name__}: {problem}")
         return None
-    refused.accepted(event.name)
+    invalid_records.accept(event.name)
     return parsed
 
 
 def digest_of(upstream: Upstream) -> int:
-    """Return a sum of what of a record nodes must agree on."""
-    text = f"{upstream.name} {upstream.version} {upstream.sign_version} {upstream.sign_at}"
+    """Return a checksum of the parts of a record that must be equal on all nodes."""
+    text = (
+        f"{upstream.name} {upstream.version} {upstream.signal_version} {upstream.signalled_at_ms}"
+    )
     return zlib.crc32(text.encode())
 
 
-# Both have the same fields, in the same order.
+# ``UpstreamRecord`` has the same fields as ``Upstream``, in the same order.
 _fields = attrgetter(*(field.name for field in fields(Upstream)))
 
 
 def to_record(upstream: Upstream) -> UpstreamRecord:
-    """Return the message's record of ``upstream``."""
+    """Return ``upstream`` in the form in which it is sent to peers."""
     return UpstreamRecord(*_fields(upstream))
 
 
 def from_record(record: UpstreamRecord) -> Upstream:
-    """Return the record that a peer sent."""
+    """Return the replica that ``record``, received from a peer, describes."""
     name, pool, endpoint, domain, version, listed, *rest = msgspec.structs.astuple(record)
     return Upstream(name, pool, endpoint, domain, version, Listed(listed), *rest)
--- a/tests/dispatch/test_entry.py
+++ b/tests/dispatch/test_entry.py
@@ -269,7 +269,7 @@
             await asyncio.sleep(0)
 
     def back_off(self, replica: str, seconds: float = 30.0) -> None:
-        self.backoffs.asked(replica, seconds, self.clock.monotonic())
+        self.backoffs.extend(replica, seconds, self.clock.monotonic())
 
     def placed(self) -> list[Place]:
         """Return the tickets that were placed, in a resync or in a message of their own."""
--- a/tests/dispatch/test_rollouts.py
+++ b/tests/dispatch/test_rollouts.py
@@ -407,7 +407,7 @@
         self.registry.set(None, "v2")
         request = PoolRequest("r", "model", "one", 0.0, 10.0, False)
         for name in ("old0", "old1"):
-            self.backoffs.asked(name, 10.0, self.clock.now)
+            self.backoffs.extend(name, 10.0, self.clock.now)
         self.assertIsNotNone(self.gate.refusal(request))
 
 
--- a/tests/upstreams/test_http.py
+++ b/tests/upstreams/test_http.py
@@ -1,4 +1,4 @@
-"""One exchange: what counts as sent, what counts as whole, and who holds whom back."""
+"""One exchange: which requests count as sent, which answers as complete, and backpressure."""
 
 import asyncio
 import unittest
@@ -7,7 +7,7 @@
 from railsail.upstreams.http import Collector, CutOff, HttpRequest, NotSent, exchange
 
 CHUNK = b"x" * 65_536
-MOST_CHUNKS = 4096
+MAX_CHUNKS = 4096
 
 
 class ExchangeTests(unittest.IsolatedAsyncioTestCase):
@@ -17,7 +17,7 @@
         return HttpRequest(f"127.0.0.1:{server.sockets[0].getsockname()[1]}", "GET", "/", {})
 
     async def answer(self, data: bytes) -> Collector:
-        """Let a server answer with the bytes ``data`` and close; return what came."""
+        """Let a server answer with the bytes ``data`` and close; return the received answer."""
 
         async def handle(reader, writer) -> None:
             await reader.readuntil(b"\r\n\r\n")
@@ -29,7 +29,7 @@
         await exchange(await self.serve(handle), collector)
         return collector
 
-    async def test_whole_answer(self):
+    async def test_complete_answer_is_received(self):
         collector = await self.answer(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
         self.assertEqual((collector.status, collector.body), (200, b"hi"))
 
@@ -38,32 +38,32 @@
         with self.assertRaises(NotSent):
             await exchange(request, Collector())
 
-    async def test_answers_that_are_not_whole_are_cut_off(self):
-        bad = {
+    async def test_incomplete_answers_are_cut_off(self):
+        answers = {
             "nothing": b"",
             "short": b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi",
             "cut chunks": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n",
             "no length": b"HTTP/1.1 200 OK\r\n\r\nhi",
             "no HTTP": b"good day\r\n\r\n",
         }
-        for name, data in bad.items():
+        for name, data in answers.items():
             with self.subTest(name), self.assertRaises(CutOff):
                 await self.answer(data)
 
-    async def test_slow_receiver_holds_the_sender_back(self):
+    async def test_slow_receiver_slows_the_sender_down(self):
         sent = []
-        held = asyncio.Event()
+        blocked = asyncio.Event()
 
         async def handle(reader, writer) -> None:
             await reader.readuntil(b"\r\n\r\n")
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 268435456\r\n\r\n")
-            for _ in range(MOST_CHUNKS):
+            for _ in range(MAX_CHUNKS):
                 writer.write(CHUNK)
                 sent.append(1)
                 drained = asyncio.ensure_future(writer.drain())
                 await asyncio.sleep(0)
                 if not drained.done() and not (await asyncio.wait([drained], timeout=1.0))[0]:
-                    held.set()
+                    blocked.set()
                 await drained
 
         class Stalled(Collector):
@@ -71,8 +71,8 @@
                 await asyncio.Event().wait()
 
         running = asyncio.ensure_future(exchange(await self.serve(handle), Stalled()))
-        await held.wait()
-        self.assertLess(len(sent), MOST_CHUNKS // 2)
+        await blocked.wait()
+        self.assertLess(len(sent), MAX_CHUNKS // 2)
         running.cancel()
         await asyncio.gather(running, return_exceptions=True)
 
