--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments on daemons as plain processes, on loopback; each module is a command."""
+"""Benchmarks of daemons as processes on loopback, and simulations; most modules are commands."""
--- a/benchmarks/affinity.py
+++ b/benchmarks/affinity.py
@@ -1,9 +1,9 @@
-"""Prefix routing against load-only choice, on engines with a bounded prefix cache.
+"""Compare routing by prompt prefix with routing by load alone, on engines with a bounded cache.
 
     python -m benchmarks.affinity --runs=3
 
-The workload has long prompts that share beginnings: more of them than one engine's cache holds, but
-fewer than all engines' together.
+The prompts are long and share prefixes. There are more prefixes than one engine's cache holds, but
+fewer than the caches of all engines hold together.
 """
 
 import asyncio
@@ -27,12 +27,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class PrefixedAsk(Ask):
-    """A request whose prompt begins as those of its group do."""
+    """A request whose prompt shares its prefix with the other requests of its group."""
 
     group: int = 0
 
     def http(self, shape: deploy.Shape) -> tuple[str, str, bytes]:
-        """Return method, path and body."""
+        """Return the method, the path and the body of the request."""
         method, path, body = super().http(shape)
         if self.label not in ("draft", "tag"):
             return method, path, body
@@ -74,7 +74,7 @@
 
 
 def main(runs: int = 3, seconds: float = 25.0, rate: float = 50.0) -> None:
-    """Run the pairs."""
+    """Run both kinds of routing with ``runs`` seeds, and print each run and the medians."""
     collected: dict[str, list[dict]] = {"prefix": [], "none": []}
     for seed in range(runs):
         for affinity, results in collected.items():
--- a/benchmarks/analysis.py
+++ b/benchmarks/analysis.py
@@ -1,4 +1,4 @@
-"""Figures of a run, from the callers' records and the upstreams' own logs."""
+"""Compute the figures of a run from the callers' records and the upstreams' logs."""
 
 from dataclasses import dataclass
 from itertools import combinations
@@ -8,15 +8,19 @@
 from benchmarks.play import Seen
 
 STEP = 0.02
-# A request on its way to an engine that has room does not wait; this long a way is allowed for.
+# A request in transit to an engine with a free slot does not wait. This much time is allowed for
+# the transit.
 WAY_SECONDS = 0.05
 
 
 @dataclass(frozen=True)
 class Fairness:
-    """The gaps between workspaces while both were backlogged, and idle slots.
+    """The service gaps between pairs of backlogged workspaces, and the share of idle slots.
 
-    Gaps are in cost units per weight; in seconds, they are divided by the pool's service rate.
+    Gaps are in cost units per weight. ``largest_gap_seconds`` is the largest gap divided by the
+    pool's service rate. ``largest_cost`` is the largest cost of one request. ``idle_share`` is the
+    share of slot time that was idle while any workspace waited, and ``waiting_share`` the share of
+    the time in which any workspace waited.
     """
 
     largest_gap: float
@@ -29,7 +33,7 @@
 
 
 class Curves:
-    """Service and waiting of every workspace over time, on a grid of ``STEP`` seconds."""
+    """The service and the waiting requests of each workspace over time, every ``STEP`` seconds."""
 
     def __init__(self, seen: list[Seen], runs: list[dict], begin: float, end: float) -> None:
         self.times = np.arange(begin, end, STEP)
@@ -62,7 +66,10 @@
 
 
 def fairness(curves: Curves, weights: dict[str, float], slots: int, rate: float) -> Fairness:
-    """Return the fairness of a run; ``rate`` is the pool's service in cost units a second."""
+    """Return the fairness of a run; ``rate`` is the pool's service rate in cost units a second.
+
+    ``largest_cost`` stays 0; the caller sets it.
+    """
     gaps = []
     for left, right in combinations(curves.names, 2):
         difference = curves.service[left] / weights[left] - curves.service[right] / weights[right]
@@ -83,7 +90,7 @@
 
 
 def _ranges(difference: np.ndarray, both: np.ndarray) -> list[float]:
-    """Return the range of ``difference`` over each stretch in which both were backlogged."""
+    """Return the range of ``difference`` over each interval in which both were backlogged."""
     edges = np.flatnonzero(np.diff(np.concatenate(([0], both.astype(int), [0]))))
     found = []
     for first, after in zip(edges[::2], edges[1::2], strict=True):
--- a/benchmarks/balancer.py
+++ b/benchmarks/balancer.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's balancer: it asks each daemon whether it is ready, now and then."""
+"""A stand-in of the platform's load balancer, which polls the readiness of each daemon."""
 
 import asyncio
 
@@ -10,14 +10,14 @@
 
 
 class Balancer:
-    """Name a daemon that was ready at the last look."""
+    """Choose daemons that were ready at the last poll."""
 
     def __init__(self, daemons: list[Daemon]) -> None:
         self._daemons = daemons
         self._ready = {daemon.ip: True for daemon in daemons}
 
     async def run(self) -> None:
-        """Look until cancelled."""
+        """Poll all daemons until cancelled."""
         while True:
             await asyncio.gather(*(self._look(daemon) for daemon in list(self._daemons)))
             await asyncio.sleep(LOOK_SECONDS)
@@ -28,7 +28,10 @@
         self._ready[daemon.ip] = answer is not None and answer.status == 200
 
     def choose(self, index: int) -> str:
-        """Return the caller endpoint of daemon ``index``, or of the next one that is ready."""
+        """Return the caller endpoint of daemon ``index``, or of the next one that is ready.
+
+        If no daemon is ready, return that of daemon ``index``.
+        """
         count = len(self._daemons)
         for step in range(count):
             daemon = self._daemons[(index + step) % count]
--- a/benchmarks/builds.py
+++ b/benchmarks/builds.py
@@ -1,13 +1,15 @@
-"""Daemons of two builds side by side, while they are replaced one after the other.
+"""Run daemons of two builds side by side, and replace those of the other build one by one.
 
     python -m benchmarks.builds --other=DIR [--seconds=18] [--per-build=3]
 
-DIR holds the sources of another build. Half of the daemons are of it, half of this one, in front
-of four engines; after a third of the time the others are replaced by this build, one a second.
-Figures: links that a daemon closed because it could not read a message, requests sent and served.
+DIR holds the sources of another build. Half of the daemons run that build and half run this one, in
+front of four engines. After a third of the time, the daemons of the other build are replaced by
+this build, one a second. The figures are the links that a daemon closed because it could not read a
+message, and the requests sent and served.
 
-Between two builds without levels 121 links were closed, 90 of them side by side; between either of
-these and this build none (18 s, three daemons of each build, one run each).
+Between two builds whose messages have no compatibility levels, 121 links were closed, 90 of them
+while both builds ran side by side. Between either of these builds and this one, no link was closed
+(18 s, three daemons of each build, one run each).
 """
 
 import asyncio
@@ -34,25 +36,25 @@
 
 @dataclass
 class Daemon:
-    """One daemon process, and where it logs."""
+    """A daemon process and its log file."""
 
     ports: list[int]
     process: subprocess.Popen
     log: Path
 
     def closed_links(self) -> int:
-        """Return how often it closed a link because of what came over it."""
+        """Return how often the daemon closed a link because of a message that it received."""
         return self.log.read_bytes().count(CLOSED)
 
     def end(self) -> None:
-        """End the process in order."""
+        """Stop the process gracefully, and wait until it has ended."""
         self.process.terminate()
         self.process.wait(20)
 
 
 @dataclass
 class Run:
-    """The processes of one run, and what became of its requests."""
+    """The processes of one run, and the counts of its requests."""
 
     fleet: StandinFleet
     folder: Path
@@ -62,7 +64,7 @@
     served: int = 0
 
     def start(self, sources: Path) -> None:
-        """Start a daemon of the build in ``sources``."""
+        """Start a daemon of the build in the folder ``sources``."""
         ports = free_ports(3)
         log = self.folder / f"{ports[0]}.log"
         flags = [
@@ -88,23 +90,23 @@
         self.daemons.append(Daemon(ports, process, log))
 
     def replace(self, daemon: Daemon, sources: Path) -> None:
-        """End a daemon and start one of the build in ``sources``."""
+        """Stop a daemon, and start one of the build in the folder ``sources``."""
         self.daemons.remove(daemon)
         self.ended.append(daemon)
         daemon.end()
         self.start(sources)
 
     async def ask(self) -> None:
-        """Send one request to the next daemon, and count what becomes of it."""
+        """Send one request to the next daemon, and count it as served if it succeeds."""
         daemon = self.daemons[self.sent % len(self.daemons)]
         self.sent += 1
         endpoint = f"127.0.0.1:{daemon.ports[0]}"
-        # There is no answer while the daemon is being replaced.
+        # The response is None while the daemon is being replaced.
         response = await ask(endpoint, "hello", False, output_tokens="20")
         self.served += response is not None and response.code == 200
 
     async def ask_for(self, seconds: float) -> None:
-        """Send requests for so long."""
+        """Send requests at a steady rate for ``seconds``, and wait for their responses."""
         calls = []
         ends_at = asyncio.get_running_loop().time() + seconds
         while asyncio.get_running_loop().time() < ends_at:
@@ -113,7 +115,7 @@
         await asyncio.gather(*calls)
 
     def closed_links(self) -> int:
-        """Return how often any daemon closed a link because of what came over it."""
+        """Return how often any daemon closed a link because of a message that it received."""
         return sum(daemon.closed_links() for daemon in (*self.daemons, *self.ended))
 
 
@@ -143,7 +145,7 @@
 
 
 def main(other: str, seconds: float = 18.0, per_build: int = 3) -> None:
-    """Play one run, and print its figures."""
+    """Run the benchmark once, and print its figures."""
     configure_logs("critical", "benchmark")
     with tempfile.TemporaryDirectory() as folder:
         asyncio.run(_play(Path(other).resolve(), seconds, per_build, Path(folder)))
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,9 +1,9 @@
-"""Measure the slopes from which docs/CAPACITY.md works out each role's cost.
+"""Measure the slopes from which docs/CAPACITY.md computes the cost of each role.
 
     python -m benchmarks.capacity all
 
-Each experiment varies one thing over at least four points, and prints a straight-line fit with its
-largest error. Results go into ``results/capacity.json``.
+Each experiment varies one quantity over at least four points, fits a straight line to the results,
+and prints it with its largest error. ``all`` writes the results to ``results/capacity.json``.
 """
 
 import asyncio
@@ -40,7 +40,7 @@
 
 
 def fit(name: str, points: list[tuple[float, float]]) -> dict:
-    """Print and return the straight line through ``points`` and its largest error."""
+    """Fit a straight line to ``points``; print and return it with its largest error."""
     x, y = np.array(points, dtype=float).T
     slope, start = np.polyfit(x, y, 1)
     error = float(np.abs(slope * x + start - y).max())
@@ -80,10 +80,14 @@
 
 
 class Capacity:
-    """The experiments."""
+    """The experiments, each a command."""
 
     def requests(self) -> dict:
-        """Vary the rate; the pair is the same load on daemons that decide alone."""
+        """Vary the request rate.
+
+        The baseline for processor time is the same load on daemons with ``--scheduling=local``,
+        each of which schedules on its own.
+        """
         rates = (16.0, 32.0, 48.0, 64.0)
         sent, processor, memory = [], [], []
         for rate in rates:
@@ -99,7 +103,7 @@
         }
 
     def daemons(self, counts: tuple[int, ...] = (4, 8, 16, 32, 64, 128)) -> dict:
-        """Vary the daemons of an idle fleet."""
+        """Vary the number of daemons of an idle fleet."""
         sent, processor, memory = [], [], []
         for count in counts:
             figures = asyncio.run(_daemons_point(count))
@@ -113,7 +117,7 @@
         }
 
     def replicas(self, counts: tuple[int, ...] = (6, 85, 340, 680)) -> dict:
-        """Vary the replicas of an idle fleet of 8 daemons in cells of three."""
+        """Vary the number of replicas of an idle fleet of 8 daemons, in cells of three replicas."""
         memory, processor, sent = [], [], []
         for count in counts:
             figures = asyncio.run(_replicas_point(count))
@@ -127,7 +131,10 @@
         }
 
     def changes(self, counts: tuple[int, ...] = (5, 10, 20, 40)) -> dict:
-        """Vary the changes of configuration; the seconds until each is in force everywhere."""
+        """Vary the number of configuration changes.
+
+        Print also the seconds until each change is in force on all daemons.
+        """
         sent, waits = [], []
         for count in counts:
             news, seconds = asyncio.run(_changes_point(count))
@@ -152,7 +159,7 @@
         return {"writes": fit("store writes/s by claimed calls/s", writes), "seconds": waits}
 
     def records(self, counts: tuple[int, ...] = (10, 30, 90, 180)) -> dict:
-        """Vary the backlogged workspaces and pools whose sums one message carries."""
+        """Vary the number of records, one a backlogged workspace, in one message of sums."""
         points = []
         for count in counts:
             records = [SumRecord(digest_of(f"workspace-{n}"), 10**8 + n) for n in range(count)]
@@ -160,12 +167,12 @@
         return {"bytes": fit("bytes of one message of sums by records", points)}
 
     def links(self, counts: tuple[int, ...] = (25, 50, 100, 200)) -> dict:
-        """Vary the links of a process that holds both ends of each."""
+        """Vary the number of links of a process that holds both ends of each."""
         points = [(2 * count, asyncio.run(_links_point(count))) for count in counts]
         return {"rss": fit("MB by ends of links", points)}
 
     def all(self) -> None:
-        """Run all experiments, and write the results."""
+        """Run all experiments, and write the results to a file."""
         names = ("records", "links", "requests", "daemons", "replicas", "changes", "claims")
         results = {name: getattr(self, name)() for name in names}
         RESULTS.parent.mkdir(exist_ok=True)
@@ -173,7 +180,7 @@
 
 
 async def _links_point(count: int) -> float:
-    """Return the megabytes that ``count`` links add to this process."""
+    """Return the megabytes of resident memory that ``count`` links add to this process."""
     hubs = [await _hub() for _ in range(count + 1)]
     before = _rss()
     while len(hubs[0].peers()) < count:
@@ -216,7 +223,7 @@
     deployment = await deploy.start(shape, 8, ("--cell-replicas=3",))
     try:
         choose = deployment.caller
-        # Some load first, so that the dispatchers of cells exist.
+        # The dispatchers of the cells are created only under load.
         await play(deployment, make(_plan(64.0)), choose, drop_after=2.0)
         await asyncio.sleep(2.0)
         return await _idle(deployment, 8.0)
--- a/benchmarks/chat.py
+++ b/benchmarks/chat.py
@@ -1,4 +1,4 @@
-"""What benchmarks on the model interface share: one workspace, one pool, and requests to it."""
+"""Helpers of the benchmarks on the model interface: one workspace, one pool, and chat requests."""
 
 import asyncio
 import json
@@ -16,7 +16,7 @@
 
 
 def objects() -> list[dict]:
-    """Return the workspace ``one`` and the pool ``model``."""
+    """Return the configuration: the workspace ``one``, the pool ``model``, and what they need."""
     return [
         {"kind": "priorityclass", "name": "gold", "weight": 1.0},
         {"kind": "policy", "name": "plain"},
@@ -32,7 +32,7 @@
 
 
 def start_engines(number: int, settings: EngineSettings) -> StandinFleet:
-    """Start a store with ``objects`` and so many engines, ``model-0`` and on."""
+    """Start a store with ``objects``, and ``number`` engines named ``model-0``, ``model-1``, …"""
     fleet = StandinFleet.start(seed=7)
     for count in range(number):
         fleet.add_engine(f"model-{count}", "model", settings)
@@ -41,7 +41,10 @@
 
 
 async def start_fleet(daemons: int, engines: int, settings: EngineSettings) -> StandinFleet:
-    """Start the same, and so many daemons in this process; return when all are ready."""
+    """Start a store, ``engines`` engines, and ``daemons`` daemons in this process.
+
+    Return when all daemons are ready.
+    """
     fleet = start_engines(engines, settings)
     for number in range(daemons):
         await fleet.add_node(f"domain-{number}")
@@ -51,14 +54,14 @@
 
 
 def endpoint_of(node: Node) -> str:
-    """Return the callers' endpoint of a daemon in this process."""
+    """Return the caller endpoint of a daemon in this process."""
     return f"{node.settings.node_ip}:{node.settings.caller_port}"
 
 
 async def ask(endpoint: str, content: str, stream: bool, **metadata: str) -> HTTPResponse | None:
-    """Send a request to the daemon whose callers' endpoint is ``endpoint``.
+    """Send a chat request to the daemon whose caller endpoint is ``endpoint``.
 
-    Return its answer, ``None`` where it broke off or nobody answered.
+    Return the response, or ``None`` if there was none or its connection was closed early.
     """
     client = AsyncHTTPClient(force_instance=True, max_clients=1000)
     try:
--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -1,11 +1,12 @@
-"""How many requests find an idle connection to their replica, by the time that it may be idle.
+"""Simulate how many requests find an idle connection to their replica, by the idle timeout.
 
     python -m benchmarks.connections [--seconds=120] [--seed=1]
 
-A model without processes: 77 nodes, 45 replicas of a model pool with 271 streams a second and 4
-replicas of a service with 133 requests a second. Requests arrive at random; nodes get uneven
-shares of them, and replicas even ones. A stream lasts 1.5 s, a service's request 0.06 s. A node
-keeps at most one, two or four idle connections to a replica. None is open at the start.
+The simulation starts no processes. It has 77 nodes, 45 replicas of a model pool with 271 streams a
+second, and 4 replicas of a service with 133 requests a second. Requests arrive at random; nodes get
+uneven shares of them, and replicas even shares. A stream takes 1.5 s on average, a request to the
+service 0.06 s. A node keeps at most one, two or four idle connections to a replica. No connection
+is open at the start.
 """
 
 import heapq
@@ -19,17 +20,22 @@
 POOLS = {"model": (45, 271.0, 1.5), "service": (4, 133.0, 0.06)}
 IDLE_SECONDS = (1.0, 2.0, 5.0, 10.0, 20.0, 30.0)
 MOST_AT_PLACE = (1, 2, 4)
-# Shares of nodes, of the connections that a hash of their callers gives them.
+# Callers, each bound to one node at random, as a balancer that hashes callers does. This is why
+# the shares of the nodes are uneven.
 CALLERS = 311
 
 
 def _shares(rng: random.Random) -> list[int]:
-    """Return a node for each caller."""
+    """Return the node of each caller."""
     return [rng.randrange(NODES) for _ in range(CALLERS)]
 
 
 class _Model:
-    """One pool, whose connections may be idle for ``idle`` seconds, ``most`` at a place."""
+    """The connections to one pool.
+
+    A connection may be idle for ``idle`` seconds, and at most ``most`` are kept idle between a node
+    and a replica.
+    """
 
     def __init__(self, idle: float, most: int) -> None:
         self._idle_seconds = idle
@@ -59,7 +65,7 @@
 
 
 def _play(idle: float, most: int, seconds: float, seed: int) -> dict[str, float]:
-    """Return the share of requests on new connections, by pool and in all."""
+    """Return the share of requests that open a new connection, by pool and over all pools."""
     rng = random.Random(seed)
     callers = _shares(rng)
     shares = {}
@@ -81,12 +87,12 @@
 
 
 def run(seconds: float = 120.0, seed: int = 1) -> None:
-    """Print the shares."""
+    """Print the share of new connections for each idle timeout and limit of idle connections."""
     for most in MOST_AT_PLACE:
         for idle in IDLE_SECONDS:
             shares = _play(idle, most, seconds, seed)
             told = " ".join(f"{pool} {share:.2f}" for pool, share in shares.items())
-            print(f"idle {idle:.0f} s, {most} at a place: new {told}")
+            print(f"idle timeout {idle:.0f} s, at most {most} idle: new connections {told}")
 
 
 if __name__ == "__main__":
--- a/benchmarks/deployment.py
+++ b/benchmarks/deployment.py
@@ -1,4 +1,7 @@
-"""Start a deployment of the brief as plain processes on loopback, and look at it from outside."""
+"""Start a deployment as processes on loopback, and observe it from outside.
+
+The deployments are the two of ``examples/``.
+"""
 
 import asyncio
 import json
@@ -24,7 +27,7 @@
 
 @dataclass(frozen=True)
 class Shape:
-    """What a deployment has; names follow the brief."""
+    """The failure domains, pools and workspaces of a deployment, named as in ``examples/``."""
 
     name: str
     domains: tuple[str, ...]
@@ -58,7 +61,11 @@
 
 @dataclass(frozen=True)
 class Usage:
-    """What a daemon has used: processor seconds, resident bytes, bytes sent to peers by kind."""
+    """What a daemon has used so far.
+
+    ``cpu`` is processor time in seconds and ``rss`` resident memory in bytes; ``peer_bytes`` and
+    ``peer_messages`` count what was sent to peers, by kind of message.
+    """
 
     cpu: float
     rss: int
@@ -77,12 +84,12 @@
 
     @property
     def caller(self) -> str:
-        """Return the endpoint for callers."""
+        """Return the caller endpoint."""
         return f"{self.ip}:{self.ports[0]}"
 
     @property
     def admin(self) -> AdminClient:
-        """Return a client of the operators' interface."""
+        """Return a client of the admin interface."""
         return AdminClient(f"{self.ip}:{self.ports[1]}", ADMIN_SECRET)
 
     @property
@@ -93,7 +100,7 @@
 
 @dataclass
 class Deployment:
-    """The processes of one run; ``stop`` ends exactly those."""
+    """The processes of one run; ``stop`` kills these and no others."""
 
     shape: Shape
     store: str
@@ -103,7 +110,7 @@
     log: object = subprocess.DEVNULL
 
     def spawn(self, arguments: list[str]) -> subprocess.Popen:
-        """Start a Python process that ends with the deployment."""
+        """Start a Python process that ``stop`` kills."""
         process = subprocess.Popen(
             [sys.executable, *arguments], cwd=ROOT, stdout=self.log, stderr=self.log
         )
@@ -111,7 +118,7 @@
         return process
 
     def add_daemon(self, number: int, *more: str, ports: list[int] | None = None) -> Daemon:
-        """Start daemon ``number`` at an IP number of its own."""
+        """Start daemon ``number`` on its own loopback address."""
         ip = ip_of(number)
         ports = ports or free_ports(3, ip)
         domain = self.shape.domains[number % len(self.shape.domains)]
@@ -136,15 +143,18 @@
         return daemon
 
     def caller(self, index: int) -> str:
-        """Return the endpoint for callers of daemon ``index``, counted round."""
+        """Return the caller endpoint of daemon ``index``, modulo the number of daemons."""
         return self.daemons[index % len(self.daemons)].caller
 
     async def list_daemon(self, daemon: Daemon) -> None:
-        """Put a daemon on the platform's node list."""
+        """Add a daemon to the platform's node list."""
         await self.put("node", daemon.node, {"state": "live"})
 
     async def put(self, kind: str, name: str, value: object) -> None:
-        """Write an object of the platform, whatever version it has."""
+        """Write an object to the store, whatever version it has there.
+
+        Raise ``RuntimeError`` if the store refuses it.
+        """
         path = f"/v1/objects/{kind}/{name}"
         found = await fetch(HttpRequest(self.store, "GET", path, {}), 5.0)
         version = json.loads(found.body)["version"] if found and found.status == 200 else 0
@@ -155,19 +165,22 @@
             raise RuntimeError(f"the stand-in store refused {kind}/{name}")
 
     async def settle(self, daemons: int) -> None:
-        """Wait until every daemon is ready and knows ``daemons`` members."""
+        """Wait until every daemon is ready and sees ``daemons`` members alive.
+
+        Raise ``TimeoutError`` after ``START_SECONDS``.
+        """
         async with asyncio.timeout(START_SECONDS):
             for daemon in self.daemons:
                 while not await _settled(daemon, daemons):
                     await asyncio.sleep(0.1)
 
     async def fault(self, endpoint: str, **faults: object) -> None:
-        """Switch faults of a stand-in on; none given switches them all off."""
+        """Set the faults of a stand-in; without ``faults``, clear them all."""
         body = json.dumps(faults).encode()
         await fetch(HttpRequest(endpoint, "PUT", "/standin/faults", {}, body), 5.0)
 
     async def logs(self) -> dict[str, list[dict]]:
-        """Return the runs that each stand-in upstream has logged."""
+        """Return the runs that each stand-in upstream has logged, by its name."""
         found = {}
         for name, endpoint in self.upstreams.items():
             answer = await fetch(HttpRequest(endpoint, "GET", "/standin/log", {}), 30.0, 64 << 20)
@@ -175,12 +188,12 @@
         return found
 
     async def store_calls(self) -> dict[str, int]:
-        """Return the calls that the store has counted."""
+        """Return how often the store was called, by kind of call."""
         answer = await fetch(HttpRequest(self.store, "GET", "/standin/calls", {}), 5.0)
         return json.loads(answer.body)
 
     def stop(self) -> None:
-        """End all processes of this deployment."""
+        """Kill all processes of this deployment, and wait for their ends."""
         for process in self.processes:
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
@@ -190,7 +203,7 @@
 
 
 def ip_of(number: int) -> str:
-    """Return the loopback IP number of daemon ``number``."""
+    """Return the loopback address of daemon ``number``."""
     return f"127.0.{1 + number // 200}.{10 + number % 200}"
 
 
@@ -203,14 +216,14 @@
 
 
 def usage_of_process(process: subprocess.Popen) -> tuple[float, int]:
-    """Return processor seconds and resident bytes of a process."""
+    """Return the processor time in seconds and the resident memory in bytes of a process."""
     text = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()
     pages = int(Path(f"/proc/{process.pid}/statm").read_text().split()[1])
     return (int(text[11]) + int(text[12])) / CLOCK_TICKS, pages * os.sysconf("SC_PAGE_SIZE")
 
 
 async def usage(daemon: Daemon) -> Usage:
-    """Return what ``daemon`` has used so far."""
+    """Return the processor time, the memory and the peer traffic of ``daemon``."""
     cpu, rss = usage_of_process(daemon.process)
     headers = {"Authorization": f"Bearer {ADMIN_SECRET}"}
     endpoint = f"{daemon.ip}:{daemon.ports[1]}"
@@ -225,7 +238,7 @@
 
 
 def parse_samples(text: str) -> dict[str, dict[str, float]]:
-    """Return the samples of a scrape by metric, then by the label ``kind``."""
+    """Return the samples of a metrics page by metric name, then by the label ``kind``."""
     samples: dict[str, dict[str, float]] = {}
     for line in text.splitlines():
         match = _SAMPLE.match(line)
@@ -250,8 +263,9 @@
     engine: dict | None = None,
     relay: Relay | None = None,
 ) -> Deployment:
-    """Start ``daemons`` daemons of ``shape`` with its upstreams, and wait until all is ready.
+    """Start the store, the upstreams and ``daemons`` daemons of ``shape``, and wait for readiness.
 
+    ``more`` are further flags of the daemons, and ``engine`` the settings of the stand-in engines.
     With ``relay``, the links between daemons go through it.
     """
     store_port = free_ports(1)[0]
--- a/benchmarks/fairness.py
+++ b/benchmarks/fairness.py
@@ -1,8 +1,10 @@
-"""Fairness gap, idle slots and control traffic of 8 daemons; with a baseline in the same run.
+"""Measure the fairness gap, the idle slots and the control traffic of 8 daemons under load.
 
     python -m benchmarks.fairness --runs=5 --baseline
 
-prints the figures of each run and their medians, and writes JSON and a plot into ``results/``.
+prints the figures of each run and their medians, and writes JSON and a plot of each run into
+``results/``. With ``--baseline``, each run is repeated with the same requests and
+``--scheduling=local``, where each daemon schedules on its own.
 """
 
 import asyncio
@@ -109,7 +111,7 @@
 def control_figures(
     before: list[deploy.Usage], after: list[deploy.Usage], elapsed: float, requests: int
 ) -> dict:
-    """Return what the daemons spent on control between two looks at them."""
+    """Return the control traffic, processor time and memory of daemons between two measurements."""
     kinds: dict[str, float] = {}
     for new, old in _pairs(after, before):
         for kind, value in new.peer_bytes.items():
@@ -155,7 +157,7 @@
 
 
 class Fairness:
-    """The experiment; see the module's text."""
+    """The experiment; see the doc comment of the module."""
 
     def __call__(
         self,
@@ -169,7 +171,11 @@
         flags: str = "",
         name: str = "fairness",
     ) -> None:
-        """Run the experiment ``runs`` times; ``flags`` are further flags of the daemons."""
+        """Run the experiment ``runs`` times.
+
+        ``flood`` lets one workspace flood the fleet in the middle third of a run, ``flags`` are
+        further flags of the daemons, and ``name`` is the prefix of the files in ``results/``.
+        """
         chosen = deploy.SHAPES[shape]
         weights = deploy.workspaces(chosen)
         RESULTS.mkdir(exist_ok=True)
--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -1,9 +1,9 @@
-"""Provoke faults under load on 8 daemons, alone and in pairs, and audit the promises.
+"""Inject faults under load into 8 daemons, alone and in pairs, and audit the guarantees.
 
     python -m benchmarks.faults
 
-The audit joins what the callers saw with the upstreams' own logs. A table is printed, and written
-with all figures into ``results/faults.json``.
+The audit joins the records of the callers with the logs of the upstreams. It prints a table, and
+writes all figures to ``results/faults.json``.
 """
 
 import asyncio
@@ -36,7 +36,12 @@
 
 @dataclasses.dataclass
 class Scene:
-    """One run: its processes, and what the faults did."""
+    """The processes of one run, and the times and results of its faults.
+
+    ``left`` and ``stopped`` hold, by replica, when it was listed as leaving and until when the
+    audit counts the requests that reach it, in seconds since the Unix epoch. ``exit_codes`` are
+    those of daemons that were asked to stop.
+    """
 
     deployment: deploy.Deployment
     relay: Relay
@@ -45,7 +50,7 @@
     exit_codes: list[int] = dataclasses.field(default_factory=list)
 
     def daemon(self, number: int) -> deploy.Daemon:
-        """Return a daemon by number."""
+        """Return the daemon with this number."""
         return self.deployment.daemons[number]
 
 
@@ -53,7 +58,7 @@
 
 
 async def kill(scene: Scene) -> None:
-    """Kill a daemon, and start it again, empty, after a while."""
+    """Kill a daemon, and restart it without state after half of the fault's duration."""
     victim = scene.daemon(2)
     victim.process.kill()
     await asyncio.sleep(FAULT_SECONDS / 2)
@@ -66,7 +71,7 @@
 
 
 async def kill_dispatcher(scene: Scene) -> None:
-    """Kill the daemon that dispatches the model pool, and start it again."""
+    """Kill the daemon that dispatches the model pool, and restart it."""
     for daemon in scene.deployment.daemons:
         reply = await daemon.admin.call("GET", "/v1/status")
         cells = [cell["cell"] for cell in reply.body.get("cells", []) if cell["in_flight"]]
@@ -78,7 +83,7 @@
 
 
 async def pause(scene: Scene) -> None:
-    """Stop a daemon's process without its knowing, and let it go on."""
+    """Suspend the process of a daemon with ``SIGSTOP``, and resume it."""
     victim = scene.daemon(3)
     victim.process.send_signal(signal.SIGSTOP)
     await asyncio.sleep(FAULT_SECONDS)
@@ -86,7 +91,7 @@
 
 
 async def partition(scene: Scene) -> None:
-    """Part three daemons from the other five."""
+    """Cut three daemons off from the other five, in both directions."""
     ips = [daemon.ip for daemon in scene.deployment.daemons]
     scene.relay.cut(ips[:3], ips[3:])
     await asyncio.sleep(FAULT_SECONDS)
@@ -94,7 +99,7 @@
 
 
 async def one_way(scene: Scene) -> None:
-    """Let nothing through from one daemon to the others, but all the other way."""
+    """Drop everything that one daemon sends to the others, but nothing that they send to it."""
     ips = [daemon.ip for daemon in scene.deployment.daemons]
     scene.relay.cut(ips[4:5], ips[:4] + ips[5:], both=False)
     await asyncio.sleep(FAULT_SECONDS)
@@ -118,18 +123,18 @@
 
 
 async def store_lossy(scene: Scene) -> None:
-    """Lose a third of the store's replies, and the first event of half of the watches."""
+    """Lose 0.3 of the store's replies, and the first event of half of the watches."""
     await _store(scene, lose_replies=0.3, drop_watches=0.5)
 
 
 async def leave(scene: Scene) -> None:
-    """List a model replica as leaving, then as live again."""
+    """List a model replica as leaving (draining before it stops) for the rest of the run."""
     name = f"{SHAPE.model_pool}-1"
     value = {"pool": SHAPE.model_pool, "endpoint": scene.deployment.upstreams[name]}
     try:
         await scene.deployment.put("upstream", name, {**value, "state": "leaving"})
     except RuntimeError:
-        # The platform's list cannot say so while the store is down; the engine does.
+        # The store cannot list it while it is down, so the engine reports it.
         await scene.deployment.fault(scene.deployment.upstreams[name], leaving=True)
     scene.left[name] = time.time()
     await asyncio.sleep(FAULT_SECONDS)
@@ -137,7 +142,7 @@
 
 
 async def rolling_restart(scene: Scene) -> None:
-    """Stop every daemon as planned, one after the other, and start it again."""
+    """Stop every daemon gracefully, one after the other, and restart it."""
     for daemon in scene.deployment.daemons:
         daemon.process.send_signal(signal.SIGTERM)
         scene.exit_codes.append(await asyncio.to_thread(daemon.process.wait))
@@ -146,7 +151,7 @@
 
 
 async def restart_all(scene: Scene) -> None:
-    """Kill all daemons at once, and start them again, empty."""
+    """Kill all daemons at once, and restart them without state."""
     for daemon in scene.deployment.daemons:
         daemon.process.kill()
     for daemon in scene.deployment.daemons:
@@ -176,7 +181,11 @@
 
 
 class Operator:
-    """Change the configuration every few seconds, and watch versions."""
+    """An operator who changes the configuration every few seconds and checks versions.
+
+    ``waits`` are the seconds until each change was in force, ``refused`` counts the changes that
+    daemons refused, and ``went_back`` how often a daemon reported an older version than before.
+    """
 
     def __init__(self, deployment: deploy.Deployment) -> None:
         self._deployment = deployment
@@ -186,7 +195,7 @@
         self.went_back = 0
 
     async def change(self) -> None:
-        """Change until cancelled."""
+        """Change the configuration until cancelled."""
         number = 0
         while True:
             await asyncio.sleep(CHANGE_EVERY)
@@ -207,7 +216,10 @@
         self.waits.append(time.time() - since)
 
     async def look(self, version: int) -> bool:
-        """Say whether every daemon that answers has ``version``, and note what went back."""
+        """Return whether every daemon that responds has ``version`` or a newer one.
+
+        Count each daemon that reports an older version than it did before.
+        """
         replies = await asyncio.gather(
             *(asyncio.wait_for(self._status(daemon), 2.0) for daemon in self._deployment.daemons),
             return_exceptions=True,
@@ -225,7 +237,7 @@
 
 
 async def run_scene(faults: tuple[Fault, ...], seconds: float, rate: float, seed: int) -> dict:
-    """Play one scene, and return its audit."""
+    """Run the workload with ``faults``, and return the audit."""
     relay = Relay()
     deployment = await deploy.start(SHAPE, DAEMONS, ("--drain-seconds=60",), relay=relay)
     scene = Scene(deployment, relay)
@@ -284,7 +296,7 @@
 
 
 def _unserved(seen: list[Seen], served: set[int]) -> dict[str, int]:
-    """Return how the last tries of requests ended that nobody served."""
+    """Return how the last attempts of the requests that were never served ended."""
     last = {record.ask.number: record for record in seen}
     counts: dict[str, int] = {}
     for number, record in last.items():
@@ -318,12 +330,12 @@
 
 
 class Faults:
-    """The experiment; see the module's text."""
+    """The experiment; see the doc comment of the module."""
 
     def __call__(
         self, only: str = "", seconds: float = 20.0, rate: float = 64.0, seed: int = 5
     ) -> None:
-        """Play all scenes, or the one named ``only``."""
+        """Run all scenarios, or only the one named ``only``."""
         results = {}
         for name, faults in FAULTS.items():
             if only in ("", name):
--- a/benchmarks/overhead.py
+++ b/benchmarks/overhead.py
@@ -1,8 +1,9 @@
-"""What an uncontended call costs more than the same call made directly to the stand-in.
+"""Measure the latency that an uncontended call gains by going through a daemon.
 
     python -m benchmarks.overhead
 
-Calls are made in pairs in one run, one after the other, to 8 idle daemons in turn.
+Each call is made directly to the stand-in upstream and through one of 8 idle daemons, in pairs. All
+calls are made one after the other, and the daemons take turns.
 """
 
 import asyncio
@@ -20,7 +21,7 @@
 
 
 class _FirstByte(Collector):
-    """Note when the first byte of the body came."""
+    """Collect the answer, and record when the first byte of its body arrived."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -32,7 +33,7 @@
 
 
 async def _timed(request: HttpRequest) -> tuple[float, float]:
-    """Return the seconds until the first byte and until the end."""
+    """Return the seconds until the first byte of the answer and until its end."""
     receiver = _FirstByte()
     begin = time.perf_counter()
     await exchange(request, receiver)
@@ -95,7 +96,7 @@
 
 
 def main(pairs: int = 200) -> None:
-    """Run the experiment."""
+    """Run the experiment with ``pairs`` pairs of each kind of call."""
     asyncio.run(_run(pairs))
 
 
--- a/benchmarks/play.py
+++ b/benchmarks/play.py
@@ -1,4 +1,4 @@
-"""Play a workload against the daemons, and record what every caller saw."""
+"""Send the requests of a workload to the daemons, and record what each caller received."""
 
 import asyncio
 import time
@@ -14,7 +14,12 @@
 
 @dataclass
 class Seen:
-    """What the caller of one request saw; times are in seconds since the Unix epoch."""
+    """What the caller of one request received; times are in seconds since the Unix epoch.
+
+    ``request`` is the id that the daemon returned, ``first_at`` the time of the first byte of the
+    body. ``whole`` tells whether the answer was complete, ``own`` whether it belonged to this
+    request.
+    """
 
     ask: Ask
     sent_at: float
@@ -31,7 +36,7 @@
 
 
 class _Caller:
-    """Receive one answer, and judge whether it is whole and the caller's own."""
+    """Receive one answer, and check that it is complete and belongs to its request."""
 
     def __init__(self, seen: Seen) -> None:
         self._seen = seen
@@ -84,10 +89,11 @@
     drop_after: float = 0.0,
     tries: int = 1,
 ) -> list[Seen]:
-    """Send each request at its time to ``choose(ask.daemon)``; return what the callers saw.
+    """Send each request at its time to the endpoint ``choose(ask.daemon)``.
 
-    A caller whose request came to nothing asks another daemon, ``tries`` times in all. Requests
-    that have not ended ``drop_after`` seconds after the last one was sent are given up.
+    A caller whose request fails retries with the next daemon, and makes at most ``tries`` attempts.
+    Requests that have not ended ``drop_after`` seconds after the last one was sent are cancelled;
+    0 means that all are waited for. Return a record of each attempt.
     """
     begin = time.time() + 0.2
     tasks = []
@@ -120,7 +126,7 @@
 
 
 async def call(deployment: Deployment, endpoint: str, seen: Seen) -> None:
-    """Make one call, and record what comes of it."""
+    """Make one call, and record its answer or its failure in ``seen``."""
     method, path, body = seen.ask.http(deployment.shape)
     headers = {"Authorization": f"Bearer rs-demo-{seen.ask.workspace}"}
     if seen.ask.label == "once":
--- a/benchmarks/processor.py
+++ b/benchmarks/processor.py
@@ -2,10 +2,10 @@
 
     python -m benchmarks.processor [--other=DIR] [--runs=3] [--seconds=8] [--rate=100]
 
-A fleet of processes is played ``runs`` times for this build and, with ``other``, for the build in
-the sources DIR, by turns. All figures are processor time (user and system) of the daemons:
-milliseconds to start one until it is ready, milliseconds a second of an idle one, and milliseconds
-a plain request over all daemons, what they use when idle taken off.
+A fleet of processes is run ``runs`` times with this build and, with ``--other``, alternately with
+the build whose sources are in DIR. All figures are processor time (user and system) of the daemons:
+milliseconds to start a daemon until it is ready, milliseconds a second of an idle daemon, and
+milliseconds a plain request over all daemons, less what they use when idle.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 
 DAEMONS = 3
 REPLICAS = 4
-# What daemons do while they get to know each other is no part of the figures.
+# The work of daemons while they connect to each other does not count.
 SETTLE_SECONDS = 4.0
 TARGET = "/again/plain"
 TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
@@ -31,7 +31,10 @@
 
 @dataclass(frozen=True)
 class Figures:
-    """The figures of one run, in milliseconds of processor time."""
+    """The figures of one run, in milliseconds of processor time, and the served requests.
+
+    ``start`` is per daemon, ``idle`` per daemon and second, and ``request`` per served request.
+    """
 
     start: float
     idle: float
@@ -40,11 +43,11 @@
 
 
 def used_ms(fleet: ProcessFleet) -> float:
-    """Return the milliseconds of processor time that the daemons have used until now."""
+    """Return the processor time that all daemons have used until now, in milliseconds."""
     ticks = 0
     for daemon in fleet.daemons:
         stat = Path(f"/proc/{daemon.process.pid}/stat").read_text()
-        # User and system time are the 14th and 15th field; the second one may hold blanks.
+        # User and system time are the fields 14 and 15; field 2, the name, may contain spaces.
         fields = stat.rsplit(")", 1)[1].split()
         ticks += int(fields[11]) + int(fields[12])
     return 1000 * ticks / TICKS_PER_SECOND
@@ -57,7 +60,7 @@
 
 
 async def _load(fleet: ProcessFleet, seconds: float, rate: float) -> int:
-    """Send requests at a steady rate, and return how many were served."""
+    """Send ``rate`` requests a second for ``seconds``, and return how many were served."""
     loop = asyncio.get_running_loop()
     begin = loop.time()
     calls = []
--- a/benchmarks/promises.py
+++ b/benchmarks/promises.py
@@ -1,6 +1,6 @@
-"""What the replicas and the store of a soak saw, held against the promises of the fleet.
+"""Check the guarantees of the fleet against what the replicas and the store of a soak recorded.
 
-Each check returns findings as text, none where the promise held.
+Each check returns its findings as texts; no findings mean that the guarantee held.
 """
 
 from collections import Counter
@@ -13,19 +13,20 @@
 EXPOSE_SLACK = 50
 ROLLBACK_SECONDS = 5.0
 BAD_ANSWERS = 50
-# Bad by half from the start, whatever the load.
+# Versions with these faults give half or all of their answers badly from the start, under any load.
 ALWAYS_BAD = (Fault.FAILS, Fault.SLOW)
-# A daemon that was disturbed so long before an order may have made its answers slow, or cut them.
+# A daemon that was killed, stopped or paused at most this long before a rollout was ordered may
+# have delayed the version's answers or cut them off, so that a good version was rolled back.
 EXPLAINS_SECONDS = 6.0
 ENDS = ("succeeded", "rolled_back")
 NOT_RUN = 503
 ONCE = "/once/"
-# Requests whose ids begin so are of a workspace that is bound to one region.
+# The prefix of the ids of requests whose workspace is restricted to one region.
 BOUND = "n-"
 
 
 def findings(fleet: ProcessFleet, orders: Orders, allowed_zones: tuple[str, ...]) -> list[str]:
-    """Return all promises that were broken."""
+    """Return a finding for each violation of a guarantee."""
     found = [*_repeated(fleet), *_untrue(fleet), *_out_of_region(fleet, allowed_zones)]
     for order in orders.orders:
         found += [*_exposed(orders, order), *_late(fleet, order), *_wrong_end(fleet, order)]
@@ -33,7 +34,7 @@
 
 
 def told(orders: Orders) -> list[str]:
-    """Return how each order went, and what its version received until the deadline."""
+    """Describe how each rollout went, and what its version received until the deadline."""
     lines = []
     for order in orders.orders:
         received, of = _arrivals(orders, order)
@@ -43,7 +44,7 @@
 
 
 def _arrivals(orders: Orders, order: Order) -> tuple[int, int]:
-    """Return how many requests an order's version and all versions got until its deadline."""
+    """Return how many requests the ordered version and all versions received until its deadline."""
     begins, ends = order.ordered_at, order.deadline
     counts = {
         version.name: sum(begins <= at < ends for at in version.arrivals)
@@ -53,11 +54,12 @@
 
 
 def _ids(fleet: ProcessFleet) -> Counter[str]:
-    """Return how often replicas received each request."""
+    """Return how often replicas received each request, by its id."""
     return Counter(got.headers["Request-Id"] for each in fleet.replicas for got in each.received)
 
 
 def _repeated(fleet: ProcessFleet) -> list[str]:
+    """Return the requests on a route without repeats that ran more than once."""
     return [
         f"{name} ran {count} times"
         for name, count in _ids(fleet).items()
@@ -66,6 +68,7 @@
 
 
 def _untrue(fleet: ProcessFleet) -> list[str]:
+    """Return the requests that ran although a daemon answered that they had not."""
     ran = _ids(fleet)
     return [
         f"{name} was refused as not run by {call.daemon.node}, and ran"
@@ -75,6 +78,7 @@
 
 
 def _out_of_region(fleet: ProcessFleet, allowed_zones: tuple[str, ...]) -> list[str]:
+    """Return the requests restricted to one region that were sent to another one."""
     return [
         f"{got.headers['Request-Id']} was sent to {each.name} in {fleet.zones[each.name]}"
         for each in fleet.replicas
@@ -85,7 +89,7 @@
 
 
 def _exposed(orders: Orders, order: Order) -> list[str]:
-    """Return whether a bad version received more until its deadline than it may."""
+    """Return a finding if a bad version received more than its limit until the deadline."""
     if order.version.fault is Fault.NONE:
         return []
     received, of = _arrivals(orders, order)
@@ -94,7 +98,12 @@
 
 
 def _late(fleet: ProcessFleet, order: Order) -> list[str]:
-    """Return what daemons that were well sent to a version known to be bad for too long."""
+    """Return a finding if daemons kept sending requests to a version known to be bad.
+
+    A version is known to be bad from its bad answer number ``BAD_ANSWERS`` on, and may receive
+    requests for another ``ROLLBACK_SECONDS``. Requests count only from daemons that have run,
+    reached the store and reached their peers since the version was known to be bad.
+    """
     bad = sorted(order.version.bad_answers)
     if len(bad) < BAD_ANSWERS or order.version.fault is Fault.NONE:
         return []
@@ -112,6 +121,7 @@
 
 
 def _wrong_end(fleet: ProcessFleet, order: Order) -> list[str]:
+    """Return a finding if a bad version succeeded, or a good one was rolled back for no reason."""
     if order.ended == "succeeded" and order.version.fault in ALWAYS_BAD:
         return [f"{order}: succeeded though bad"]
     if order.ended != "rolled_back" or order.version.fault is not Fault.NONE:
@@ -122,14 +132,14 @@
 
 
 def _changed_ends(fleet: ProcessFleet) -> list[str]:
-    """Return statuses that followed the end of the same order."""
+    """Return the statuses that replaced a final status of the same order."""
     found, spec, before, last = [], None, None, None
     for item, gone in _changes(fleet):
         status = item.get("status")
         if gone:
             spec, before, last = None, None, None
         elif item["spec"] != spec and _readable(item["spec"]):
-            # The status is still that of the order before.
+            # The status in this item is still that of the previous order.
             spec, before, last = item["spec"], status, None
         elif status != (last or before):
             if last and last["state"] in ENDS and last["target_version"] == spec["target_version"]:
@@ -139,7 +149,7 @@
 
 
 def _changes(fleet: ProcessFleet) -> list[tuple[dict, bool]]:
-    """Return the store's changes of orders of the service that is used."""
+    """Return the store's changes of rollout orders, except those of the unused service."""
     return [
         (item, gone)
         for kind, item, gone in fleet.store.changes
@@ -148,12 +158,13 @@
 
 
 def _readable(spec: dict) -> bool:
-    """Say whether an order is one: others leave the one before in force."""
+    """Return whether an order is valid; an invalid one leaves the previous order in force."""
     seconds, version = spec["duration_s"], spec["target_version"]
     return isinstance(seconds, float) and seconds > 0 and isinstance(version, str) and version != ""
 
 
 def _unused_end(fleet: ProcessFleet) -> list[str]:
+    """Return a finding if the rollout of the service that nobody calls has ended."""
     status = fleet.store.objects[(KIND, UNUSED)].get("status")
     ended = bool(status) and status["state"] in ENDS
     return [f"a version that nobody called: {status}"] if ended else []
--- a/benchmarks/quarantine.py
+++ b/benchmarks/quarantine.py
@@ -1,16 +1,19 @@
-"""Requests that end engines, and engines that end with nobody to blame: both kinds of error.
+"""Measure both errors of the quarantine: missed harmful requests, and harmless ones held back.
 
     python -m benchmarks.quarantine [--seconds=24] [--off]
 
-Four daemons in one process, nine engines; one that ended is back after 1.5 s under a new name.
-Two runs: in the first one a request ends each engine that runs it, and is sent every 0.4 s to each
-daemon in turn; in the second one an engine ends each second by itself. In both, one popular request
-and as many different ones are sent beside. ``--off`` remembers nothing of requests, as a pair.
-
-Without a memory (--off), two runs of 24 s: 107 and 108 engines end, 89 and 90 of them over 3 s
-after the third; with it, two runs, 3 and 3, none of them later. Beside it 0.65 to 0.71 of both the
-popular request and the different ones are served without, all with it. Where engines end by
-themselves 0.983 and 0.987 are served without, 0.987 and 0.983 with it, and none is held back.
+Four daemons run in one process, with nine engines. An engine that crashed is replaced after 1.5 s
+by one with a new name. There are two runs. In the first, a request crashes each engine that runs
+it, and is sent every 0.4 s, to the daemons in turn. In the second, an engine crashes each second
+for no reason. In both runs one popular request, which is always the same, and as many different
+requests are also sent. ``--off`` turns the quarantine off, for comparison.
+
+With a harmful request and without the quarantine (--off), 107 and 108 engines crashed in two runs
+of 24 s, 89 and 90 of them more than 3 s after the third crash. With the quarantine, 3 and 3 engines
+crashed in two runs, none of them later. Of both the popular and the different requests, 0.65 to
+0.71 were served without the quarantine, and all with it. Where engines crash for no reason, 0.983
+and 0.987 of the requests were served without the quarantine, 0.987 and 0.983 with it, and none was
+held back.
 """
 
 import asyncio
@@ -33,14 +36,14 @@
 HARMFUL_EVERY_SECONDS = 0.4
 END_EVERY_SECONDS = 1.0
 BESIDE_EVERY_SECONDS = 0.1
-# Everybody in touch has heard of the third end by then.
+# By this time after the third crash, all connected daemons have received the update about it.
 HEARD_SECONDS = 3.0
 SETTINGS = EngineSettings(slots=8, decode_rate=100.0)
 
 
 @dataclass
 class Count:
-    """How many of some requests were sent, served, and held back."""
+    """How many requests of one kind were sent, served, and quarantined."""
 
     sent: int = 0
     served: int = 0
@@ -48,38 +51,38 @@
 
     @property
     def share(self) -> float:
-        """Return the share that was served."""
+        """Return the share of the requests that was served."""
         return round(self.served / max(1, self.sent), 3)
 
 
 @dataclass
 class Run:
-    """One run: the fleet, and what became of the requests by their kind."""
+    """The fleet of one run, and the counts of its requests by their kind."""
 
     fleet: StandinFleet
     counts: dict[str, Count] = field(default_factory=dict)
     replaced: set[str] = field(default_factory=set)
 
     async def ask(self, kind: str, content: str, harmful: bool = False) -> None:
-        """Send one request to the next daemon, and count what becomes of it."""
+        """Send one request to the next daemon, and count its result."""
         count = self.counts.setdefault(kind, Count())
         node = self.fleet.nodes[count.sent % DAEMONS]
         count.sent += 1
         crash = {"crash": "1"} if harmful else {}
         response = await ask(endpoint_of(node), content, True, output_tokens="30", **crash)
         if response is None:
-            # The stream broke off midway.
+            # The stream was cut off, or nobody answered.
             return
         count.served += response.code == 200 and b"[DONE]" in (response.body or b"")
         count.held += response.headers.get("X-Railsail-Reason") == "quarantined"
 
     def ended(self) -> list[Engine]:
-        """Return the engines that have ended, in order."""
+        """Return the engines that have crashed, in the order of their crashes."""
         ended = [engine for engine in self.fleet.engines.values() if engine.crashed_at]
         return sorted(ended, key=lambda engine: engine.crashed_at)
 
     async def replace_ended(self) -> None:
-        """Start an engine under a new name for each that has ended, until cancelled."""
+        """Replace each crashed engine by one with a new name, until cancelled."""
         while True:
             for engine in self.ended():
                 back = engine.crashed_at + BACK_SECONDS < time.time()
@@ -91,7 +94,7 @@
             await asyncio.sleep(0.05)
 
     def end_one(self) -> None:
-        """End the engine that has been up for longest."""
+        """Crash the engine that has run for the longest time."""
         running = [engine for engine in self.fleet.engines.values() if not engine.crashed_at]
         if running:
             running[0].crash()
@@ -136,15 +139,15 @@
 
 
 def main(seconds: float = 24.0, off: bool = False) -> None:
-    """Play both runs, and print their figures."""
+    """Run both parts of the benchmark, and print their figures."""
     configure_logs("critical", "benchmark")
     logging.getLogger("tornado").setLevel(logging.CRITICAL)
     never = mock.patch.object(
         table, "MAX_REQUESTS_PER_CRASH", 0 if off else table.MAX_REQUESTS_PER_CRASH
     )
     with never:
-        print("a request that ends engines", asyncio.run(_run(seconds, harmful=True)))
-        print("engines that end by themselves", asyncio.run(_run(seconds, harmful=False)))
+        print("a request that crashes engines", asyncio.run(_run(seconds, harmful=True)))
+        print("engines that crash for no reason", asyncio.run(_run(seconds, harmful=False)))
 
 
 if __name__ == "__main__":
--- a/benchmarks/regions.py
+++ b/benchmarks/regions.py
@@ -1,10 +1,11 @@
-"""Ways to dispatch a pool over several regions, compared in a model with the fleet's own decisions.
+"""Compare strategies to dispatch a pool over several regions, in a discrete-event simulation.
 
     python -m benchmarks.regions compare --flood=4 --seconds=20
 
-prints for each way what callers waited, what was served and in time, and how much crossed regions.
-The dispatchers, cells and overflow are those of the product; the ways between regions, the engines
-and the callers are modelled. Sums of service are not exchanged between cells here.
+prints for each strategy how long callers waited, how many requests were served and how many in
+time, and how much crossed regions. Dispatchers, cells and overflow are railsail's own code; the
+network between regions, the engines and the callers are simulated. Cells do not exchange sums of
+service here.
 """
 
 import dataclasses
@@ -33,22 +34,28 @@
 FAR_SECONDS = 0.02
 NEAR_SECONDS = 0.001
 LOOK_SECONDS = 0.006
-# An entry waits so much longer than a ticket may for its dispatcher's word.
+# The time beyond a ticket's maximum wait in which the entry still accepts a grant.
 DECISION_SECONDS = 0.025
-# Tokens that an engine reads in a second, seconds a step, and tokens of prompts kept in memory.
+# An engine's prefill rate in tokens a second, the time of one decoding step, and the size of its
+# prefix cache.
 READ_RATE = 61_800.0
 STEP_SECONDS = 0.0031
 MEMORY_TOKENS = 400_000
 FAIR_WINDOW_SECONDS = 4.0
 WORKSPACES = 30
 FLOODER = "flooder"
-# The part of a run that is not counted, while prompts are read for the first time.
+# The share of a run at its start that is not counted, because the prefix caches are still empty.
 WARM_SHARE = 0.25
 
 
 @dataclass(frozen=True)
 class Kind:
-    """A kind of request: calls a second, tokens, how many beginnings there are, seconds of aim."""
+    """A kind of request.
+
+    ``rate`` is in requests a second over all regions. A prompt has ``shared`` tokens of one of
+    ``beginnings`` prefixes, and ``own`` tokens of its own; the answer has ``output`` tokens. The
+    first token should arrive within ``objective`` seconds.
+    """
 
     rate: float
     shared: int
@@ -65,16 +72,18 @@
 )
 
 
-# Calls of a plain service, which take as long as so many steps of an engine.
+# Calls of a plain service. Each takes as long as ``output`` decoding steps of an engine.
 SERVICE_KINDS = (Kind(98.0, 0, 0, 29, 1, 0.5),)
 
 
 @dataclass(frozen=True)
 class Way:
-    """A way to dispatch.
+    """A strategy to dispatch.
 
-    ``near`` prefers a replica of the entry's region within a cell; ``one_home`` sends a prompt with
-    a long beginning to the region of the one replica that should have it.
+    With ``by_region``, each region has cells of its own; otherwise the cells span all regions. With
+    ``passes``, an overloaded cell moves tickets to cells of other regions. ``near`` prefers a
+    replica of the entry's region within a cell. ``one_home`` sends a prompt with a long prefix to
+    the region of the one replica that owns the prefix.
     """
 
     name: str
@@ -88,16 +97,17 @@
     Way("one cell", by_region=False),
     Way("one cell, near replicas first", by_region=False, near=True),
     Way("cells by region, each alone", by_region=True),
-    Way("cells by region, tickets passed on", by_region=True, passes=True),
-    Way("the same, one home over all regions", by_region=True, passes=True, one_home=True),
+    Way("cells by region, tickets moved", by_region=True, passes=True),
+    Way("the same, one prefix owner over all regions", by_region=True, passes=True, one_home=True),
 )
 
 
 @dataclass(frozen=True)
 class Shape:
-    """A pool and its callers: each kind comes ``load`` times as often as it says.
+    """A pool and its callers.
 
-    One workspace asks for ``flood`` times a region's usual requests in the first region.
+    Each kind of request arrives at ``load`` times its rate. One workspace sends ``flood`` times the
+    usual requests of a region, all in the first region.
     """
 
     replicas: int
@@ -108,7 +118,7 @@
 
 
 class NearFirst(Placing):
-    """Choose a replica in the region of the ticket's entry, another one where none has room."""
+    """Prefer replicas in the region of the ticket's entry to those of other regions."""
 
     def choose(
         self,
@@ -117,7 +127,7 @@
         now: float,
         standing: ShareState = ShareState.EVEN,
     ) -> ReplicaRoom | None:
-        """Return the replica that ``ticket`` is bound to, as ``Placing`` does."""
+        """Return the replica for ``ticket``, or ``None`` if it has to wait."""
         near = dataclasses.replace(ticket, regions=(ticket.entry,))
         found = super().choose(near, openings, now, standing)
         return found or super().choose(ticket, openings, now, standing)
@@ -125,7 +135,7 @@
 
 @dataclass
 class Engine:
-    """A replica: reads one prompt after the other, and keeps beginnings in memory."""
+    """A replica that prefills one prompt after the other and caches prefixes (LRU)."""
 
     name: str
     region: str
@@ -134,7 +144,7 @@
     memory: OrderedDict[int, int] = field(default_factory=OrderedDict)
 
     def read(self, prefix: int, kind: Kind, now: float) -> tuple[float, bool]:
-        """Return when a prompt will have been read, and whether its beginning was kept."""
+        """Prefill a prompt; return when it will be done, and whether its prefix was cached."""
         kept = prefix in self.memory
         tokens = kind.own + (0 if kept else kind.shared)
         self.free_at = max(self.free_at, now) + tokens / (READ_RATE * self.speed)
@@ -147,7 +157,12 @@
 
 @dataclass
 class Call:
-    """A request and what became of it; ``engine`` is empty while it was sent to none."""
+    """A request and its result.
+
+    ``engine`` is empty until the request was sent to one. ``waited`` is the time until the grant,
+    in seconds; ``in_time`` tells whether the first token met the objective, and ``kept`` whether
+    the prefix was cached.
+    """
 
     ticket: Ticket
     kind: Kind
@@ -159,7 +174,11 @@
 
 
 class Model:
-    """Play callers of three regions against one way to dispatch."""
+    """A simulation of the callers of three regions and one strategy to dispatch.
+
+    It counts the grants that reached their entry ``too_late``, the tickets ``passed`` to another
+    region, and the ``hints``, which are the messages between cells.
+    """
 
     def __init__(self, way: Way, seed: int, shape: Shape) -> None:
         self._way = way
@@ -201,11 +220,11 @@
         return made
 
     def at(self, after: float, do: Callable, *arguments: object) -> None:
-        """Do something ``after`` so many seconds."""
+        """Call ``do(*arguments)`` ``after`` seconds from now."""
         heapq.heappush(self._events, (self._now + after, next(self._order), do, arguments))
 
     def run(self, seconds: float) -> None:
-        """Play ``seconds``, and let what came until then end."""
+        """Simulate arrivals for ``seconds``, and continue until all requests have ended."""
         self._plan(seconds)
         while self._events:
             self._now, _, do, arguments = heapq.heappop(self._events)
@@ -246,7 +265,8 @@
             heapq.heappush(self._events, (now, next(self._order), self._come, (ticket,)))
 
     def _region(self, cell: Cell) -> str:
-        # A pool that is one cell is dispatched by whichever node hashing names.
+        # A cell that spans all regions is dispatched by the node that consistent hashing chooses,
+        # which may be in any region.
         return cell.region or REGIONS[-1]
 
     def _seconds(self, left: str, right: str) -> float:
@@ -350,7 +370,7 @@
 
 
 def figures(model: Model, seconds: float) -> dict[str, float]:
-    """Return what was measured of all calls but those of the first part of the run."""
+    """Return the figures of all calls, except those that arrived during the warm-up."""
     calls = [c for c in model.calls.values() if c.came_at >= WARM_SHARE * seconds]
     own = [call for call in calls if call.ticket.workspace != FLOODER]
     served = [call for call in calls if call.engine]
@@ -373,8 +393,8 @@
         "grants too late": model.too_late,
         "requests that crossed a region": len(crossed) / len(served),
         "1,000 prompt tokens that crossed": tokens / 1000,
-        "1,000 shared tokens read anew": anew / 1000,
-        "tickets passed on": model.passed,
+        "1,000 shared tokens prefilled without a cache hit": anew / 1000,
+        "tickets moved": model.passed,
         "hints": model.hints,
     }
 
@@ -387,11 +407,11 @@
     runs: int = 3,
     seed: int = 1,
 ) -> None:
-    """Print the figures of each way, medians of ``runs`` seeds.
+    """Print the figures of each strategy, as medians over ``runs`` seeds.
 
-    ``load`` multiplies what all regions ask. ``flood`` is how many times a region's usual requests
-    one workspace asks for in the first region, after a third of the run. With ``service`` the pool
-    is a plain service with two replicas in each region.
+    ``load`` multiplies the request rate of all regions. After a third of the run, one workspace
+    sends ``flood`` times the usual requests of a region, all in the first region. With
+    ``service``, the pool is a plain service with two replicas in each region.
     """
     shape = Shape(56, 12, KINDS, load, flood)
     if service:
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -1,9 +1,9 @@
-"""A relay in front of each daemon's peer port, which can cut the path between two nodes.
+"""A relay in front of each daemon's peer port, which can cut or delay the traffic between nodes.
 
-A daemon dials from its own IP number, so that the relay knows both ends. Bytes of a cut direction
-are held back, as by a network that drops packets; they go on when the cut heals. Those of a
-direction with a delay arrive so much later, in their order. Connections that were silenced carry
-nothing any more, and are not reset; new ones work.
+A daemon dials from its own IP address, so that the relay can identify both ends of a connection.
+The bytes of a direction that is cut are held back, as TCP does when the network drops packets, and
+are forwarded when the cut is healed. The bytes of a direction with a delay arrive that much later,
+in order. Silenced connections carry nothing any more and are not reset; new connections work.
 """
 
 import asyncio
@@ -11,37 +11,37 @@
 
 CHUNK = 65_536
 LOOK_SECONDS = 0.02
-# Chunks of one direction that are on their way.
+# Bounds the chunks in transit in one direction of a connection.
 MOST_CHUNKS = 64
 
 
 class Relay:
-    """Hold the relays of all daemons, and the directions that are cut."""
+    """The relays of all daemons, with the directions that are cut or delayed."""
 
     def __init__(self) -> None:
         self._cut: set[tuple[str, str]] = set()
-        # Seconds by which bytes of a direction are late.
+        # The delay of each direction, in seconds.
         self._delays: dict[tuple[str, str], float] = {}
         self._servers: list[asyncio.Server] = []
         self._tasks: set[asyncio.Task] = set()
-        # Connections are numbered; those with a lower number than the second one are silent.
+        # Connections are numbered from 0. Those numbered below ``_first_heard`` are silenced.
         self._connections = 0
         self._first_heard = 0
 
     async def listen(self, ip: str, port: int, target: int) -> None:
-        """Relay ``ip:port`` to ``ip:target``."""
+        """Listen on ``ip:port``, and forward connections to ``ip:target``."""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self._keep(asyncio.current_task())
             source = writer.get_extra_info("peername")[0]
-            # The library complains about a server's task that is cancelled when the relay stops.
+            # asyncio logs an error for a server's task that is cancelled when the relay stops.
             with contextlib.suppress(asyncio.CancelledError):
                 await self._join(source, ip, target, reader, writer)
 
         self._servers.append(await asyncio.start_server(serve, ip, port))
 
     def cut(self, left: list[str], right: list[str], both: bool = True) -> None:
-        """Cut the way from the IP numbers ``left`` to ``right``, and back if ``both``."""
+        """Cut the traffic from the IP addresses ``left`` to ``right``; if ``both``, also back."""
         for a in left:
             for b in right:
                 self._cut.add((a, b))
@@ -49,7 +49,10 @@
                     self._cut.add((b, a))
 
     def delay(self, left: list[str], right: list[str], seconds: float) -> None:
-        """Let bytes between the IP numbers ``left`` and ``right`` be late, both ways."""
+        """Delay the traffic between the IP addresses ``left`` and ``right``, in both directions.
+
+        This applies to connections that are opened later.
+        """
         for a in left:
             for b in right:
                 self._delays[(a, b)] = self._delays[(b, a)] = seconds
@@ -59,11 +62,11 @@
         self._cut.clear()
 
     def silence(self) -> None:
-        """Let all connections that are open now carry nothing any more."""
+        """Silence all connections that are open now."""
         self._first_heard = self._connections
 
     def stop(self) -> None:
-        """Close all relays."""
+        """Close all relays and their connections."""
         for server in self._servers:
             server.close()
         for task in list(self._tasks):
@@ -127,7 +130,10 @@
 async def _read(
     reader: asyncio.StreamReader, chunks: asyncio.Queue[tuple[float, bytes]], delay: float
 ) -> None:
-    """Put what comes into ``chunks`` with the time at which it is due; no bytes at the end."""
+    """Put the bytes that arrive into ``chunks``, with the time at which they are due.
+
+    At the end of the stream, put an empty chunk.
+    """
     loop = asyncio.get_running_loop()
     data = b"-"
     while data:
@@ -139,7 +145,7 @@
 
 
 async def _next_chunk(chunks: asyncio.Queue[tuple[float, bytes]]) -> bytes:
-    """Return the next bytes when they are due."""
+    """Wait until the next chunk is due, and return it; it is empty at the end of the stream."""
     due, data = await chunks.get()
     wait = due - asyncio.get_running_loop().time()
     if wait > 0:
--- a/benchmarks/rollouts.py
+++ b/benchmarks/rollouts.py
@@ -1,27 +1,34 @@
-"""Rollouts of versions that are good, or bad in each of several ways, on daemons of their own.
+"""Roll out versions that are good, or bad in one of several ways, on daemons as processes.
 
     python -m benchmarks.rollouts [--fault=fails] [--seconds=12] [--daemons=12] [--rate=240]
                                   [--kill=dispatcher] [--cell_replicas=64]
 
-Daemons as processes, six replicas of the old version, and six of the new one that are listed when
-the order is given. ``--fault`` is ``none``, ``fails`` (half of its answers), ``slow`` (ten times),
-``later`` (half of its answers fail after three seconds), ``loaded`` (only where a replica runs two
-at once), ``route`` (on one of two routes), or ``all`` of them, one run after the other. ``--kill``
-names a daemon that is killed a third of the time after the order and started again two seconds
-later: the ``dispatcher`` of the replicas, or the ``coordinator`` of the rollout. With fewer
-``--cell_replicas`` the replicas are several cells.
-
-Printed are what the new version received between order and deadline, and what it may; what reached
-it later than ``rollback_ms`` after its 50th bad answer; how many bad answers it gave; how calls
-were answered, by status, 0 for not at all; how the rollout ended and when, in seconds since the
-order. As the platform does, the old replicas are stopped when it has succeeded, and the new ones
-are emptied when it was rolled back.
-
-One run each, beside other load, with 338 or 339 calls allowed: a good version received 187 and
-succeeded after 11.96 s, with all 6,000 calls served. Bad ones received 13 (fails), 5 (slow), 37
-(later), 17 (loaded) and 33 (route), and were rolled back after 2.3, 1.1, 6.1, 3.2 and 5.4 s; none
-gave 50 bad answers, and none received anything later. Of 6,000 callers 3 to 7 got an error of a
-version that failed on the route whose requests may not run twice.
+The service has six replicas of the old version, and six of the new version that are listed when the
+rollout is ordered. ``--fault`` says how the new version is bad:
+
+- ``none``: it is good.
+- ``fails``: half of its answers fail.
+- ``slow``: its answers take ten times as long.
+- ``later``: half of its answers fail, from three seconds after its first request on.
+- ``loaded``: half of its answers fail while a replica runs more than one request.
+- ``route``: half of its answers fail on one of two routes.
+- ``all``: one run of each.
+
+``--kill`` names a daemon that is killed a third of the rollout's time after the order, and
+restarted two seconds later: the ``dispatcher`` of the replicas or the ``coordinator`` of the
+rollout. With fewer ``--cell_replicas``, the replicas form several cells.
+
+The benchmark prints how many requests the new version received between the order and the deadline,
+and its limit; how many reached it later than ``rollback_ms`` after its 50th bad answer; how many
+bad answers it gave; the answers by status, 0 for none; and the states of the rollout with their
+times, in seconds since the order. As the platform does, the benchmark stops the old replicas when
+the rollout has succeeded, and drains the new ones when it was rolled back.
+
+With one run each beside other load, the limit was 338 or 339 requests. A good version received 187
+and succeeded after 11.96 s, and all 6,000 calls were served. Bad versions received 13 (fails), 5
+(slow), 37 (later), 17 (loaded) and 33 (route), and were rolled back after 2.3, 1.1, 6.1, 3.2 and
+5.4 s. None gave 50 bad answers, and none received anything later. Of the 6,000 callers, 3 to 7 got
+an error that a bad version returned on the route whose requests must not run twice.
 """
 
 import asyncio
@@ -51,10 +58,10 @@
 BAD_ANSWERS = 50
 ROUTES = ("once", "again")
 WARM_SECONDS = 5.0
-# Traffic goes on for so long after the deadline.
+# Traffic continues for this long after the deadline.
 AFTER_SECONDS = 8.0
 DRAIN_SECONDS = 2.0
-# A daemon that is killed is away for so long.
+# A killed daemon is restarted after this long.
 AWAY_SECONDS = 2.0
 LOOK_SECONDS = 0.02
 SETTINGS = {
@@ -66,7 +73,7 @@
 
 @dataclass
 class Run:
-    """One rollout; times are of the event loop."""
+    """One rollout and its results; times are those of the event loop."""
 
     fleet: ProcessFleet
     old: SoftwareVersion
@@ -78,14 +85,14 @@
     started: dict[str, list[ReplicaStandin]] = field(default_factory=dict)
 
     async def start_version(self, version: SoftwareVersion) -> None:
-        """Start the replicas of ``version``."""
+        """Start and list the replicas of ``version``."""
         self.started[version.name] = [
             await self.fleet.add_replica(version.script, SERVICE, SLOTS, version.name)
             for _ in range(REPLICAS)
         ]
 
     async def ask(self, number: int) -> None:
-        """Make one call, and count how it ended."""
+        """Make one call, and count its answer by status."""
         daemons = self.fleet.balanced()
         route = ROUTES[number // len(daemons) % len(ROUTES)]
         daemon = daemons[number % len(daemons)]
@@ -102,7 +109,7 @@
         await self.start_version(self.new)
 
     async def kill(self, role: str) -> None:
-        """Kill the daemon that has ``role`` now, and start it again."""
+        """Kill the daemon that has ``role`` by consistent hashing, and restart it."""
         await asyncio.sleep(self.seconds / 3)
         topics = {"dispatcher": f"cell {SERVICE}/0", "coordinator": f"rollout of {SERVICE}"}
         first = rank(topics[role], [daemon.node for daemon in self.fleet.daemons])[0]
@@ -113,7 +120,10 @@
         self.fleet.start(daemon)
 
     async def follow(self) -> None:
-        """Do what the platform does when the state changes, until cancelled."""
+        """Record each new state of the rollout, and act on it as the platform does.
+
+        Runs until cancelled.
+        """
         while True:
             await asyncio.sleep(LOOK_SECONDS)
             item = self.fleet.store.objects.get(("rollouts", SERVICE), {})
@@ -133,7 +143,7 @@
                 self.fleet.store.remove("servers", replica.name)
 
     def figures(self) -> dict[str, object]:
-        """Return what was measured."""
+        """Return the figures of the run."""
         ends = self.ordered_at + self.seconds
         arrivals = [at for version in (self.old, self.new) for at in version.arrivals]
         in_time = sum(self.ordered_at <= at < ends for at in arrivals)
@@ -210,7 +220,7 @@
     cell_replicas: int = 64,
     logs: str = "",
 ) -> None:
-    """Play the rollouts, and print their figures; ``logs`` names a folder for the daemons' logs."""
+    """Run the rollouts, and print their figures; ``logs`` names a folder for the daemons' logs."""
     configure_logs("critical", "benchmark")
     logging.getLogger("tornado").setLevel(logging.CRITICAL)
     faults = list(Fault) if fault == "all" else [Fault(fault)]
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -1,16 +1,19 @@
-"""What each workspace gets of overloaded model replicas, by daemons as processes on the adapter.
+"""Measure the share that each workspace gets of overloaded model replicas.
 
     python -m benchmarks.shares [--seed=1] [--seconds=30] [--daemons=12] [--rate=150]
         [--calm] [--small]
 
-Thirty workspaces, three of them large, ask for more than three replicas can do, from the first
-second on. Half of the daemons are killed and started again after a third of the time, and those
-that watch the store are turned away after two thirds, unless the run is ``--calm``.
-
-Checked is, for each six calm seconds: a workspace that in each of these seconds had a request
-refused, or answered later than its objective, got half of what it asked for or the workspace that
-was served best in them got, whichever is less, second by second, but for three of the largest
-requests.
+The daemons run as processes, with the adapter for the prepared platform. Thirty workspaces, three
+of them large, send more requests than three replicas can serve, from the first second on. Unless
+the run is ``--calm``, half of the daemons are killed after a third of the time and restarted, and
+after two thirds the store turns away the daemons that watch it. With ``--small``, the largest kind
+of request is left out.
+
+The check covers each window of six seconds without disturbance. It looks at every workspace that in
+each of these seconds had a request that was refused, failed or was answered later than its
+objective. In each second, such a workspace is owed the tokens that it requested, or those that the
+best-served workspace of the window got, whichever is less. It must get at least half of what it is
+owed over the window, less three of the largest requests.
 """
 
 import asyncio
@@ -31,12 +34,13 @@
 
 WORKSPACES = 30
 LARGE = 3
-# How often each of the large ones asks as the others do.
+# A large workspace sends this many times as many requests as another one.
 LARGE_WEIGHT = 10
 DOMAINS = 3
 REPLICAS = 3
 WINDOW_SECONDS = 6
-# A window is calm if nothing was done in it and for so many seconds before.
+# A window is checked only if nothing was done to daemons or the store in it and for this many
+# seconds before it.
 CALM_SECONDS = 4
 LARGEST_REQUESTS = 3
 LEAST_TOLD = 6
@@ -46,7 +50,11 @@
 
 @dataclass(frozen=True)
 class Kind:
-    """One kind of request; ``objective`` and ``deadline`` are in seconds."""
+    """One kind of request.
+
+    ``shared``, ``prompt`` and ``made`` are the tokens of the shared prefix, of the whole prompt and
+    of the output. ``objective`` and ``deadline`` are in seconds.
+    """
 
     route: str
     weight: float
@@ -62,7 +70,8 @@
     Kind("reply", 137, 198, 826, 288, 0.3, 12.0),
     Kind("tag", 305, 568, 2368, 24, 0.4, 2.5),
 )
-# Without the largest kind, and as much slower, so that three of the largest requests are little.
+# Without the largest kind, the tolerance of three of the largest requests is small. The replicas
+# are slower here, so that they are as overloaded as with all kinds.
 SMALL_KINDS = KINDS[1:]
 SMALL_READ_RATE = 30_000.0
 READ_RATE = EngineStandin.read_rate
@@ -96,7 +105,10 @@
 
 @dataclass(frozen=True)
 class Share:
-    """What a workspace got and could have got from a second of the run on, in tokens."""
+    """The tokens that a workspace got in a window and was owed there.
+
+    ``first`` is the first second of the window.
+    """
 
     workspace: str
     first: int
@@ -105,17 +117,20 @@
 
     @property
     def part(self) -> float:
-        """Return which part of its share it got."""
+        """Return the part of the owed tokens that it got."""
         return self.got / self.owed if self.owed else 1.0
 
     def broken(self, largest: int) -> bool:
-        """Say whether it got far less than its share, where requests have ``largest`` tokens."""
+        """Return whether it got too little, if the largest request has ``largest`` tokens."""
         return self.got < self.owed / 2 - LARGEST_REQUESTS * largest
 
 
 @dataclass
 class Ledger:
-    """What workspaces asked for and got in each second, and which of them were hurt in it."""
+    """The tokens that workspaces requested and got, by second of the run.
+
+    ``hurt`` has, by second, the workspaces with a request that was refused, failed or late.
+    """
 
     begun_at: float
     # The seconds in which something was done to daemons or the store.
@@ -125,15 +140,18 @@
     hurt: dict[int, set[str]] = field(default_factory=lambda: defaultdict(set))
 
     def second(self, at: float) -> int:
-        """Return the second of the run that ``at`` is in."""
+        """Return the second of the run in which the time ``at`` lies."""
         return int(at - self.begun_at)
 
     def begun(self, run: Begun) -> None:
-        """Count a run that began."""
+        """Record that a replica has started to answer a request."""
         self.got[self.second(run.at)][run.workspace] += run.tokens
 
     def shares(self, seconds: int) -> list["Share"]:
-        """Return what each workspace got in each calm window in which it was always hurt."""
+        """Return the share of each workspace in each undisturbed window in which it was short.
+
+        These are the windows in each second of which ``hurt`` has the workspace.
+        """
         found = []
         for first in range(seconds - WINDOW_SECONDS + 1):
             window = range(first, first + WINDOW_SECONDS)
@@ -161,7 +179,7 @@
 
 @dataclass
 class Load:
-    """Callers that ask ``rate`` times a second, and once more after a refusal."""
+    """Callers that send ``rate`` requests a second, and retry once after a refusal."""
 
     fleet: ProcessFleet
     ledger: Ledger
@@ -174,7 +192,7 @@
     calls: set[asyncio.Task] = field(default_factory=set)
 
     async def run(self, seconds: float) -> None:
-        """Ask for so long."""
+        """Send requests for ``seconds``, and wait for their answers."""
         weights = [LARGE_WEIGHT] * LARGE + [1] * (WORKSPACES - LARGE)
         loop = asyncio.get_running_loop()
         ends_at = loop.time() + seconds
@@ -271,8 +289,8 @@
     total = sum(sum(counts.values()) for counts in ledger.got.values())
     print(
         f"seed {seed}: {load.sent} sent, {load.served} served, {load.in_time} in time,",
-        f"{total / seconds:.0f} tokens/s begun, least share {least:.2f} of {len(shares)},",
-        f"{len(broken)} broken",
+        f"{total / seconds:.0f} tokens/s started, smallest share {least:.2f} of {len(shares)},",
+        f"{len(broken)} too small",
         flush=True,
     )
     for share in sorted(shares, key=lambda each: each.part)[:LEAST_TOLD]:
@@ -289,7 +307,10 @@
     calm: bool = False,
     small: bool = False,
 ) -> None:
-    """Play ``runs`` runs from ``seed`` on; logs of those in which a share was broken are kept."""
+    """Run with ``runs`` seeds from ``seed`` on.
+
+    The daemons' logs are kept of runs in which a workspace got too little.
+    """
     configure_logs("critical", "benchmark")
     logging.getLogger("tornado").setLevel(logging.CRITICAL)
     for number in range(seed, seed + runs):
--- a/benchmarks/signs.py
+++ b/benchmarks/signs.py
@@ -1,17 +1,18 @@
-"""Engines that say in their answers that they leave, or that they want rest.
+"""Measure how daemons react to signals in answers: that a replica leaves, or requests a backoff.
 
     python -m benchmarks.signs [--seconds=12] [--off]
 
-Four daemons in one process, four engines, 33 requests a second. Two runs: in the first one an
-engine says in all its answers to calls that it leaves, while its record and its load reports do
-not; counted are the calls that reach it later than two seconds after its first answer. In the
-second one two engines turn 4 of 10 calls away and ask for three seconds of rest; counted are the
-most calls of one daemon that reach one of them between half a second after such an answer and the
-end of that time. ``--off`` hears no answers, as a pair.
-
-Without hearing answers 88 calls come too late (16 before), with it 0 (1 before). Without it 13
-calls reach an engine within one rest, with it 0. All of 388 and 389 requests are served in each run
-(one run each, beside other load).
+Four daemons run in one process, with four engines and 33 requests a second. There are two runs. In
+the first, one engine reports in all its answers that it is leaving (draining before it stops),
+while its record and its load reports do not; the figure is the number of calls that are sent to it
+later than two seconds after its first call. In the second, two engines refuse 4 of 10 calls and
+request a backoff of three seconds; the figure is the largest number of calls that one daemon sends
+to one of them between half a second after such an answer and the end of the backoff. ``--off``
+ignores the signals, for comparison.
+
+Without the signals, 88 calls were sent too late (16 in time), with them 0 (1 in time). Without
+them, 13 calls were sent to an engine within one backoff, with them 0. All of 388 and 389 requests
+were served in each run (one run each, beside other load).
 """
 
 import asyncio
@@ -32,17 +33,22 @@
 DAEMONS = 4
 ENGINES = 4
 EVERY_SECONDS = 0.03
-# Later than this after a daemon has passed on that an engine leaves, it may be sent nothing.
+# After this time all daemons have received the update that an engine is leaving, so that none may
+# send it a call.
 LEAVE_SECONDS = 2.0
 REST_SECONDS = 3.0
-# Calls that are on their way when an engine asks for rest may arrive.
+# Calls that are in flight when an engine requests a backoff may still reach it for this long.
 GRACE_SECONDS = 0.5
 SETTINGS = EngineSettings(slots=16, decode_rate=400.0)
 
 
 @dataclass
 class Run:
-    """One run: the fleet, its requests, and what daemons sent to each engine, and when."""
+    """The fleet of one run, its requests, and what daemons sent to the engines.
+
+    ``calls`` and ``rests`` are the calls and the answers that requested a backoff, each as the node
+    id of the daemon, the engine and the time.
+    """
 
     fleet: StandinFleet
     sent: int = 0
@@ -58,7 +64,10 @@
         self.served += response is not None and response.code == 200
 
     def watch(self) -> None:
-        """Note each call that a daemon sends, and each answer that asks for rest."""
+        """Record each call that a daemon sends, and each answer that requests a backoff.
+
+        This wraps ``emit`` of the events and ``listener`` of the answer heads in each daemon.
+        """
         for node in self.fleet.nodes:
             emit = node.events.emit
 
@@ -84,13 +93,13 @@
             node.heard.listener = listens
 
     def late_calls(self, engine: str) -> tuple[int, int]:
-        """Return the calls of ``engine`` that came too late after its first one, and all others."""
+        """Return how many calls of ``engine`` were late after its first call, and how many not."""
         times = [at for _, replica, at in self.calls if replica == engine]
         late = [at for at in times if at > times[0] + LEAVE_SECONDS]
         return len(late), len(times) - len(late)
 
     def most_in_rest(self) -> int:
-        """Return the most calls of one daemon that reached an engine in one rest."""
+        """Return the most calls that one daemon sent to an engine within one backoff."""
         counts: defaultdict[tuple[str, str, float], int] = defaultdict(int)
         for node, engine, asked_at in self.rests:
             for caller, replica, at in self.calls:
@@ -116,7 +125,7 @@
 
 
 def main(seconds: float = 12.0, off: bool = False) -> None:
-    """Play both runs, and print their figures."""
+    """Run both parts of the benchmark, and print their figures."""
     configure_logs("critical", "benchmark")
     logging.getLogger("tornado").setLevel(logging.CRITICAL)
     hearing = heard.HeardSigns._heard
@@ -126,11 +135,11 @@
         print("leaving: late, others", (late, others), "sent, served", (run.sent, run.served))
         resting = Faults(rest=str(REST_SECONDS), rest_share=0.4)
         run = asyncio.run(_play(seconds, {"model-0": resting, "model-1": resting}))
-        print("rest: most in one", run.most_in_rest(), "sent, served", (run.sent, run.served))
+        print("backoff: most in one", run.most_in_rest(), "sent, served", (run.sent, run.served))
 
 
 def _deaf(*answer: object) -> None:
-    """Take no note of an answer."""
+    """Ignore the head of an answer."""
 
 
 if __name__ == "__main__":
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -1,23 +1,33 @@
-"""A randomized soak of daemons as processes on the platform's adapter.
+"""A randomized soak test of daemons as processes, with the adapter for the prepared platform.
 
     python -m benchmarks.soak [--seed=1] [--seconds=40] [--daemons=12] [--runs=1]
         [--other=DIR] [--wide]
 
-A seed decides the faults, which come in series and overlap: the store turns away the daemons that
-watch it, or any; is slow to some, or forgets its history; daemons are killed, paused and stopped in
-turn; a failure domain, or a daemon, is cut from the others, one way or both; links go silent. An
-operator changes the configuration all the while, and callers tell which version answered them.
-
-Checked are: no answer that only an older configuration allows, more than ``BOUND_SECONDS`` after
-the newer one was confirmed, by daemons that ran and that the store answered for
-``SETTLED_SECONDS``; no connection ended without an answer by a daemon that was not killed; no link
-closed because of what came over it. With ``--other``, each other daemon is of the build whose
-sources are in DIR, and the answers of those are told apart.
-
-With ``--wide`` the failure domains are in two regions with a delay between them, of which one is
-cut off now and then; replicas keep connections, and forget or close idle ones; and an operator
-orders rollouts of versions that are good, or bad in each way. Checked is then also what
-``benchmarks/promises.py`` has, and that each daemon serves again after the last fault.
+The seed determines the faults, which come in series that overlap:
+
+- The store turns away some daemons, or those that watch it; it is slow for some, or forgets its
+  history.
+- Daemons are killed, paused, or stopped one after the other.
+- A failure domain or a daemon is cut off from the others, in one direction or both.
+- Links go silent.
+
+In the meantime an operator changes the configuration, and callers find out which version decided
+their answers. The soak checks that
+
+- no daemon gives an answer that only an older configuration allows, more than ``BOUND_SECONDS``
+  after the newer one was confirmed; this applies to daemons that have run and been answered by the
+  store for ``SETTLED_SECONDS``;
+- no daemon closes a connection without an answer, unless it was killed;
+- no daemon closes a link because of a message that it received.
+
+With ``--other``, every second daemon runs the build whose sources are in DIR. Its answers by an
+older configuration are reported, but do not fail the run.
+
+With ``--wide``, the failure domains are in two regions with a delay between them, which are also
+cut off from each other. The replicas keep connections open, and forget or close idle ones, and an
+operator orders rollouts of versions that are good, or bad in one of several ways. The soak then
+also checks the guarantees in ``benchmarks/promises.py``, and that each daemon serves again after
+the last fault.
 """
 
 import asyncio
@@ -45,19 +55,20 @@
 REPLICAS = 3
 BOUND_SECONDS = 3.0
 SETTLED_SECONDS = 6.0
-# Until daemons that started together know each other.
+# Daemons that start together have connected to each other after this time.
 FIRST_SECONDS = 6.0
 LAST_SECONDS = 2.0
 SLOW_SECONDS = 0.5
-# Series of faults that overlap, the longest pause in one, and the pauses between two changes.
+# The number of series of faults at a time, the longest pause between two faults of a series, and
+# the pauses between two changes of the configuration.
 SERIES = 2
 MOST_PAUSE_SECONDS = 3.0
 CHANGE_SECONDS = (0.1, 0.5, 1.0, 2.5)
-# Findings of one kind that are told of a run.
+# The findings of one kind that are printed for a run.
 MOST_TOLD = 5
 LINK_CLOSED = b'"link closed"'
 OK = 200
-# The regions of a wide run: the last failure domain is a region of its own.
+# The regions of a wide run: the last failure domain alone forms the south.
 NORTH = ("domain-0", "domain-1")
 SOUTH = DOMAINS - 1
 ZONES = ("domain-0", "domain-2", "domain-1", "domain-2")
@@ -71,22 +82,24 @@
 NORTH_KEY = "the-key-of-north"
 NORTH_TENANT = {"name": "north", "api_keys": [NORTH_KEY], "allowed_regions": ["north"]}
 WAY_SECONDS = (0.005, 0.025)
-# The pause between two requests of a wide run, and between two changes of what replicas forget.
+# The interval of requests in a wide run, and the interval at which replicas start or stop to forget
+# their idle connections.
 ASK_SECONDS = 0.012
 FORGET_SECONDS = 0.5
-# A version is judged on each route that has calls, so that routes which come and go all the while
-# must have none.
+# A rollout judges a version on each route that has calls, so that the routes which the operator
+# adds and removes must have none in a wide run.
 ROUTE_SHARE = 0.0
-# Series of faults of a wide run: most rollouts end only where faults seldom overlap.
+# The numbers of series from which a wide run chooses. Most rollouts end only if faults seldom
+# overlap, so that two series are rare.
 WIDE_SERIES = (1, 1, 1, 2)
-# All daemons serve so soon after the last fault.
+# All daemons must serve within this time after the last fault.
 SERVES_SECONDS = 15.0
 LOOK_SECONDS = 0.1
 
 
 @dataclass
 class Series:
-    """Faults one after the other, as ``rng`` has them; ``done`` names those that were made."""
+    """A series of random faults; ``done`` has the names of those that were injected."""
 
     fleet: ProcessFleet
     rng: random.Random
@@ -94,7 +107,7 @@
     done: list[str] = field(default_factory=list)
 
     async def run(self, seconds: float) -> None:
-        """Make faults for so long."""
+        """Inject one fault after the other for ``seconds``."""
         loop = asyncio.get_running_loop()
         ends_at = loop.time() + seconds
         while loop.time() < ends_at:
@@ -104,17 +117,20 @@
             await asyncio.sleep(self.rng.uniform(0.0, MOST_PAUSE_SECONDS))
 
     def some(self, most: int) -> list[Daemon]:
-        """Return some of the daemons that run, ``most`` at most."""
+        """Return a random sample of the running daemons, of one to ``most``."""
         running = [daemon for daemon in self.fleet.daemons if daemon.running]
         return self.rng.sample(running, min(len(running), self.rng.randint(1, most)))
 
 
 @dataclass(frozen=True)
 class Verdict:
-    """What the callers of one run saw.
+    """The results of one run.
 
-    ``old`` are answers that came by an older version too late, ``others_old`` those of the other
-    build; ``closed_links`` counts links that a daemon closed because of what came over them.
+    ``old`` are the answers that an older configuration decided too late, ``others_old`` those by
+    daemons of the other build. ``longest`` is the longest time, in seconds, for which an older
+    configuration decided after a newer one was confirmed. ``cut`` are the connections that daemons
+    closed without an answer. ``closed_links`` counts the links that a daemon closed because of a
+    message that it received. ``faults`` are the names of the injected faults.
     """
 
     seed: int
@@ -126,13 +142,13 @@
     cut: list[Cut]
     closed_links: int
     faults: list[str]
-    # Of a wide run.
+    # Only in a wide run: the violated guarantees, and a description of each rollout.
     broken: list[str] = field(default_factory=list)
     orders: list[str] = field(default_factory=list)
 
     @property
     def good(self) -> bool:
-        """Say whether all that is checked held."""
+        """Return whether all checks passed."""
         return not (self.old or self.cut or self.closed_links or self.broken)
 
     def __str__(self) -> str:
@@ -148,7 +164,10 @@
 async def soak(
     seed: int, seconds: float, daemons: int, folder: Path, other: Path, wide: bool = False
 ) -> Verdict:
-    """Play one run; the daemons log into ``folder``, and each other one is of ``other``."""
+    """Run one soak, and return its results.
+
+    The daemons log into ``folder``; every second one runs the build with the sources ``other``.
+    """
     fleet = ProcessFleet(folder, relay=Relay())
     try:
         if wide:
@@ -187,7 +206,7 @@
 
 @dataclass
 class Wide:
-    """A run over two regions, with rollouts and kept connections."""
+    """A run over two regions, with rollouts and with replicas that keep connections open."""
 
     fleet: ProcessFleet
     seed: int
@@ -195,7 +214,7 @@
     _calls: set[asyncio.Task] = field(default_factory=set)
 
     async def play(self, seconds: float, daemons: int, other: Path) -> Verdict:
-        """Play it, and return what was seen."""
+        """Run the soak for ``seconds``, and return its results."""
         operator, orders = await self._start(daemons, other)
         callers = Callers(
             self.fleet, operator, self._rng("callers"), BOUND_SECONDS, SETTLED_SECONDS
@@ -233,7 +252,7 @@
         return operator, orders
 
     async def _ask(self) -> None:
-        """Make requests that may not be repeated, and those of a workspace of one region."""
+        """Send requests that must not run twice, some by a workspace restricted to one region."""
         rng = self._rng("asking")
         while True:
             self._asked += 1
@@ -250,7 +269,7 @@
             await asyncio.sleep(ASK_SECONDS)
 
     async def _forget(self) -> None:
-        """Let replicas forget, or close, their idle connections at random."""
+        """Let replicas forget or close their idle connections at random, until cancelled."""
         rng = self._rng("connections")
         while True:
             for replica in self.fleet.replicas:
@@ -260,7 +279,7 @@
             await asyncio.sleep(FORGET_SECONDS)
 
     async def _not_serving(self) -> list[str]:
-        """Return the daemons that do not serve soon after the last fault."""
+        """Return a finding for each daemon that does not serve in time after the last fault."""
         serving = await asyncio.gather(*(self._serves(each) for each in self.fleet.daemons))
         return [
             f"{daemon.node} does not serve {SERVES_SECONDS} s after the last fault"
@@ -281,7 +300,7 @@
 
 
 def _regions(fleet: ProcessFleet) -> tuple[list[str], list[str]]:
-    """Return the IP numbers of the daemons of the north, and of the south."""
+    """Return the IP addresses of the daemons in the north and of those in the south."""
     ips = [daemon.ip for daemon in fleet.daemons]
     south = ips[SOUTH::DOMAINS]
     return [ip for ip in ips if ip not in south], south
@@ -303,7 +322,7 @@
 
 
 def _rng(seed: int, part: str) -> random.Random:
-    """Return the generator of one part of a run, which no other part disturbs."""
+    """Return a random generator for one part of a run, independent of the other parts."""
     return random.Random(f"{seed} {part}")
 
 
@@ -323,19 +342,19 @@
 
 
 async def turn_readers_away(series: Series) -> None:
-    """Let the store turn those away that watch it now."""
+    """Let the store turn away the daemons that watch it now."""
     series.fleet.forget_calls()
     await asyncio.sleep(3.0)
     await _turn_away(series, series.fleet.watching())
 
 
 async def turn_some_away(series: Series) -> None:
-    """Let the store turn some daemons away."""
+    """Let the store turn away some daemons."""
     await _turn_away(series, series.some(len(series.fleet.daemons) // 2))
 
 
 async def slow(series: Series) -> None:
-    """Let the store be slow to some daemons."""
+    """Let the store answer some daemons slowly."""
     daemons = series.some(len(series.fleet.daemons) // 2)
     for daemon in daemons:
         daemon.access.delay = SLOW_SECONDS
@@ -350,7 +369,7 @@
 
 
 async def kill(series: Series) -> None:
-    """Kill some daemons at once, and start them again."""
+    """Kill some daemons at once, and restart them."""
     daemons = series.some(len(series.fleet.daemons) // 2)
     await asyncio.gather(*(series.fleet.kill(daemon) for daemon in daemons))
     await asyncio.sleep(series.rng.uniform(0.2, 2.0))
@@ -359,7 +378,7 @@
 
 
 async def pause(series: Series) -> None:
-    """Let some daemons stand still."""
+    """Pause some daemons, and resume them."""
     daemons = series.some(3)
     for daemon in daemons:
         series.fleet.pause(daemon)
@@ -369,7 +388,7 @@
 
 
 async def stop_in_turn(series: Series) -> None:
-    """Stop some daemons one after the other, and start each again."""
+    """Stop some daemons gracefully, one after the other, and restart each."""
     for daemon in series.some(3):
         if daemon.running:
             await series.fleet.end(daemon)
@@ -378,7 +397,7 @@
 
 
 async def cut_domain(series: Series) -> None:
-    """Cut a failure domain from the others."""
+    """Cut a failure domain off from the others."""
     number = series.rng.randrange(DOMAINS)
     ips = [daemon.ip for daemon in series.fleet.daemons]
     left = ips[number::DOMAINS]
@@ -386,7 +405,7 @@
 
 
 async def cut_daemon(series: Series) -> None:
-    """Cut one daemon from the others."""
+    """Cut one daemon off from the others."""
     ips = [daemon.ip for daemon in series.fleet.daemons]
     one = series.rng.choice(ips)
     await _cut(series, [one], [ip for ip in ips if ip != one])
@@ -401,32 +420,32 @@
 
 
 def _reach(fleet: ProcessFleet, ips: list[str], since: float) -> None:
-    """Note since when daemons reach their peers."""
+    """Record since when the daemons with these IP addresses have reached their peers."""
     for daemon in fleet.daemons:
         if daemon.ip in ips:
             daemon.reached_since = since
 
 
 async def silence_links(series: Series) -> None:
-    """Let all links between daemons fall silent for good."""
+    """Silence all links between daemons that are open now, for good."""
     series.fleet.relay.silence()
     ips = [daemon.ip for daemon in series.fleet.daemons]
     _reach(series.fleet, ips, asyncio.get_running_loop().time())
 
 
 async def cut_region(series: Series) -> None:
-    """Cut the regions from each other."""
+    """Cut the regions off from each other."""
     north, south = _regions(series.fleet)
     await _cut(series, south, north)
 
 
 async def kill_coordinator(series: Series) -> None:
-    """Kill who coordinates the rollouts of the service, and start it again."""
+    """Kill the daemon that coordinates the rollouts of the service, and restart it."""
     await _kill_first(series, f"rollout of {SERVICE}")
 
 
 async def kill_dispatcher(series: Series) -> None:
-    """Kill who dispatches the first cell of the service, and start it again."""
+    """Kill the daemon that dispatches the first cell of the service, and restart it."""
     await _kill_first(series, f"cell {SERVICE}/0")
 
 
@@ -439,7 +458,7 @@
 
 
 async def pause_coordinator(series: Series) -> None:
-    """Let who coordinates the rollouts of the service stand still."""
+    """Pause the daemon that coordinates the rollouts of the service, and resume it."""
     running = {daemon.node: daemon for daemon in series.fleet.daemons if daemon.running}
     daemon = running[rank(f"rollout of {SERVICE}", list(running))[0]]
     series.fleet.pause(daemon)
@@ -470,7 +489,7 @@
     other: str = str(ROOT),
     wide: bool = False,
 ) -> None:
-    """Play ``runs`` runs from ``seed`` on; logs of those that fail are kept."""
+    """Run with ``runs`` seeds from ``seed`` on; the daemons' logs of failed runs are kept."""
     configure_logs("critical", "soak")
     logging.getLogger("tornado").setLevel(logging.CRITICAL)
     for number in range(seed, seed + runs):
--- a/benchmarks/verdicts.py
+++ b/benchmarks/verdicts.py
@@ -1,11 +1,12 @@
-"""How often a version is judged wrongly, and after how many bad answers a bad one is found.
+"""Simulate how often a version is judged wrongly, and after how many bad answers a bad one is.
 
     python -m benchmarks.verdicts --seeds 2000
 
-Answers of five routes are drawn at random, of the versions that run already and of a target version
-on three replicas that gets a share of them, and judged four times a second. A line a kind of
-version and rate: the share judged bad, the share let through as good, and bad answers until the
-verdict (median and 99th percentile).
+Answers on five routes are generated at random: those of the baseline, which is the versions already
+in use, and those of a target version, which gets a share of the requests on three replicas. The
+target version is judged four times a second. For each kind of version and request rate, one line
+shows the share of versions judged bad, the share judged good, and the number of bad answers until
+the verdict (median and 99th percentile).
 """
 
 import random
@@ -18,7 +19,8 @@
 from railsail.rollouts.evidence import RouteEvidence, Tally
 from railsail.rollouts.verdict import Verdict, VersionJudge
 
-# Shares, usual times to the first byte and to the end in seconds, and their spread, by route.
+# By route: its share of the requests, the median times to the first byte and to the end of an
+# answer in seconds, and the sigma of their log-normal distribution.
 ROUTES = (
     (0.17, 0.15, 1.8, 0.5),
     (0.31, 0.06, 1.2, 0.7),
@@ -28,17 +30,17 @@
 )
 UPDATES_PER_SECOND = 4
 RATES = (50, 240, 1000, 2000)
-# The share of all requests that the target version gets, and requests beyond that.
+# The target version gets this share of all requests, and this many more.
 SHARE = 0.04
 SLACK = 20
-# A rare route gives up to so much of its requests.
+# The target version gets at most this share of the requests on a rare route.
 MOST_OF_ROUTE = 0.5
 REPLICAS = ("i-1", "i-2", "i-3")
 
 
 @dataclass(frozen=True)
 class Answer:
-    """What an answer depends on: when it is given, on which route and replica, and on how busy."""
+    """The time, the route and the replica of an answer, and whether the replica was busy."""
 
     at: float
     route: int
@@ -48,7 +50,11 @@
 
 @dataclass
 class Version:
-    """How a version differs from the usual one, by answer: share that fails, factor of slowness."""
+    """How a version differs from the baseline.
+
+    ``fails`` returns the probability that an answer fails for this reason, and ``slower`` the
+    factor by which an answer takes longer.
+    """
 
     fails: Callable[[Answer], float] = lambda answer: 0.0
     slower: Callable[[Answer, random.Random], float] = lambda answer, rng: 1.0
@@ -76,7 +82,7 @@
 
 @dataclass
 class Outcome:
-    """How one rollout was judged."""
+    """The verdict of one rollout, and the number of bad answers until then."""
 
     verdict: Verdict
     bad_answers: int
@@ -89,12 +95,15 @@
 
 
 def play(kind: Version, rate: float, share: float, seconds: float, seed: int) -> Outcome:
-    """Judge one version at ``rate`` requests a second, of which it gets ``share``."""
+    """Simulate the rollout of one version, and return its outcome.
+
+    There are ``rate`` requests a second in total, of which the version gets ``share``.
+    """
     rng = random.Random(seed)
     sums = {number: _Sums() for number in range(len(ROUTES))}
     judge = VersionJudge()
     bad_answers = 0
-    # Now and then all versions are slower, as in a flood.
+    # For a random part of the run all versions are slower, as when a flood of requests arrives.
     slow_from, slow_to = sorted(rng.uniform(0, seconds) for _ in range(2))
     for step in range(int(seconds * UPDATES_PER_SECOND)):
         at = step / UPDATES_PER_SECOND
@@ -113,7 +122,11 @@
 
 
 def _share_of(route: int, share: float) -> float:
-    """Return the share of a route: one half of all is spread evenly over routes."""
+    """Return the target version's share of the requests on a route.
+
+    Half of the requests for the target version are spread evenly over the routes, the other half in
+    proportion to the requests of each route.
+    """
     even = share / (len(ROUTES) * ROUTES[route][0])
     return (share + min(MOST_OF_ROUTE, even)) / 2
 
@@ -143,13 +156,13 @@
 
 
 def _play(name: str, rate: float, seconds: float, seed: int) -> Outcome:
-    # A part of the slack is spent, too, which counts where there are few requests.
+    # The slack adds to the share; it matters where there are few requests.
     share = SHARE + SLACK / (rate * seconds)
     return play(KINDS[name], rate, share, seconds, seed)
 
 
 def compare(seeds: int = 200, seconds: float = 12.0, workers: int = 3) -> None:
-    """Print one line for each kind of version and rate."""
+    """Print one line for each kind of version and request rate."""
     with ProcessPoolExecutor(workers) as pool:
         _compare(seeds, seconds, pool)
 
--- a/benchmarks/workload.py
+++ b/benchmarks/workload.py
@@ -1,4 +1,4 @@
-"""A seeded workload: who asks what, where and when, made before the run (an open loop)."""
+"""A seeded workload, whose requests and their times are fixed before the run (an open loop)."""
 
 import json
 import math
@@ -15,9 +15,11 @@
 
 @dataclass(frozen=True)
 class Ask:
-    """One request: seconds ``at`` from the start, the index of the daemon, and what is asked.
+    """A request that is sent ``at`` seconds after the start to the daemon with index ``daemon``.
 
-    ``label`` is draft, tag, status or once; ``key`` is the idempotency key, empty for none.
+    ``label`` is draft or tag, for requests to the model pool, or status or once, for requests to
+    the service pool. ``tokens`` is the length of the output, and ``key`` the idempotency key or
+    empty.
     """
 
     number: int
@@ -29,7 +31,7 @@
     key: str
 
     def http(self, shape: Shape) -> tuple[str, str, bytes]:
-        """Return method, path and body."""
+        """Return the method, the path and the body of the request."""
         if self.label in ("status", "once"):
             method = "GET" if self.label == "status" else "POST"
             word = "status" if self.label == "status" else "classify"
@@ -48,11 +50,11 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """What a workload is made from.
+    """The parameters of a workload.
 
-    ``rate`` is in requests a second over the fleet; ``flood`` names a workspace that asks three
-    times as much in the middle third. Large workspaces have 8 times the rate of small ones, and
-    each workspace sends most of its requests to few daemons.
+    ``rate`` is in requests a second over the whole fleet. ``flood`` names a workspace that sends
+    three times as many requests in the middle third of the run. The ``large`` workspaces have 8
+    times the rate of the others. Each workspace sends most of its requests to two of the daemons.
     """
 
     seed: int
@@ -67,7 +69,7 @@
 
 
 def make(plan: Plan) -> list[Ask]:
-    """Return the requests of ``plan``, in order of time."""
+    """Return the requests of ``plan``, ordered by time."""
     rng = random.Random(plan.seed)
     weights = {name: 8.0 if name in plan.large else 1.0 for name in plan.workspaces}
     homes = {name: _spread(rng, plan.daemons) for name in plan.workspaces}
@@ -94,7 +96,7 @@
     while at < plan.seconds:
         middle = plan.seconds / 3 <= at < 2 * plan.seconds / 3
         factor = 3.0 if name == plan.flood and middle else 1.0
-        # Bursts: the rate swings by half, each workspace with a phase of its own.
+        # The rate varies by half in bursts, each workspace in a phase of its own.
         phase = sum(name.encode()) % 17
         factor *= 1.0 + 0.5 * math.sin(at / 2.0 + phase)
         at += rng.expovariate(rate * factor)
