--- a/benchmarks/affinity.py
+++ b/benchmarks/affinity.py
@@ -16,8 +16,8 @@
 
 from benchmarks import deployment as deploy
 from benchmarks.analysis import Curves, fairness, percentiles
-from benchmarks.play import play
-from benchmarks.workload import Ask, Plan, make
+from benchmarks.play import send_workload
+from benchmarks.workload import Plan, PlannedRequest, make_requests
 
 SHAPE = deploy.ASSOCIATION
 PREFIXES = 60
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class PrefixedAsk(Ask):
+class PrefixedRequest(PlannedRequest):
     """A request whose prompt shares its prefix with the other requests of its group."""
 
     group: int = 0
@@ -42,31 +42,37 @@
         return method, path, json.dumps(content).encode()
 
 
-def _asks(plan: Plan) -> list[Ask]:
-    asks = []
-    for ask in make(plan):
-        group = (ask.number * 7919 + plan.seed) % PREFIXES
-        asks.append(PrefixedAsk(**dataclasses.asdict(ask), group=group))
-    return asks
+def _requests(plan: Plan) -> list[PlannedRequest]:
+    requests = []
+    for request in make_requests(plan):
+        group = (request.number * 7919 + plan.seed) % PREFIXES
+        requests.append(PrefixedRequest(**dataclasses.asdict(request), group=group))
+    return requests
 
 
 async def _run(seed: int, seconds: float, rate: float, affinity: str) -> dict:
     deployment = await deploy.start(SHAPE, 8, (f"--affinity={affinity}",), ENGINE)
     weights = deploy.workspaces(SHAPE)
-    plan = Plan(seed, seconds, rate, 8, tuple(sorted(weights)), SHAPE.large)
+    plan = Plan(seed, seconds, rate, 8, tuple(sorted(weights)), SHAPE.large_workspaces)
     try:
         begin = time.time()
-        seen = await play(deployment, _asks(plan), deployment.caller, drop_after=10.0)
+        records = await send_workload(
+            deployment, _requests(plan), deployment.caller, cancel_after=10.0
+        )
         logs = await deployment.logs()
     finally:
         deployment.stop()
     runs = [run for name, log in logs.items() if name.startswith(SHAPE.model_pool) for run in log]
-    curves = Curves(seen, runs, begin + 3.0, begin + seconds)
+    curves = Curves(records, runs, begin + 3.0, begin + seconds)
     result = fairness(curves, weights, 48, 9600.0)
-    drafts = [s.first_at - s.sent_at for s in seen if s.ask.label == "draft" and s.first_at]
+    drafts = [
+        s.first_byte_at - s.sent_at
+        for s in records
+        if s.request.label == "draft" and s.first_byte_at
+    ]
     return {
         "hit_rate": sum(run["cached"] for run in runs) / len(runs),
-        "whole": sum(record.whole for record in seen),
+        "whole": sum(record.complete for record in records),
         "first_byte": percentiles(drafts),
         "largest_gap": result.largest_gap,
         "idle_share": result.idle_share,
--- a/benchmarks/analysis.py
+++ b/benchmarks/analysis.py
@@ -5,7 +5,7 @@
 
 import numpy as np
 
-from benchmarks.play import Seen
+from benchmarks.play import CallerRecord
 
 STEP = 0.02
 # A request in transit to an engine with a free slot does not wait. This much time is allowed for
@@ -35,14 +35,16 @@
 class Curves:
     """The service and the waiting requests of each workspace over time, every ``STEP`` seconds."""
 
-    def __init__(self, seen: list[Seen], runs: list[dict], begin: float, end: float) -> None:
+    def __init__(
+        self, records: list[CallerRecord], runs: list[dict], begin: float, end: float
+    ) -> None:
         self.times = np.arange(begin, end, STEP)
-        self.names = sorted({record.ask.workspace for record in seen})
+        self.names = sorted({record.request.workspace for record in records})
         self.service = {name: np.zeros(len(self.times)) for name in self.names}
         self.waiting = {name: np.zeros(len(self.times)) for name in self.names}
         self.running = np.zeros(len(self.times))
         self._add_runs(runs)
-        self._add_waiting(seen, {run["request"]: run for run in runs})
+        self._add_waiting(records, {run["request"]: run for run in runs})
 
     def _add_runs(self, runs: list[dict]) -> None:
         for run in runs:
@@ -55,14 +57,14 @@
             self.service[run["workspace"]] += share * cost
             self.running += (self.times >= run["started_at"]) & (self.times < ended)
 
-    def _add_waiting(self, seen: list[Seen], by_request: dict[str, dict]) -> None:
-        for record in seen:
-            if record.ask.label not in ("draft", "tag"):
+    def _add_waiting(self, records: list[CallerRecord], by_request: dict[str, dict]) -> None:
+        for record in records:
+            if record.request.label not in ("draft", "tag"):
                 continue
-            run = by_request.get(record.request)
+            run = by_request.get(record.request_id)
             until = run["received_at"] if run else record.ended_at
             inside = (self.times >= record.sent_at + WAY_SECONDS) & (self.times < until)
-            self.waiting[record.ask.workspace] += inside
+            self.waiting[record.request.workspace] += inside
 
 
 def fairness(curves: Curves, weights: dict[str, float], slots: int, rate: float) -> Fairness:
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -19,8 +19,8 @@
 
 from benchmarks import deployment as deploy
 from benchmarks.fairness import control_figures
-from benchmarks.play import play
-from benchmarks.workload import Plan, make
+from benchmarks.play import send_workload
+from benchmarks.workload import Plan, make_requests
 from railsail.core.clock import Clock
 from railsail.core.events import EventLog
 from railsail.core.metrics import Metrics
@@ -67,16 +67,16 @@
         before = await _usage(deployment)
         begin = time.time()
         choose = deployment.caller
-        seen = await play(deployment, make(plan), choose, drop_after=5.0)
+        records = await send_workload(deployment, make_requests(plan), choose, cancel_after=5.0)
         elapsed = time.time() - begin
-        return control_figures(before, await _usage(deployment), elapsed, len(seen))
+        return control_figures(before, await _usage(deployment), elapsed, len(records))
     finally:
         deployment.stop()
 
 
 def _plan(rate: float) -> Plan:
     names = tuple(sorted(deploy.workspaces(SHAPE)))
-    return Plan(7, SECONDS, rate, 8, names, SHAPE.large)
+    return Plan(7, SECONDS, rate, 8, names, SHAPE.large_workspaces)
 
 
 class Capacity:
@@ -219,12 +219,14 @@
 
 
 async def _replicas_point(count: int) -> dict:
-    shape = deploy.Shape("association", SHAPE.domains, "adverts", count, "board", 3, SHAPE.large)
+    shape = deploy.Shape(
+        "association", SHAPE.domains, "adverts", count, "board", 3, SHAPE.large_workspaces
+    )
     deployment = await deploy.start(shape, 8, ("--cell-replicas=3",))
     try:
         choose = deployment.caller
         # The dispatchers of the cells are created only under load.
-        await play(deployment, make(_plan(64.0)), choose, drop_after=2.0)
+        await send_workload(deployment, make_requests(_plan(64.0)), choose, cancel_after=2.0)
         await asyncio.sleep(2.0)
         return await _idle(deployment, 8.0)
     finally:
--- a/benchmarks/deployment.py
+++ b/benchmarks/deployment.py
@@ -35,7 +35,7 @@
     replicas: int
     service_pool: str
     service_replicas: int
-    large: tuple[str, ...]
+    large_workspaces: tuple[str, ...]
 
 
 ASSOCIATION = Shape(
--- a/benchmarks/fairness.py
+++ b/benchmarks/fairness.py
@@ -18,8 +18,8 @@
 
 from benchmarks import deployment as deploy
 from benchmarks.analysis import Curves, fairness, percentiles
-from benchmarks.play import Seen, play
-from benchmarks.workload import Plan, make
+from benchmarks.play import CallerRecord, send_workload
+from benchmarks.workload import Plan, make_requests
 from railsail.standins.batching import EngineSettings
 
 RESULTS = Path("results")
@@ -39,7 +39,7 @@
         calls = await deployment.store_calls()
         begin = time.time()
         choose = deployment.caller
-        seen = await play(deployment, make(plan), choose, drop_after=1.0)
+        records = await send_workload(deployment, make_requests(plan), choose, cancel_after=1.0)
         elapsed = time.time() - begin
         after = [await deploy.usage(daemon) for daemon in deployment.daemons]
         calls_after = await deployment.store_calls()
@@ -47,11 +47,11 @@
     finally:
         deployment.stop()
     runs = [run for name, log in logs.items() if name.startswith(shape.model_pool) for run in log]
-    curves = Curves(seen, runs, begin + WARM_SECONDS, begin + plan.seconds)
+    curves = Curves(records, runs, begin + WARM_SECONDS, begin + plan.seconds)
     settings = EngineSettings(**(engine or {}))
-    figures = _figures(shape, plan, seen, runs, curves, settings)
+    figures = _figures(shape, plan, records, runs, curves, settings)
     figures["idle_bytes_per_daemon"] = idle
-    figures["control"] = control_figures(before, after, elapsed, len(seen))
+    figures["control"] = control_figures(before, after, elapsed, len(records))
     figures["store_calls_per_second"] = {
         name: round((calls_after[name] - calls.get(name, 0)) / elapsed, 2) for name in calls_after
     }
@@ -75,7 +75,7 @@
 def _figures(
     shape: deploy.Shape,
     plan: Plan,
-    seen: list[Seen],
+    records: list[CallerRecord],
     runs: list[dict],
     curves: Curves,
     settings: EngineSettings,
@@ -85,25 +85,27 @@
     largest = max(run["prompt_tokens"] + run["output_tokens"] for run in runs)
     figures = dataclasses.asdict(dataclasses.replace(result, largest_cost=largest))
     figures["gap_over_largest"] = result.largest_gap / largest
-    labels = sorted({record.ask.label for record in seen})
+    labels = sorted({record.request.label for record in records})
     figures["first_byte_seconds"] = {
-        label: percentiles([s.first_at - s.sent_at for s in seen if _answered(s, label)])
+        label: percentiles([s.first_byte_at - s.sent_at for s in records if _answered(s, label)])
         for label in labels
     }
-    figures["requests"] = len(seen)
-    figures["outcomes"] = _outcomes(seen)
+    figures["requests"] = len(records)
+    figures["outcomes"] = _outcomes(records)
     return figures
 
 
-def _answered(seen: Seen, label: str) -> bool:
-    return seen.ask.label == label and seen.status == 200 and seen.first_at > 0
+def _answered(records: CallerRecord, label: str) -> bool:
+    return records.request.label == label and records.status == 200 and records.first_byte_at > 0
 
 
-def _outcomes(seen: list[Seen]) -> dict[str, int]:
+def _outcomes(records: list[CallerRecord]) -> dict[str, int]:
     counts: dict[str, int] = {}
-    for record in seen:
-        word = "whole" if record.whole else record.reason or record.error.split(":")[0] or "other"
-        name = f"{record.ask.label} {word}"
+    for record in records:
+        word = (
+            "whole" if record.complete else record.reason or record.error.split(":")[0] or "other"
+        )
+        name = f"{record.request.label} {word}"
         counts[name] = counts.get(name, 0) + 1
     return dict(sorted(counts.items()))
 
@@ -191,8 +193,8 @@
                 rate=rate,
                 daemons=daemons,
                 workspaces=tuple(sorted(weights)),
-                large=chosen.large,
-                flood=chosen.large[0] if flood else "",
+                large_workspaces=chosen.large_workspaces,
+                flooding_workspace=chosen.large_workspaces[0] if flood else "",
             )
             for kind, options in kinds.items():
                 figures, curves = asyncio.run(_run_once(chosen, plan, options))
--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -20,9 +20,9 @@
 from benchmarks import deployment as deploy
 from benchmarks.analysis import Curves, fairness
 from benchmarks.balancer import Balancer
-from benchmarks.play import Seen, play
+from benchmarks.play import CallerRecord, send_workload
 from benchmarks.relay import Relay
-from benchmarks.workload import Plan, make
+from benchmarks.workload import Plan, make_requests
 from railsail.standins.batching import EngineSettings
 
 RESULTS = Path("results")
@@ -247,9 +247,11 @@
     background += [asyncio.ensure_future(_later(fault, scene)) for fault in faults]
     try:
         weights = deploy.workspaces(SHAPE)
-        plan = Plan(seed, seconds, rate, DAEMONS, tuple(sorted(weights)), SHAPE.large)
+        plan = Plan(seed, seconds, rate, DAEMONS, tuple(sorted(weights)), SHAPE.large_workspaces)
         begin = time.time()
-        seen = await play(deployment, make(plan), balancer.choose, drop_after=25.0, tries=6)
+        records = await send_workload(
+            deployment, make_requests(plan), balancer.choose, cancel_after=25.0, max_attempts=6
+        )
         logs = await deployment.logs()
     finally:
         for task in background:
@@ -257,8 +259,8 @@
         await asyncio.gather(*background, return_exceptions=True)
         relay.stop()
         deployment.stop()
-    audit = _audit(seen, logs, scene, operator)
-    return {**audit, **_fairness(seen, logs, weights, begin, seconds)}
+    audit = _audit(records, logs, scene, operator)
+    return {**audit, **_fairness(records, logs, weights, begin, seconds)}
 
 
 async def _later(fault: Fault, scene: Scene) -> None:
@@ -266,43 +268,45 @@
     await fault(scene)
 
 
-def _audit(seen: list[Seen], logs: dict[str, list[dict]], scene: Scene, operator: Operator) -> dict:
+def _audit(
+    records: list[CallerRecord], logs: dict[str, list[dict]], scene: Scene, operator: Operator
+) -> dict:
     runs = [run for log in logs.values() for run in log]
     ran = {run["request"] for run in runs}
     by_key: dict[str, int] = {}
     for run in runs:
         if "/classify/" in str(run.get("path", "")):
             by_key[run["key"]] = by_key.get(run["key"], 0) + 1
-    asked = {record.ask.number for record in seen}
-    served = {record.ask.number for record in seen if record.whole}
+    asked = {record.request.number for record in records}
+    served = {record.request.number for record in records if record.complete}
     return {
         "requests": len(asked),
-        "tries": len(seen),
+        "tries": len(records),
         "served": len(served),
         "most_runs_of_once": max(by_key.values(), default=0),
-        "not_run_but_ran": sum(r.outcome == "not-run" and r.request in ran for r in seen),
-        "not_whole_or_not_own": sum(r.whole and not r.own for r in seen),
+        "not_run_but_ran": sum(r.outcome == "not-run" and r.request_id in ran for r in records),
+        "not_whole_or_not_own": sum(r.complete and not r.own_answer for r in records),
         "new_at_leaving": _new_at_leaving(logs, scene),
-        "cut": sum(r.error.startswith("CutOff") for r in seen),
-        "unknown": sum(r.outcome == "unknown" for r in seen),
-        "not_run": sum(r.outcome == "not-run" for r in seen),
+        "cut": sum(r.error.startswith("CutOff") for r in records),
+        "unknown": sum(r.outcome == "unknown" for r in records),
+        "not_run": sum(r.outcome == "not-run" for r in records),
         "exit_codes": sorted(set(scene.exit_codes)),
         "in_force_most": round(max(operator.waits, default=0.0), 2),
         "changes": len(operator.waits),
         "changes_refused": operator.refused,
         "versions_back": operator.went_back,
-        "unserved": _unserved(seen, served),
+        "unserved": _unserved(records, served),
     }
 
 
-def _unserved(seen: list[Seen], served: set[int]) -> dict[str, int]:
+def _unserved(records: list[CallerRecord], served: set[int]) -> dict[str, int]:
     """Return how the last attempts of the requests that were never served ended."""
-    last = {record.ask.number: record for record in seen}
+    last = {record.request.number: record for record in records}
     counts: dict[str, int] = {}
     for number, record in last.items():
         if number not in served:
             word = record.reason or record.error.split(":")[0] or "no answer"
-            name = f"{record.ask.label} {word}"
+            name = f"{record.request.label} {word}"
             counts[name] = counts.get(name, 0) + 1
     return counts
 
@@ -316,12 +320,16 @@
 
 
 def _fairness(
-    seen: list[Seen], logs: dict[str, list[dict]], weights: dict, begin: float, seconds: float
+    records: list[CallerRecord],
+    logs: dict[str, list[dict]],
+    weights: dict,
+    begin: float,
+    seconds: float,
 ) -> dict:
     engine = EngineSettings()
     slots = SHAPE.replicas * engine.slots
     runs = [run for name, log in logs.items() if name.startswith(SHAPE.model_pool) for run in log]
-    curves = Curves(seen, runs, begin + 2.0, begin + seconds)
+    curves = Curves(records, runs, begin + 2.0, begin + seconds)
     result = fairness(curves, weights, slots, slots * engine.decode_rate)
     return {
         "largest_gap": round(result.largest_gap),
--- a/benchmarks/overhead.py
+++ b/benchmarks/overhead.py
@@ -25,10 +25,10 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.first_at = 0.0
+        self.first_byte_at = 0.0
 
     async def data(self, chunk: bytes) -> None:
-        self.first_at = self.first_at or time.perf_counter()
+        self.first_byte_at = self.first_byte_at or time.perf_counter()
         await super().data(chunk)
 
 
@@ -39,7 +39,7 @@
     await exchange(request, receiver)
     if receiver.status != 200:
         raise RuntimeError(f"a call failed: {receiver.body!r}")
-    return receiver.first_at - begin, time.perf_counter() - begin
+    return receiver.first_byte_at - begin, time.perf_counter() - begin
 
 
 def _model_request(endpoint: str, request_id: str) -> HttpRequest:
