--- a/benchmarks/affinity.py
+++ b/benchmarks/affinity.py
@@ -16,7 +16,7 @@
 
 from benchmarks import deployment as deploy
 from benchmarks.analysis import Curves, fairness, percentiles
-from benchmarks.play import send_workload
+from benchmarks.load_generator import send_workload
 from benchmarks.workload import Plan, PlannedRequest, make_requests
 
 SHAPE = deploy.ASSOCIATION
--- a/benchmarks/analysis.py
+++ b/benchmarks/analysis.py
@@ -5,7 +5,7 @@
 
 import numpy as np
 
-from benchmarks.play import CallerRecord
+from benchmarks.load_generator import CallerRecord
 
 STEP = 0.02
 # A request in transit to an engine with a free slot does not wait. This much time is allowed for
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -19,7 +19,7 @@
 
 from benchmarks import deployment as deploy
 from benchmarks.fairness import control_figures
-from benchmarks.play import send_workload
+from benchmarks.load_generator import send_workload
 from benchmarks.workload import Plan, make_requests
 from railsail.core.clock import Clock
 from railsail.core.events import EventLog
--- a/benchmarks/fairness.py
+++ b/benchmarks/fairness.py
@@ -18,7 +18,7 @@
 
 from benchmarks import deployment as deploy
 from benchmarks.analysis import Curves, fairness, percentiles
-from benchmarks.play import CallerRecord, send_workload
+from benchmarks.load_generator import CallerRecord, send_workload
 from benchmarks.workload import Plan, make_requests
 from railsail.standins.batching import EngineSettings
 
