--- a/benchmarks/affinity.py
+++ b/benchmarks/affinity.py
@@ -55,15 +55,15 @@
     weights = deploy.workspaces(SHAPE)
     plan = Plan(seed, seconds, rate, 8, tuple(sorted(weights)), SHAPE.large_workspaces)
     try:
-        begin = time.time()
+        started_at = time.time()
         records = await send_workload(
-            deployment, _requests(plan), deployment.caller, cancel_after=10.0
+            deployment, _requests(plan), deployment.caller_endpoint, cancel_after=10.0
         )
         logs = await deployment.logs()
     finally:
         deployment.stop()
     runs = [run for name, log in logs.items() if name.startswith(SHAPE.model_pool) for run in log]
-    curves = Curves(records, runs, begin + 3.0, begin + seconds)
+    curves = Curves(records, runs, started_at + 3.0, started_at + seconds)
     result = fairness(curves, weights, 48, 9600.0)
     drafts = [
         s.first_byte_at - s.sent_at
--- a/benchmarks/analysis.py
+++ b/benchmarks/analysis.py
@@ -7,10 +7,10 @@
 
 from benchmarks.load_generator import CallerRecord
 
-STEP = 0.02
+STEP_SECONDS = 0.02
 # A request in transit to an engine with a free slot does not wait. This much time is allowed for
 # the transit.
-WAY_SECONDS = 0.05
+ONE_WAY_LATENCY_SECONDS = 0.05
 
 
 @dataclass(frozen=True)
@@ -33,12 +33,12 @@
 
 
 class Curves:
-    """The service and the waiting requests of each workspace over time, every ``STEP`` seconds."""
+    """The service and the waiting requests of each workspace over time, on a regular grid."""
 
     def __init__(
-        self, records: list[CallerRecord], runs: list[dict], begin: float, end: float
+        self, records: list[CallerRecord], runs: list[dict], start: float, end: float
     ) -> None:
-        self.times = np.arange(begin, end, STEP)
+        self.times = np.arange(start, end, STEP_SECONDS)
         self.names = sorted({record.request.workspace for record in records})
         self.service = {name: np.zeros(len(self.times)) for name in self.names}
         self.waiting = {name: np.zeros(len(self.times)) for name in self.names}
@@ -50,12 +50,12 @@
         for run in runs:
             if not run["started_at"]:
                 continue
-            ended = run["ended_at"] or self.times[-1]
-            span = max(ended - run["started_at"], 1e-6)
+            ended_at = run["ended_at"] or self.times[-1]
+            span = max(ended_at - run["started_at"], 1e-6)
             share = np.clip((self.times - run["started_at"]) / span, 0.0, 1.0)
             cost = run["prompt_tokens"] + run["produced"]
             self.service[run["workspace"]] += share * cost
-            self.running += (self.times >= run["started_at"]) & (self.times < ended)
+            self.running += (self.times >= run["started_at"]) & (self.times < ended_at)
 
     def _add_waiting(self, records: list[CallerRecord], by_request: dict[str, dict]) -> None:
         for record in records:
@@ -63,8 +63,10 @@
                 continue
             run = by_request.get(record.request_id)
             until = run["received_at"] if run else record.ended_at
-            inside = (self.times >= record.sent_at + WAY_SECONDS) & (self.times < until)
-            self.waiting[record.request.workspace] += inside
+            waiting_now = (self.times >= record.sent_at + ONE_WAY_LATENCY_SECONDS) & (
+                self.times < until
+            )
+            self.waiting[record.request.workspace] += waiting_now
 
 
 def fairness(curves: Curves, weights: dict[str, float], slots: int, rate: float) -> Fairness:
@@ -75,8 +77,8 @@
     gaps = []
     for left, right in combinations(curves.names, 2):
         difference = curves.service[left] / weights[left] - curves.service[right] / weights[right]
-        both = (curves.waiting[left] > 0) & (curves.waiting[right] > 0)
-        gaps += _ranges(difference, both)
+        both_waiting = (curves.waiting[left] > 0) & (curves.waiting[right] > 0)
+        gaps += _ranges(difference, both_waiting)
     any_waiting = sum(curves.waiting.values()) > 0
     idle = np.clip(slots - curves.running, 0, slots)
     waiting_time = max(1, int(any_waiting.sum()))
@@ -91,14 +93,14 @@
     )
 
 
-def _ranges(difference: np.ndarray, both: np.ndarray) -> list[float]:
+def _ranges(difference: np.ndarray, both_waiting: np.ndarray) -> list[float]:
     """Return the range of ``difference`` over each interval in which both were backlogged."""
-    edges = np.flatnonzero(np.diff(np.concatenate(([0], both.astype(int), [0]))))
-    found = []
-    for first, after in zip(edges[::2], edges[1::2], strict=True):
-        stretch = difference[first:after]
-        found.append(float(stretch.max() - stretch.min()))
-    return found
+    edges = np.flatnonzero(np.diff(np.concatenate(([0], both_waiting.astype(int), [0]))))
+    ranges = []
+    for start, end in zip(edges[::2], edges[1::2], strict=True):
+        stretch = difference[start:end]
+        ranges.append(float(stretch.max() - stretch.min()))
+    return ranges
 
 
 def percentiles(values: list[float]) -> dict[str, float]:
--- a/benchmarks/balancer.py
+++ b/benchmarks/balancer.py
@@ -5,8 +5,8 @@
 from benchmarks.deployment import Daemon
 from railsail.upstreams.http import HttpRequest, fetch
 
-LOOK_SECONDS = 0.3
-ANSWER_SECONDS = 1.0
+POLL_SECONDS = 0.3
+TIMEOUT_SECONDS = 1.0
 
 
 class Balancer:
@@ -19,12 +19,12 @@
     async def run(self) -> None:
         """Poll all daemons until cancelled."""
         while True:
-            await asyncio.gather(*(self._look(daemon) for daemon in list(self._daemons)))
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.gather(*(self._poll(daemon) for daemon in list(self._daemons)))
+            await asyncio.sleep(POLL_SECONDS)
 
-    async def _look(self, daemon: Daemon) -> None:
+    async def _poll(self, daemon: Daemon) -> None:
         endpoint = f"{daemon.ip}:{daemon.ports[1]}"
-        answer = await fetch(HttpRequest(endpoint, "GET", "/ready", {}), ANSWER_SECONDS)
+        answer = await fetch(HttpRequest(endpoint, "GET", "/ready", {}), TIMEOUT_SECONDS)
         self._ready[daemon.ip] = answer is not None and answer.status == 200
 
     def choose(self, index: int) -> str:
@@ -36,5 +36,5 @@
         for step in range(count):
             daemon = self._daemons[(index + step) % count]
             if self._ready[daemon.ip]:
-                return daemon.caller
-        return self._daemons[index % count].caller
+                return daemon.caller_endpoint
+        return self._daemons[index % count].caller_endpoint
--- a/benchmarks/builds.py
+++ b/benchmarks/builds.py
@@ -22,16 +22,16 @@
 
 import fire
 
-from benchmarks.chat import ask, start_engines
+from benchmarks.chat import send_chat, start_engines
 from benchmarks.quarantine import SETTINGS
 from railsail.core.logs import configure_logs
 from railsail.standins.fleet import ADMIN_SECRET, PEER_SECRET, StandinFleet, free_ports
 
 ROOT = Path(__file__).parents[1]
 ENGINES = 4
-EVERY_SECONDS = 0.05
-READY_SECONDS = 8.0
-CLOSED = b"link closed"
+REQUEST_INTERVAL_SECONDS = 0.05
+STARTUP_SECONDS = 8.0
+LINK_CLOSED = b"link closed"
 
 
 @dataclass
@@ -44,9 +44,9 @@
 
     def closed_links(self) -> int:
         """Return how often the daemon closed a link because of a message that it received."""
-        return self.log.read_bytes().count(CLOSED)
+        return self.log.read_bytes().count(LINK_CLOSED)
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Stop the process gracefully, and wait until it has ended."""
         self.process.terminate()
         self.process.wait(20)
@@ -59,7 +59,7 @@
     fleet: StandinFleet
     folder: Path
     daemons: list[Daemon] = field(default_factory=list)
-    ended: list[Daemon] = field(default_factory=list)
+    stopped: list[Daemon] = field(default_factory=list)
     sent: int = 0
     served: int = 0
 
@@ -92,55 +92,57 @@
     def replace(self, daemon: Daemon, sources: Path) -> None:
         """Stop a daemon, and start one of the build in the folder ``sources``."""
         self.daemons.remove(daemon)
-        self.ended.append(daemon)
-        daemon.end()
+        self.stopped.append(daemon)
+        daemon.stop()
         self.start(sources)
 
-    async def ask(self) -> None:
+    async def send_request(self) -> None:
         """Send one request to the next daemon, and count it as served if it succeeds."""
         daemon = self.daemons[self.sent % len(self.daemons)]
         self.sent += 1
         endpoint = f"127.0.0.1:{daemon.ports[0]}"
         # The response is None while the daemon is being replaced.
-        response = await ask(endpoint, "hello", False, output_tokens="20")
+        response = await send_chat(endpoint, "hello", False, output_tokens="20")
         self.served += response is not None and response.code == 200
 
-    async def ask_for(self, seconds: float) -> None:
+    async def send_requests(self, seconds: float) -> None:
         """Send requests at a steady rate for ``seconds``, and wait for their responses."""
         calls = []
         ends_at = asyncio.get_running_loop().time() + seconds
         while asyncio.get_running_loop().time() < ends_at:
-            calls.append(asyncio.ensure_future(self.ask()))
-            await asyncio.sleep(EVERY_SECONDS)
+            calls.append(asyncio.ensure_future(self.send_request()))
+            await asyncio.sleep(REQUEST_INTERVAL_SECONDS)
         await asyncio.gather(*calls)
 
     def closed_links(self) -> int:
         """Return how often any daemon closed a link because of a message that it received."""
-        return sum(daemon.closed_links() for daemon in (*self.daemons, *self.ended))
+        return sum(daemon.closed_links() for daemon in (*self.daemons, *self.stopped))
 
 
-async def _play(other: Path, seconds: float, per_build: int, folder: Path) -> None:
+async def _measure(other: Path, seconds: float, per_build: int, folder: Path) -> None:
     fleet = start_engines(ENGINES, SETTINGS)
     run = Run(fleet, folder)
     for _ in range(per_build):
         run.start(other)
         run.start(ROOT)
-    olds = run.daemons[::2]
-    await asyncio.sleep(READY_SECONDS)
-    await run.ask_for(seconds / 3)
-    print("side by side:", {"links closed": run.closed_links(), "sent, served": _sums(run)})
-    asking = asyncio.ensure_future(run.ask_for(seconds * 2 / 3))
-    for daemon in olds:
+    old_daemons = run.daemons[::2]
+    await asyncio.sleep(STARTUP_SECONDS)
+    await run.send_requests(seconds / 3)
+    print(
+        "side by side:", {"links closed": run.closed_links(), "sent, served": _request_counts(run)}
+    )
+    sending = asyncio.ensure_future(run.send_requests(seconds * 2 / 3))
+    for daemon in old_daemons:
         await asyncio.sleep(1.0)
         await asyncio.to_thread(run.replace, daemon, ROOT)
-    await asking
-    print("replaced:", {"links closed": run.closed_links(), "sent, served": _sums(run)})
+    await sending
+    print("replaced:", {"links closed": run.closed_links(), "sent, served": _request_counts(run)})
     for daemon in run.daemons:
-        daemon.end()
+        daemon.stop()
     await fleet.stop()
 
 
-def _sums(run: Run) -> tuple[int, int]:
+def _request_counts(run: Run) -> tuple[int, int]:
     return run.sent, run.served
 
 
@@ -148,7 +150,7 @@
     """Run the benchmark once, and print its figures."""
     configure_logs("critical", "benchmark")
     with tempfile.TemporaryDirectory() as folder:
-        asyncio.run(_play(Path(other).resolve(), seconds, per_build, Path(folder)))
+        asyncio.run(_measure(Path(other).resolve(), seconds, per_build, Path(folder)))
 
 
 if __name__ == "__main__":
--- a/benchmarks/chat.py
+++ b/benchmarks/chat.py
@@ -10,7 +10,7 @@
 from railsail.standins.batching import EngineSettings
 from railsail.standins.fleet import StandinFleet
 
-_KEY = "key-of-one"
+API_KEY = "key-of-one"
 DEADLINE_SECONDS = 8
 TIMEOUT_SECONDS = 10.0
 
@@ -26,16 +26,16 @@
             "name": "one",
             "priority_class": "gold",
             "policy": "plain",
-            "key_hashes": [hash_key(_KEY)],
+            "key_hashes": [hash_key(API_KEY)],
         },
     ]
 
 
-def start_engines(number: int, settings: EngineSettings) -> StandinFleet:
-    """Start a store with ``objects``, and ``number`` engines named ``model-0``, ``model-1``, …"""
+def start_engines(engines: int, settings: EngineSettings) -> StandinFleet:
+    """Start a store with ``objects``, and ``engines`` engines named ``model-0``, ``model-1``, …"""
     fleet = StandinFleet.start(seed=7)
-    for count in range(number):
-        fleet.add_engine(f"model-{count}", "model", settings)
+    for number in range(engines):
+        fleet.add_engine(f"model-{number}", "model", settings)
     fleet.configure(objects())
     return fleet
 
@@ -58,7 +58,9 @@
     return f"{node.settings.node_ip}:{node.settings.caller_port}"
 
 
-async def ask(endpoint: str, content: str, stream: bool, **metadata: str) -> HTTPResponse | None:
+async def send_chat(
+    endpoint: str, content: str, stream: bool, **metadata: str
+) -> HTTPResponse | None:
     """Send a chat request to the daemon whose caller endpoint is ``endpoint``.
 
     Return the response, or ``None`` if there was none or its connection was closed early.
@@ -83,7 +85,7 @@
     return HTTPRequest(
         f"http://{endpoint}/v1/chat/completions",
         method="POST",
-        headers={"Authorization": f"Bearer {_KEY}", "X-Deadline-Seconds": str(DEADLINE_SECONDS)},
+        headers={"Authorization": f"Bearer {API_KEY}", "X-Deadline-Seconds": str(DEADLINE_SECONDS)},
         body=json.dumps(body),
         request_timeout=TIMEOUT_SECONDS,
     )
--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -19,80 +19,80 @@
 NODES = 77
 POOLS = {"model": (45, 271.0, 1.5), "service": (4, 133.0, 0.06)}
 IDLE_SECONDS = (1.0, 2.0, 5.0, 10.0, 20.0, 30.0)
-MOST_AT_PLACE = (1, 2, 4)
+MAX_IDLE_CONNECTIONS = (1, 2, 4)
 # Callers, each bound to one node at random, as a balancer that hashes callers does. This is why
 # the shares of the nodes are uneven.
 CALLERS = 311
 
 
-def _shares(rng: random.Random) -> list[int]:
+def _assign_callers(rng: random.Random) -> list[int]:
     """Return the node of each caller."""
     return [rng.randrange(NODES) for _ in range(CALLERS)]
 
 
-class _Model:
+class _PoolConnections:
     """The connections to one pool.
 
-    A connection may be idle for ``idle`` seconds, and at most ``most`` are kept idle between a node
-    and a replica.
+    A connection may be idle for ``idle_seconds``. At most ``max_idle`` idle connections are kept
+    between a node and a replica. ``opened`` counts the connections that were opened.
     """
 
-    def __init__(self, idle: float, most: int) -> None:
-        self._idle_seconds = idle
-        self._most = most
+    def __init__(self, idle_seconds: float, max_idle: int) -> None:
+        self._idle_seconds = idle_seconds
+        self._max_idle = max_idle
         self._idle: defaultdict[tuple[int, int], list[float]] = defaultdict(list)
         self._running: list[tuple[float, int, tuple[int, int]]] = []
-        self._numbers = count()
-        self.new = 0
+        self._sequence = count()
+        self.opened = 0
 
-    def request(self, now: float, place: tuple[int, int], lasts: float) -> None:
-        self._end(now)
-        idle = self._idle[place]
+    def request(self, now: float, endpoints: tuple[int, int], duration: float) -> None:
+        self._release_ended(now)
+        idle = self._idle[endpoints]
         while idle and idle[0] < now - self._idle_seconds:
             idle.pop(0)
         if idle:
             idle.pop()
         else:
-            self.new += 1
-        heapq.heappush(self._running, (now + lasts, next(self._numbers), place))
+            self.opened += 1
+        heapq.heappush(self._running, (now + duration, next(self._sequence), endpoints))
 
-    def _end(self, now: float) -> None:
+    def _release_ended(self, now: float) -> None:
         while self._running and self._running[0][0] <= now:
-            ended_at, _, place = heapq.heappop(self._running)
-            self._idle[place].append(ended_at)
-            if len(self._idle[place]) > self._most:
-                self._idle[place].pop(0)
+            ended_at, _, endpoints = heapq.heappop(self._running)
+            self._idle[endpoints].append(ended_at)
+            if len(self._idle[endpoints]) > self._max_idle:
+                self._idle[endpoints].pop(0)
 
 
-def _play(idle: float, most: int, seconds: float, seed: int) -> dict[str, float]:
+def _simulate(idle_seconds: float, max_idle: int, seconds: float, seed: int) -> dict[str, float]:
     """Return the share of requests that open a new connection, by pool and over all pools."""
     rng = random.Random(seed)
-    callers = _shares(rng)
+    callers = _assign_callers(rng)
     shares = {}
-    new = requests = 0
+    opened = requests = 0
     for pool, (replicas, rate, mean) in POOLS.items():
-        model = _Model(idle, most)
+        connections = _PoolConnections(idle_seconds, max_idle)
         now = 0.0
-        asked = 0
+        sent = 0
         while now < seconds:
             now += rng.expovariate(rate)
-            place = (rng.choice(callers), rng.randrange(replicas))
-            model.request(now, place, rng.expovariate(1 / mean))
-            asked += 1
-        shares[pool] = model.new / asked
-        new += model.new
-        requests += asked
-    shares["all"] = new / requests
+            endpoints = (rng.choice(callers), rng.randrange(replicas))
+            connections.request(now, endpoints, rng.expovariate(1 / mean))
+            sent += 1
+        shares[pool] = connections.opened / sent
+        opened += connections.opened
+        requests += sent
+    shares["all"] = opened / requests
     return shares
 
 
 def run(seconds: float = 120.0, seed: int = 1) -> None:
     """Print the share of new connections for each idle timeout and limit of idle connections."""
-    for most in MOST_AT_PLACE:
-        for idle in IDLE_SECONDS:
-            shares = _play(idle, most, seconds, seed)
-            told = " ".join(f"{pool} {share:.2f}" for pool, share in shares.items())
-            print(f"idle timeout {idle:.0f} s, at most {most} idle: new connections {told}")
+    for max_idle in MAX_IDLE_CONNECTIONS:
+        for idle_seconds in IDLE_SECONDS:
+            shares = _simulate(idle_seconds, max_idle, seconds, seed)
+            shown = " ".join(f"{pool} {share:.2f}" for pool, share in shares.items())
+            print(f"idle timeout {idle_seconds:.0f} s, at most {max_idle} idle: opened {shown}")
 
 
 if __name__ == "__main__":
--- a/benchmarks/deployment.py
+++ b/benchmarks/deployment.py
@@ -19,7 +19,7 @@
 from railsail.upstreams.http import HttpRequest, fetch
 
 ROOT = Path(__file__).parents[1]
-START_SECONDS = 60.0
+START_TIMEOUT_SECONDS = 60.0
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 _SAMPLE = re.compile(r"^(\w+)\{([^}]*)\} (\S+)$")
 _LABEL = re.compile(r'(\w+)="([^"]*)"')
@@ -83,7 +83,7 @@
     flags: list[str]
 
     @property
-    def caller(self) -> str:
+    def caller_endpoint(self) -> str:
         """Return the caller endpoint."""
         return f"{self.ip}:{self.ports[0]}"
 
@@ -117,7 +117,7 @@
         self.processes.append(process)
         return process
 
-    def add_daemon(self, number: int, *more: str, ports: list[int] | None = None) -> Daemon:
+    def add_daemon(self, number: int, *extra_flags: str, ports: list[int] | None = None) -> Daemon:
         """Start daemon ``number`` on its own loopback address."""
         ip = ip_of(number)
         ports = ports or free_ports(3, ip)
@@ -135,16 +135,16 @@
             "--leave-seconds=1",
             "--queue-per-workspace=2000",
             "--queue-total=10000",
-            *more,
+            *extra_flags,
         ]
         process = self.spawn(["-m", "railsail.daemon", *flags])
         daemon = Daemon(ip, ports, process, flags)
         self.daemons.append(daemon)
         return daemon
 
-    def caller(self, index: int) -> str:
+    def caller_endpoint(self, index: int) -> str:
         """Return the caller endpoint of daemon ``index``, modulo the number of daemons."""
-        return self.daemons[index % len(self.daemons)].caller
+        return self.daemons[index % len(self.daemons)].caller_endpoint
 
     async def list_daemon(self, daemon: Daemon) -> None:
         """Add a daemon to the platform's node list."""
@@ -164,17 +164,17 @@
         if answer is None or answer.status != 200:
             raise RuntimeError(f"the stand-in store refused {kind}/{name}")
 
-    async def settle(self, daemons: int) -> None:
+    async def wait_until_ready(self, daemons: int) -> None:
         """Wait until every daemon is ready and sees ``daemons`` members alive.
 
-        Raise ``TimeoutError`` after ``START_SECONDS``.
+        Raise ``TimeoutError`` after ``START_TIMEOUT_SECONDS``.
         """
-        async with asyncio.timeout(START_SECONDS):
+        async with asyncio.timeout(START_TIMEOUT_SECONDS):
             for daemon in self.daemons:
-                while not await _settled(daemon, daemons):
+                while not await _is_settled(daemon, daemons):
                     await asyncio.sleep(0.1)
 
-    async def fault(self, endpoint: str, **faults: object) -> None:
+    async def set_faults(self, endpoint: str, **faults: object) -> None:
         """Set the faults of a stand-in; without ``faults``, clear them all."""
         body = json.dumps(faults).encode()
         await fetch(HttpRequest(endpoint, "PUT", "/standin/faults", {}, body), 5.0)
@@ -207,7 +207,7 @@
     return f"127.0.{1 + number // 200}.{10 + number % 200}"
 
 
-async def _settled(daemon: Daemon, count: int) -> bool:
+async def _is_settled(daemon: Daemon, count: int) -> bool:
     reply = await daemon.admin.call("GET", "/v1/status")
     if reply.status != 200 or reply.body["not_ready"] or not reply.body["upstreams"]:
         return False
@@ -259,14 +259,14 @@
 async def start(
     shape: Shape,
     daemons: int,
-    more: tuple[str, ...] = (),
+    extra_flags: tuple[str, ...] = (),
     engine: dict | None = None,
     relay: Relay | None = None,
 ) -> Deployment:
     """Start the store, the upstreams and ``daemons`` daemons of ``shape``, and wait for readiness.
 
-    ``more`` are further flags of the daemons, and ``engine`` the settings of the stand-in engines.
-    With ``relay``, the links between daemons go through it.
+    ``extra_flags`` are further flags of the daemons, and ``engine`` has the settings of the stand-in
+    engines. With ``relay``, the links between daemons go through it.
     """
     store_port = free_ports(1)[0]
     deployment = Deployment(shape, f"127.0.0.1:{store_port}", {})
@@ -283,19 +283,19 @@
     await _wait_for(deployment.store)
     await _fill_store(deployment, parts)
     for number in range(daemons):
-        await _add(deployment, number, more, relay)
-    await deployment.settle(daemons)
+        await _add(deployment, number, extra_flags, relay)
+    await deployment.wait_until_ready(daemons)
     return deployment
 
 
 async def _add(
-    deployment: Deployment, number: int, more: tuple[str, ...], relay: Relay | None
+    deployment: Deployment, number: int, extra_flags: tuple[str, ...], relay: Relay | None
 ) -> None:
     ports = free_ports(4, ip_of(number))
     if relay is not None:
         await relay.listen(ip_of(number), ports[2], ports[3])
-        more = (*more, f"--listen-port={ports[3]}")
-    await deployment.list_daemon(deployment.add_daemon(number, *more, ports=ports[:3]))
+        extra_flags = (*extra_flags, f"--listen-port={ports[3]}")
+    await deployment.list_daemon(deployment.add_daemon(number, *extra_flags, ports=ports[:3]))
 
 
 def _upstream_parts(shape: Shape, engine: dict) -> list[dict]:
@@ -313,7 +313,7 @@
 
 
 async def _wait_for(endpoint: str) -> None:
-    async with asyncio.timeout(START_SECONDS):
+    async with asyncio.timeout(START_TIMEOUT_SECONDS):
         request = HttpRequest(endpoint, "GET", "/standin/calls", {})
         while await fetch(request, 1.0) is None:
             await asyncio.sleep(0.05)
--- a/benchmarks/fairness.py
+++ b/benchmarks/fairness.py
@@ -23,37 +23,38 @@
 from railsail.standins.batching import EngineSettings
 
 RESULTS = Path("results")
-WARM_SECONDS = 3.0
+WARMUP_SECONDS = 3.0
 
 
 async def _run_once(
     shape: deploy.Shape,
     plan: Plan,
-    more: tuple[str, ...],
+    extra_flags: tuple[str, ...],
     engine: dict | None = None,
 ) -> tuple[dict, Curves]:
-    deployment = await deploy.start(shape, plan.daemons, more, engine)
+    deployment = await deploy.start(shape, plan.daemons, extra_flags, engine)
     try:
         idle = await _idle_traffic(deployment)
         before = [await deploy.usage(daemon) for daemon in deployment.daemons]
-        calls = await deployment.store_calls()
-        begin = time.time()
-        choose = deployment.caller
+        calls_before = await deployment.store_calls()
+        started_at = time.time()
+        choose = deployment.caller_endpoint
         records = await send_workload(deployment, make_requests(plan), choose, cancel_after=1.0)
-        elapsed = time.time() - begin
+        elapsed = time.time() - started_at
         after = [await deploy.usage(daemon) for daemon in deployment.daemons]
         calls_after = await deployment.store_calls()
         logs = await deployment.logs()
     finally:
         deployment.stop()
     runs = [run for name, log in logs.items() if name.startswith(shape.model_pool) for run in log]
-    curves = Curves(records, runs, begin + WARM_SECONDS, begin + plan.seconds)
+    curves = Curves(records, runs, started_at + WARMUP_SECONDS, started_at + plan.seconds)
     settings = EngineSettings(**(engine or {}))
     figures = _figures(shape, plan, records, runs, curves, settings)
     figures["idle_bytes_per_daemon"] = idle
     figures["control"] = control_figures(before, after, elapsed, len(records))
     figures["store_calls_per_second"] = {
-        name: round((calls_after[name] - calls.get(name, 0)) / elapsed, 2) for name in calls_after
+        name: round((calls_after[name] - calls_before.get(name, 0)) / elapsed, 2)
+        for name in calls_after
     }
     return figures, curves
 
@@ -102,10 +103,10 @@
 def _outcomes(records: list[CallerRecord]) -> dict[str, int]:
     counts: dict[str, int] = {}
     for record in records:
-        word = (
+        result = (
             "whole" if record.complete else record.reason or record.error.split(":")[0] or "other"
         )
-        name = f"{record.request.label} {word}"
+        name = f"{record.request.label} {result}"
         counts[name] = counts.get(name, 0) + 1
     return dict(sorted(counts.items()))
 
@@ -181,11 +182,11 @@
         chosen = deploy.SHAPES[shape]
         weights = deploy.workspaces(chosen)
         RESULTS.mkdir(exist_ok=True)
-        more = tuple(flags.split())
-        kinds = {"fleet": more}
+        extra_flags = tuple(flags.split())
+        variants = {"fleet": extra_flags}
         if baseline:
-            kinds["local"] = (*more, "--scheduling=local")
-        collected: dict[str, list[dict]] = {kind: [] for kind in kinds}
+            variants["local"] = (*extra_flags, "--scheduling=local")
+        collected: dict[str, list[dict]] = {variant: [] for variant in variants}
         for number in range(runs):
             plan = Plan(
                 seed=100 + number,
@@ -196,18 +197,23 @@
                 large_workspaces=chosen.large_workspaces,
                 flooding_workspace=chosen.large_workspaces[0] if flood else "",
             )
-            for kind, options in kinds.items():
+            for variant, options in variants.items():
                 figures, curves = asyncio.run(_run_once(chosen, plan, options))
-                collected[kind].append(figures)
-                _plot(RESULTS / f"{name}-{kind}-{number}.png", f"{shape}, {kind}", curves, weights)
-                print(kind, number, json.dumps(figures), flush=True)
+                collected[variant].append(figures)
+                _plot(
+                    RESULTS / f"{name}-{variant}-{number}.png",
+                    f"{shape}, {variant}",
+                    curves,
+                    weights,
+                )
+                print(variant, number, json.dumps(figures), flush=True)
         self._summarise(collected)
         (RESULTS / f"{name}.json").write_text(json.dumps(collected, indent=1))
 
     def _summarise(self, collected: dict[str, list[dict]]) -> None:
-        for kind, figures in collected.items():
+        for variant, figures in collected.items():
             for key in ("largest_gap", "gap_over_largest", "p99_gap", "idle_share"):
-                print(f"{kind}: median {key} {_median(figures, key):.4f}")
+                print(f"{variant}: median {key} {_median(figures, key):.4f}")
 
 
 def main() -> None:
--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -107,9 +107,9 @@
 
 
 async def _store(scene: Scene, **faults: object) -> None:
-    await scene.deployment.fault(scene.deployment.store, **faults)
+    await scene.deployment.set_faults(scene.deployment.store, **faults)
     await asyncio.sleep(FAULT_SECONDS)
-    await scene.deployment.fault(scene.deployment.store)
+    await scene.deployment.set_faults(scene.deployment.store)
 
 
 async def store_down(scene: Scene) -> None:
@@ -135,7 +135,7 @@
         await scene.deployment.put("upstream", name, {**value, "state": "leaving"})
     except RuntimeError:
         # The store cannot list it while it is down, so the engine reports it.
-        await scene.deployment.fault(scene.deployment.upstreams[name], leaving=True)
+        await scene.deployment.set_faults(scene.deployment.upstreams[name], leaving=True)
     scene.left[name] = time.time()
     await asyncio.sleep(FAULT_SECONDS)
     scene.stopped[name] = time.time()
@@ -248,7 +248,7 @@
     try:
         weights = deploy.workspaces(SHAPE)
         plan = Plan(seed, seconds, rate, DAEMONS, tuple(sorted(weights)), SHAPE.large_workspaces)
-        begin = time.time()
+        started_at = time.time()
         records = await send_workload(
             deployment, make_requests(plan), balancer.choose, cancel_after=25.0, max_attempts=6
         )
@@ -260,7 +260,7 @@
         relay.stop()
         deployment.stop()
     audit = _audit(records, logs, scene, operator)
-    return {**audit, **_fairness(records, logs, weights, begin, seconds)}
+    return {**audit, **_fairness(records, logs, weights, started_at, seconds)}
 
 
 async def _later(fault: Fault, scene: Scene) -> None:
@@ -323,13 +323,13 @@
     records: list[CallerRecord],
     logs: dict[str, list[dict]],
     weights: dict,
-    begin: float,
+    started_at: float,
     seconds: float,
 ) -> dict:
     engine = EngineSettings()
     slots = SHAPE.replicas * engine.slots
     runs = [run for name, log in logs.items() if name.startswith(SHAPE.model_pool) for run in log]
-    curves = Curves(records, runs, begin + 2.0, begin + seconds)
+    curves = Curves(records, runs, started_at + 2.0, started_at + seconds)
     result = fairness(curves, weights, slots, slots * engine.decode_rate)
     return {
         "largest_gap": round(result.largest_gap),
--- a/benchmarks/load_generator.py
+++ b/benchmarks/load_generator.py
@@ -94,11 +94,11 @@
     attempts. Requests that have not ended ``cancel_after`` seconds after the last one was sent are
     cancelled; 0 means that all are waited for. Return a record of each attempt.
     """
-    begin = time.time() + 0.2
+    started_at = time.time() + 0.2
     tasks = []
     records: list[CallerRecord] = []
     for request in requests:
-        await asyncio.sleep(max(0.0, begin + request.at - time.time()))
+        await asyncio.sleep(max(0.0, started_at + request.at - time.time()))
         tasks.append(
             asyncio.ensure_future(
                 _send_until_served(deployment, request, choose, max_attempts, records)
--- a/benchmarks/overhead.py
+++ b/benchmarks/overhead.py
@@ -20,7 +20,7 @@
 KEY = "rs-demo-harbour-jobs"
 
 
-class _FirstByte(Collector):
+class _FirstByteCollector(Collector):
     """Collect the answer, and record when the first byte of its body arrived."""
 
     def __init__(self) -> None:
@@ -34,12 +34,12 @@
 
 async def _timed(request: HttpRequest) -> tuple[float, float]:
     """Return the seconds until the first byte of the answer and until its end."""
-    receiver = _FirstByte()
-    begin = time.perf_counter()
+    receiver = _FirstByteCollector()
+    started_at = time.perf_counter()
     await exchange(request, receiver)
     if receiver.status != 200:
         raise RuntimeError(f"a call failed: {receiver.body!r}")
-    return receiver.first_byte_at - begin, time.perf_counter() - begin
+    return receiver.first_byte_at - started_at, time.perf_counter() - started_at
 
 
 def _model_request(endpoint: str, request_id: str) -> HttpRequest:
@@ -62,18 +62,21 @@
     try:
         await asyncio.sleep(2.0)
         for number in range(pairs):
-            caller = deployment.caller(number)
+            caller_endpoint = deployment.caller_endpoint(number)
             calls = {
                 "stream direct": _model_request(engine, f"direct-{number}"),
-                "stream": _model_request(caller, "x"),
+                "stream": _model_request(caller_endpoint, "x"),
                 "service direct": HttpRequest(service, "GET", "/status?seconds=0", headers),
                 "service": HttpRequest(
-                    caller, "GET", f"/services/{SHAPE.service_pool}/status?seconds=0", headers
+                    caller_endpoint,
+                    "GET",
+                    f"/services/{SHAPE.service_pool}/status?seconds=0",
+                    headers,
                 ),
             }
             for name, request in calls.items():
-                first, whole = await _timed(request)
-                times.setdefault(f"{name}, first byte", []).append(first)
+                first_byte, whole = await _timed(request)
+                times.setdefault(f"{name}, first byte", []).append(first_byte)
                 times.setdefault(f"{name}, whole", []).append(whole)
         idle = [await deploy.usage(daemon) for daemon in deployment.daemons]
     finally:
@@ -84,13 +87,13 @@
 
 def _report(times: dict[str, list[float]]) -> None:
     for name in ("stream", "service"):
-        for part in ("first byte", "whole"):
-            routed = times[f"{name}, {part}"]
-            direct = times[f"{name} direct, {part}"]
+        for measure in ("first byte", "whole"):
+            routed = times[f"{name}, {measure}"]
+            direct = times[f"{name} direct, {measure}"]
             added = statistics.median(r - d for r, d in zip(routed, direct, strict=True))
             ratio = statistics.median(routed) / statistics.median(direct)
             print(
-                f"{name}, {part}: direct {statistics.median(direct) * 1000:.2f} ms, "
+                f"{name}, {measure}: direct {statistics.median(direct) * 1000:.2f} ms, "
                 f"added {added * 1000:.2f} ms (median of {len(routed)} pairs), ratio {ratio:.2f}"
             )
 
--- a/benchmarks/processor.py
+++ b/benchmarks/processor.py
@@ -25,7 +25,7 @@
 REPLICAS = 4
 # The work of daemons while they connect to each other does not count.
 SETTLE_SECONDS = 4.0
-TARGET = "/again/plain"
+PATH = "/again/plain"
 TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 
 
@@ -42,7 +42,7 @@
     served: int
 
 
-def used_ms(fleet: ProcessFleet) -> float:
+def cpu_ms(fleet: ProcessFleet) -> float:
     """Return the processor time that all daemons have used until now, in milliseconds."""
     ticks = 0
     for daemon in fleet.daemons:
@@ -53,35 +53,35 @@
     return 1000 * ticks / TICKS_PER_SECOND
 
 
-async def _ask(fleet: ProcessFleet, number: int) -> bool:
+async def _send_request(fleet: ProcessFleet, number: int) -> bool:
     daemon = fleet.daemons[number % DAEMONS]
-    answer = await fleet.call(daemon, TARGET, Request_Id=f"r-{number}", Content_Length="")
+    answer = await fleet.call(daemon, PATH, Request_Id=f"r-{number}", Content_Length="")
     return answer is not None and answer.status == 200
 
 
-async def _load(fleet: ProcessFleet, seconds: float, rate: float) -> int:
+async def _send_requests(fleet: ProcessFleet, seconds: float, rate: float) -> int:
     """Send ``rate`` requests a second for ``seconds``, and return how many were served."""
     loop = asyncio.get_running_loop()
-    begin = loop.time()
+    started_at = loop.time()
     calls = []
     for number in range(int(seconds * rate)):
-        await asyncio.sleep(max(0.0, begin + number / rate - loop.time()))
-        calls.append(asyncio.ensure_future(_ask(fleet, number)))
+        await asyncio.sleep(max(0.0, started_at + number / rate - loop.time()))
+        calls.append(asyncio.ensure_future(_send_request(fleet, number)))
     return sum(await asyncio.gather(*calls))
 
 
 async def _measure(fleet: ProcessFleet, seconds: float, rate: float) -> Figures:
     await fleet.until_ready()
-    start = used_ms(fleet)
+    start = cpu_ms(fleet)
     await asyncio.sleep(SETTLE_SECONDS)
-    await _load(fleet, 1.0, rate)
+    await _send_requests(fleet, 1.0, rate)
     loop = asyncio.get_running_loop()
-    before, begin = used_ms(fleet), loop.time()
+    before, started_at = cpu_ms(fleet), loop.time()
     await asyncio.sleep(seconds)
-    idle = (used_ms(fleet) - before) / (loop.time() - begin)
-    before, begin = used_ms(fleet), loop.time()
-    served = await _load(fleet, seconds, rate)
-    busy = used_ms(fleet) - before - idle * (loop.time() - begin)
+    idle = (cpu_ms(fleet) - before) / (loop.time() - started_at)
+    before, started_at = cpu_ms(fleet), loop.time()
+    served = await _send_requests(fleet, seconds, rate)
+    busy = cpu_ms(fleet) - before - idle * (loop.time() - started_at)
     return Figures(start / DAEMONS, idle / DAEMONS, busy / served, served)
 
 
@@ -98,7 +98,7 @@
             await fleet.stop()
 
 
-def _show(build: str, runs: list[Figures]) -> None:
+def _print_figures(build: str, runs: list[Figures]) -> None:
     for name in ("start", "idle", "request"):
         values = sorted(getattr(run, name) for run in runs)
         shown = " ".join(f"{value:.2f}" for value in values)
@@ -115,8 +115,8 @@
     for _ in range(runs):
         for build, sources in builds.items():
             figures[build].append(asyncio.run(_run(sources, seconds, rate)))
-    for build, played in figures.items():
-        _show(build, played)
+    for build, measured in figures.items():
+        _print_figures(build, measured)
 
 
 if __name__ == "__main__":
--- a/benchmarks/quarantine.py
+++ b/benchmarks/quarantine.py
@@ -24,7 +24,7 @@
 
 import fire
 
-from benchmarks.chat import ask, endpoint_of, start_fleet
+from benchmarks.chat import endpoint_of, send_chat, start_fleet
 from railsail.core.logs import configure_logs
 from railsail.quarantine import table
 from railsail.standins.batching import Engine, EngineSettings
@@ -69,7 +69,7 @@
         node = self.fleet.nodes[count.sent % DAEMONS]
         count.sent += 1
         crash = {"crash": "1"} if harmful else {}
-        response = await ask(endpoint_of(node), content, True, output_tokens="30", **crash)
+        response = await send_chat(endpoint_of(node), content, True, output_tokens="30", **crash)
         if response is None:
             # The stream was cut off, or nobody answered.
             return
--- a/benchmarks/signs.py
+++ b/benchmarks/signs.py
@@ -24,7 +24,7 @@
 
 import fire
 
-from benchmarks.chat import ask, endpoint_of, start_fleet
+from benchmarks.chat import endpoint_of, send_chat, start_fleet
 from railsail.core.logs import configure_logs
 from railsail.standins.batching import EngineSettings, Faults
 from railsail.standins.fleet import StandinFleet
@@ -60,7 +60,7 @@
         """Send one request to the next daemon."""
         node = self.fleet.nodes[self.sent % DAEMONS]
         self.sent += 1
-        response = await ask(endpoint_of(node), "hello", False, output_tokens="20")
+        response = await send_chat(endpoint_of(node), "hello", False, output_tokens="20")
         self.served += response is not None and response.code == 200
 
     def watch(self) -> None:
