--- a/benchmarks/deployment.py
+++ b/benchmarks/deployment.py
@@ -265,7 +265,7 @@
 ) -> Deployment:
     """Start the store, the upstreams and ``daemons`` daemons of ``shape``, and wait for readiness.
 
-    ``extra_flags`` are further flags of the daemons, and ``engine`` has the settings of the stand-in
+    ``extra_flags`` are further flags of the daemons, and ``engine`` has settings of the stand-in
     engines. With ``relay``, the links between daemons go through it.
     """
     store_port = free_ports(1)[0]
--- a/benchmarks/quarantine.py
+++ b/benchmarks/quarantine.py
@@ -32,12 +32,12 @@
 
 DAEMONS = 4
 ENGINES = 9
-BACK_SECONDS = 1.5
-HARMFUL_EVERY_SECONDS = 0.4
-END_EVERY_SECONDS = 1.0
-BESIDE_EVERY_SECONDS = 0.1
+RESTART_SECONDS = 1.5
+HARMFUL_INTERVAL_SECONDS = 0.4
+CRASH_INTERVAL_SECONDS = 1.0
+REQUEST_INTERVAL_SECONDS = 0.1
 # By this time after the third crash, all connected daemons have received the update about it.
-HEARD_SECONDS = 3.0
+PROPAGATION_SECONDS = 3.0
 SETTINGS = EngineSettings(slots=8, decode_rate=100.0)
 
 
@@ -47,7 +47,7 @@
 
     sent: int = 0
     served: int = 0
-    held: int = 0
+    quarantined: int = 0
 
     @property
     def share(self) -> float:
@@ -63,7 +63,7 @@
     counts: dict[str, Count] = field(default_factory=dict)
     replaced: set[str] = field(default_factory=set)
 
-    async def ask(self, kind: str, content: str, harmful: bool = False) -> None:
+    async def send_request(self, kind: str, content: str, harmful: bool = False) -> None:
         """Send one request to the next daemon, and count its result."""
         count = self.counts.setdefault(kind, Count())
         node = self.fleet.nodes[count.sent % DAEMONS]
@@ -74,26 +74,26 @@
             # The stream was cut off, or nobody answered.
             return
         count.served += response.code == 200 and b"[DONE]" in (response.body or b"")
-        count.held += response.headers.get("X-Railsail-Reason") == "quarantined"
+        count.quarantined += response.headers.get("X-Railsail-Reason") == "quarantined"
 
-    def ended(self) -> list[Engine]:
+    def crashed(self) -> list[Engine]:
         """Return the engines that have crashed, in the order of their crashes."""
-        ended = [engine for engine in self.fleet.engines.values() if engine.crashed_at]
-        return sorted(ended, key=lambda engine: engine.crashed_at)
+        crashed = [engine for engine in self.fleet.engines.values() if engine.crashed_at]
+        return sorted(crashed, key=lambda engine: engine.crashed_at)
 
-    async def replace_ended(self) -> None:
+    async def replace_crashed(self) -> None:
         """Replace each crashed engine by one with a new name, until cancelled."""
         while True:
-            for engine in self.ended():
-                back = engine.crashed_at + BACK_SECONDS < time.time()
-                if back and engine.name not in self.replaced:
+            for engine in self.crashed():
+                restarted = engine.crashed_at + RESTART_SECONDS < time.time()
+                if restarted and engine.name not in self.replaced:
                     self.replaced.add(engine.name)
                     self.fleet.store.delete("upstream", engine.name)
                     self.fleet.add_engine(f"model-{len(self.fleet.engines)}", "model", SETTINGS)
                     await self.fleet.store.wake()
             await asyncio.sleep(0.05)
 
-    def end_one(self) -> None:
+    def crash_one(self) -> None:
         """Crash the engine that has run for the longest time."""
         running = [engine for engine in self.fleet.engines.values() if not engine.crashed_at]
         if running:
@@ -108,22 +108,24 @@
 
 async def _run(seconds: float, harmful: bool) -> dict[str, object]:
     run = await _start()
-    replacing = asyncio.ensure_future(run.replace_ended())
+    replacing = asyncio.ensure_future(run.replace_crashed())
     calls = []
-    begun = time.monotonic()
+    started_at = time.monotonic()
     due = 0.0
     number = 0
-    while time.monotonic() - begun < seconds:
-        calls.append(asyncio.ensure_future(run.ask("popular", "hello")))
-        calls.append(asyncio.ensure_future(run.ask("different", f"hello {number}")))
-        if time.monotonic() - begun >= due:
-            due += HARMFUL_EVERY_SECONDS if harmful else END_EVERY_SECONDS
+    while time.monotonic() - started_at < seconds:
+        calls.append(asyncio.ensure_future(run.send_request("popular", "hello")))
+        calls.append(asyncio.ensure_future(run.send_request("different", f"hello {number}")))
+        if time.monotonic() - started_at >= due:
+            due += HARMFUL_INTERVAL_SECONDS if harmful else CRASH_INTERVAL_SECONDS
             if harmful:
-                calls.append(asyncio.ensure_future(run.ask("harmful", "end", harmful=True)))
+                calls.append(
+                    asyncio.ensure_future(run.send_request("harmful", "end", harmful=True))
+                )
             else:
-                run.end_one()
+                run.crash_one()
         number += 1
-        await asyncio.sleep(BESIDE_EVERY_SECONDS)
+        await asyncio.sleep(REQUEST_INTERVAL_SECONDS)
     await asyncio.gather(*calls)
     replacing.cancel()
     figures = _figures(run)
@@ -132,20 +134,24 @@
 
 
 def _figures(run: Run) -> dict[str, object]:
-    ends = [engine.crashed_at for engine in run.ended()]
-    late = [at for at in ends if len(ends) > 2 and at > ends[2] + HEARD_SECONDS]
-    shares = {kind: (count.sent, count.share, count.held) for kind, count in run.counts.items()}
-    return {"ended": len(ends), "ended late": len(late), "sent, served, held": shares}
+    crashed_at = [engine.crashed_at for engine in run.crashed()]
+    late = [
+        at for at in crashed_at if len(crashed_at) > 2 and at > crashed_at[2] + PROPAGATION_SECONDS
+    ]
+    shares = {
+        kind: (count.sent, count.share, count.quarantined) for kind, count in run.counts.items()
+    }
+    return {"ended": len(crashed_at), "ended late": len(late), "sent, served, held": shares}
 
 
 def main(seconds: float = 24.0, off: bool = False) -> None:
     """Run both parts of the benchmark, and print their figures."""
     configure_logs("critical", "benchmark")
     logging.getLogger("tornado").setLevel(logging.CRITICAL)
-    never = mock.patch.object(
+    patched_limit = mock.patch.object(
         table, "MAX_REQUESTS_PER_CRASH", 0 if off else table.MAX_REQUESTS_PER_CRASH
     )
-    with never:
+    with patched_limit:
         print("a request that crashes engines", asyncio.run(_run(seconds, harmful=True)))
         print("engines that crash for no reason", asyncio.run(_run(seconds, harmful=False)))
 
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -9,34 +9,34 @@
 import asyncio
 import contextlib
 
-CHUNK = 65_536
-LOOK_SECONDS = 0.02
+CHUNK_BYTES = 65_536
+POLL_SECONDS = 0.02
 # Bounds the chunks in transit in one direction of a connection.
-MOST_CHUNKS = 64
+MAX_CHUNKS_IN_TRANSIT = 64
 
 
 class Relay:
     """The relays of all daemons, with the directions that are cut or delayed."""
 
     def __init__(self) -> None:
-        self._cut: set[tuple[str, str]] = set()
+        self._cut_directions: set[tuple[str, str]] = set()
         # The delay of each direction, in seconds.
         self._delays: dict[tuple[str, str], float] = {}
         self._servers: list[asyncio.Server] = []
         self._tasks: set[asyncio.Task] = set()
-        # Connections are numbered from 0. Those numbered below ``_first_heard`` are silenced.
+        # Connections are numbered from 0. Those numbered below ``_first_unsilenced`` are silenced.
         self._connections = 0
-        self._first_heard = 0
+        self._first_unsilenced = 0
 
     async def listen(self, ip: str, port: int, target: int) -> None:
         """Listen on ``ip:port``, and forward connections to ``ip:target``."""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            self._keep(asyncio.current_task())
+            self._track(asyncio.current_task())
             source = writer.get_extra_info("peername")[0]
             # asyncio logs an error for a server's task that is cancelled when the relay stops.
             with contextlib.suppress(asyncio.CancelledError):
-                await self._join(source, ip, target, reader, writer)
+                await self._forward(source, ip, target, reader, writer)
 
         self._servers.append(await asyncio.start_server(serve, ip, port))
 
@@ -44,9 +44,9 @@
         """Cut the traffic from the IP addresses ``left`` to ``right``; if ``both``, also back."""
         for a in left:
             for b in right:
-                self._cut.add((a, b))
+                self._cut_directions.add((a, b))
                 if both:
-                    self._cut.add((b, a))
+                    self._cut_directions.add((b, a))
 
     def delay(self, left: list[str], right: list[str], seconds: float) -> None:
         """Delay the traffic between the IP addresses ``left`` and ``right``, in both directions.
@@ -59,11 +59,11 @@
 
     def heal(self) -> None:
         """End all cuts."""
-        self._cut.clear()
+        self._cut_directions.clear()
 
     def silence(self) -> None:
         """Silence all connections that are open now."""
-        self._first_heard = self._connections
+        self._first_unsilenced = self._connections
 
     def stop(self) -> None:
         """Close all relays and their connections."""
@@ -72,11 +72,11 @@
         for task in list(self._tasks):
             task.cancel()
 
-    def _keep(self, task: asyncio.Task) -> None:
+    def _track(self, task: asyncio.Task) -> None:
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _join(
+    async def _forward(
         self,
         source: str,
         ip: str,
@@ -87,8 +87,8 @@
         number = self._connections
         self._connections += 1
         try:
-            while (source, ip) in self._cut or (ip, source) in self._cut:
-                await asyncio.sleep(LOOK_SECONDS)
+            while (source, ip) in self._cut_directions or (ip, source) in self._cut_directions:
+                await asyncio.sleep(POLL_SECONDS)
             far_reader, far_writer = await asyncio.open_connection(ip, target)
         except OSError:
             writer.close()
@@ -111,14 +111,14 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        self._keep(asyncio.current_task())
-        chunks: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(MOST_CHUNKS)
+        self._track(asyncio.current_task())
+        chunks: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(MAX_CHUNKS_IN_TRANSIT)
         delay = self._delays.get((source, target), 0.0)
         reading = asyncio.ensure_future(_read(reader, chunks, delay))
         try:
             while data := await _next_chunk(chunks):
-                while (source, target) in self._cut or number < self._first_heard:
-                    await asyncio.sleep(LOOK_SECONDS)
+                while (source, target) in self._cut_directions or number < self._first_unsilenced:
+                    await asyncio.sleep(POLL_SECONDS)
                 writer.write(data)
                 await writer.drain()
         except OSError:
@@ -138,7 +138,7 @@
     data = b"-"
     while data:
         try:
-            data = await reader.read(CHUNK)
+            data = await reader.read(CHUNK_BYTES)
         except OSError:
             data = b""
         await chunks.put((loop.time() + delay, data))
--- a/benchmarks/rollouts.py
+++ b/benchmarks/rollouts.py
@@ -57,13 +57,13 @@
 ROLLBACK_SECONDS = 5.0
 BAD_ANSWERS = 50
 ROUTES = ("once", "again")
-WARM_SECONDS = 5.0
+WARMUP_SECONDS = 5.0
 # Traffic continues for this long after the deadline.
 AFTER_SECONDS = 8.0
 DRAIN_SECONDS = 2.0
 # A killed daemon is restarted after this long.
-AWAY_SECONDS = 2.0
-LOOK_SECONDS = 0.02
+RESTART_SECONDS = 2.0
+POLL_SECONDS = 0.02
 SETTINGS = {
     "expose-share": str(EXPOSE_SHARE),
     "expose-slack": str(EXPOSE_SLACK),
@@ -91,7 +91,7 @@
             for _ in range(REPLICAS)
         ]
 
-    async def ask(self, number: int) -> None:
+    async def send_request(self, number: int) -> None:
         """Make one call, and count its answer by status."""
         daemons = self.fleet.balanced()
         route = ROUTES[number // len(daemons) % len(ROUTES)]
@@ -112,28 +112,28 @@
         """Kill the daemon that has ``role`` by consistent hashing, and restart it."""
         await asyncio.sleep(self.seconds / 3)
         topics = {"dispatcher": f"cell {SERVICE}/0", "coordinator": f"rollout of {SERVICE}"}
-        first = rank(topics[role], [daemon.node for daemon in self.fleet.daemons])[0]
-        daemon = next(each for each in self.fleet.daemons if each.node == first)
+        node = rank(topics[role], [daemon.node for daemon in self.fleet.daemons])[0]
+        daemon = next(each for each in self.fleet.daemons if each.node == node)
         daemon.leaves_at = asyncio.get_running_loop().time()
         await self.fleet.kill(daemon)
-        await asyncio.sleep(AWAY_SECONDS)
+        await asyncio.sleep(RESTART_SECONDS)
         self.fleet.start(daemon)
 
-    async def follow(self) -> None:
+    async def act_as_platform(self) -> None:
         """Record each new state of the rollout, and act on it as the platform does.
 
         Runs until cancelled.
         """
         while True:
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_SECONDS)
             item = self.fleet.store.objects.get(("rollouts", SERVICE), {})
             state = (item.get("status") or {}).get("state", "")
             if state and (not self.states or self.states[-1][1] != state):
                 now = asyncio.get_running_loop().time()
                 self.states.append((round(now - self.ordered_at, 2), state))
-                await self._platform_follows(state)
+                await self._apply_final_state(state)
 
-    async def _platform_follows(self, state: str) -> None:
+    async def _apply_final_state(self, state: str) -> None:
         if state == "succeeded":
             for replica in self.started[OLD]:
                 self.fleet.remove_replica(replica)
@@ -144,15 +144,15 @@
 
     def figures(self) -> dict[str, object]:
         """Return the figures of the run."""
-        ends = self.ordered_at + self.seconds
+        deadline = self.ordered_at + self.seconds
         arrivals = [at for version in (self.old, self.new) for at in version.arrivals]
-        in_time = sum(self.ordered_at <= at < ends for at in arrivals)
+        in_time = sum(self.ordered_at <= at < deadline for at in arrivals)
         bad = sorted(self.new.bad_answers)
         late_from = bad[BAD_ANSWERS - 1] + ROLLBACK_SECONDS if len(bad) >= BAD_ANSWERS else None
         late = sum(at > late_from for at in self.new.arrivals) if late_from is not None else 0
         return {
             "fault": str(self.new.fault),
-            "received": sum(at < ends for at in self.new.arrivals),
+            "received": sum(at < deadline for at in self.new.arrivals),
             "allowed": round(EXPOSE_SHARE * in_time + EXPOSE_SLACK),
             "of": in_time,
             "late": late,
@@ -171,15 +171,15 @@
 async def _traffic(run: Run, rate: float, until: float) -> list[asyncio.Task]:
     loop = asyncio.get_running_loop()
     calls: list[asyncio.Task] = []
-    begun = loop.time()
+    started_at = loop.time()
     while loop.time() < until:
-        while len(calls) < rate * (loop.time() - begun):
-            calls.append(asyncio.ensure_future(run.ask(len(calls))))
+        while len(calls) < rate * (loop.time() - started_at):
+            calls.append(asyncio.ensure_future(run.send_request(len(calls))))
         await asyncio.sleep(1 / rate)
     return calls
 
 
-async def _play(
+async def _run_rollout(
     fault: Fault,
     seconds: float,
     daemons: int,
@@ -197,15 +197,15 @@
         await fleet.add_daemons(daemons, 3)
         await fleet.until_ready()
         loop = asyncio.get_running_loop()
-        until = loop.time() + WARM_SECONDS + seconds + AFTER_SECONDS
+        until = loop.time() + WARMUP_SECONDS + seconds + AFTER_SECONDS
         traffic = asyncio.ensure_future(_traffic(run, rate, until))
-        await asyncio.sleep(WARM_SECONDS)
+        await asyncio.sleep(WARMUP_SECONDS)
         await run.order()
-        following = asyncio.ensure_future(run.follow())
+        platform = asyncio.ensure_future(run.act_as_platform())
         if kill:
             await run.kill(kill)
         await asyncio.gather(*await traffic)
-        following.cancel()
+        platform.cancel()
     finally:
         await fleet.stop()
     return run
@@ -224,11 +224,13 @@
     configure_logs("critical", "benchmark")
     logging.getLogger("tornado").setLevel(logging.CRITICAL)
     faults = list(Fault) if fault == "all" else [Fault(fault)]
-    for each in faults:
+    for fault_kind in faults:
         with tempfile.TemporaryDirectory() as temporary:
-            folder = Path(logs or temporary) / each
+            folder = Path(logs or temporary) / fault_kind
             folder.mkdir(parents=True, exist_ok=True)
-            run = asyncio.run(_play(each, seconds, daemons, rate, kill, cell_replicas, folder))
+            run = asyncio.run(
+                _run_rollout(fault_kind, seconds, daemons, rate, kill, cell_replicas, folder)
+            )
         print(json.dumps(run.figures()), flush=True)
 
 
--- a/benchmarks/signs.py
+++ b/benchmarks/signs.py
@@ -32,13 +32,13 @@
 
 DAEMONS = 4
 ENGINES = 4
-EVERY_SECONDS = 0.03
+REQUEST_INTERVAL_SECONDS = 0.03
 # After this time all daemons have received the update that an engine is leaving, so that none may
 # send it a call.
-LEAVE_SECONDS = 2.0
-REST_SECONDS = 3.0
+LEAVE_GRACE_SECONDS = 2.0
+BACKOFF_SECONDS = 3.0
 # Calls that are in flight when an engine requests a backoff may still reach it for this long.
-GRACE_SECONDS = 0.5
+IN_FLIGHT_SECONDS = 0.5
 SETTINGS = EngineSettings(slots=16, decode_rate=400.0)
 
 
@@ -46,7 +46,7 @@
 class Run:
     """The fleet of one run, its requests, and what daemons sent to the engines.
 
-    ``calls`` and ``rests`` are the calls and the answers that requested a backoff, each as the node
+    ``calls`` are the calls and ``backoffs`` the answers that requested a backoff, each as the node
     id of the daemon, the engine and the time.
     """
 
@@ -54,16 +54,16 @@
     sent: int = 0
     served: int = 0
     calls: list[tuple[str, str, float]] = field(default_factory=list)
-    rests: list[tuple[str, str, float]] = field(default_factory=list)
+    backoffs: list[tuple[str, str, float]] = field(default_factory=list)
 
-    async def ask(self) -> None:
+    async def send_request(self) -> None:
         """Send one request to the next daemon."""
         node = self.fleet.nodes[self.sent % DAEMONS]
         self.sent += 1
         response = await send_chat(endpoint_of(node), "hello", False, output_tokens="20")
         self.served += response is not None and response.code == 200
 
-    def watch(self) -> None:
+    def record_traffic(self) -> None:
         """Record each call that a daemon sends, and each answer that requests a backoff.
 
         This wraps ``emit`` of the events and ``listener`` of the answer heads in each daemon.
@@ -71,54 +71,54 @@
         for node in self.fleet.nodes:
             emit = node.events.emit
 
-            def noted(kind, detail="", *rest, node=node, emit=emit, **facts):
+            def emit_and_record(kind, detail="", *rest, node=node, emit=emit, **facts):
                 if kind == "sent":
                     self.calls.append((node.settings.node_id, detail, time.monotonic()))
                 emit(kind, detail, *rest, **facts)
 
-            node.events.emit = noted
+            node.events.emit = emit_and_record
             listener = node.heard.listener
 
-            def listens(replica, read, node=node, listener=listener):
+            def wrapped_listener(replica, read, node=node, listener=listener):
                 on_head = listener(replica, read)
 
-                def hears(status, headers):
+                def record_backoff(status, headers):
                     if "Retry-After" in headers:
                         now = time.monotonic()
-                        self.rests.append((node.settings.node_id, replica, now))
+                        self.backoffs.append((node.settings.node_id, replica, now))
                     on_head(status, headers)
 
-                return hears
+                return record_backoff
 
-            node.heard.listener = listens
+            node.heard.listener = wrapped_listener
 
     def late_calls(self, engine: str) -> tuple[int, int]:
         """Return how many calls of ``engine`` were late after its first call, and how many not."""
         times = [at for _, replica, at in self.calls if replica == engine]
-        late = [at for at in times if at > times[0] + LEAVE_SECONDS]
+        late = [at for at in times if at > times[0] + LEAVE_GRACE_SECONDS]
         return len(late), len(times) - len(late)
 
-    def most_in_rest(self) -> int:
+    def max_calls_in_backoff(self) -> int:
         """Return the most calls that one daemon sent to an engine within one backoff."""
         counts: defaultdict[tuple[str, str, float], int] = defaultdict(int)
-        for node, engine, asked_at in self.rests:
+        for node, engine, requested_at in self.backoffs:
             for caller, replica, at in self.calls:
-                inside = asked_at + GRACE_SECONDS < at < asked_at + REST_SECONDS
+                inside = requested_at + IN_FLIGHT_SECONDS < at < requested_at + BACKOFF_SECONDS
                 if (caller, replica) == (node, engine) and inside:
-                    counts[node, engine, asked_at] += 1
+                    counts[node, engine, requested_at] += 1
         return max(counts.values(), default=0)
 
 
-async def _play(seconds: float, faults: dict[str, Faults]) -> Run:
+async def _measure(seconds: float, faults: dict[str, Faults]) -> Run:
     run = Run(await start_fleet(DAEMONS, ENGINES, SETTINGS))
-    run.watch()
+    run.record_traffic()
     for name, fault in faults.items():
         run.fleet.engines[name].faults = fault
     calls = []
     ends_at = time.monotonic() + seconds
     while time.monotonic() < ends_at:
-        calls.append(asyncio.ensure_future(run.ask()))
-        await asyncio.sleep(EVERY_SECONDS)
+        calls.append(asyncio.ensure_future(run.send_request()))
+        await asyncio.sleep(REQUEST_INTERVAL_SECONDS)
     await asyncio.gather(*calls)
     await run.fleet.stop()
     return run
@@ -128,17 +128,22 @@
     """Run both parts of the benchmark, and print their figures."""
     configure_logs("critical", "benchmark")
     logging.getLogger("tornado").setLevel(logging.CRITICAL)
-    hearing = heard.HeardSigns._heard
-    with mock.patch.object(heard.HeardSigns, "_heard", _deaf if off else hearing):
-        run = asyncio.run(_play(seconds, {"model-0": Faults(says_leaving=True)}))
+    handle_answer = heard.HeardSigns._heard
+    with mock.patch.object(heard.HeardSigns, "_heard", _ignore_answer if off else handle_answer):
+        run = asyncio.run(_measure(seconds, {"model-0": Faults(says_leaving=True)}))
         late, others = run.late_calls("model-0")
         print("leaving: late, others", (late, others), "sent, served", (run.sent, run.served))
-        resting = Faults(rest=str(REST_SECONDS), rest_share=0.4)
-        run = asyncio.run(_play(seconds, {"model-0": resting, "model-1": resting}))
-        print("backoff: most in one", run.most_in_rest(), "sent, served", (run.sent, run.served))
+        refusing = Faults(rest=str(BACKOFF_SECONDS), rest_share=0.4)
+        run = asyncio.run(_measure(seconds, {"model-0": refusing, "model-1": refusing}))
+        print(
+            "backoff: most in one",
+            run.max_calls_in_backoff(),
+            "sent, served",
+            (run.sent, run.served),
+        )
 
 
-def _deaf(*answer: object) -> None:
+def _ignore_answer(*answer: object) -> None:
     """Ignore the head of an answer."""
 
 
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -233,7 +233,7 @@
         faults = [name for each in series for name in each.done]
         verdict = _verdict(self.fleet, self.seed, callers, faults)
         broken += promises.findings(self.fleet, orders, NORTH)
-        return replace(verdict, broken=broken, orders=promises.told(orders))
+        return replace(verdict, broken=broken, orders=promises.describe_rollouts(orders))
 
     def _rng(self, part: str) -> random.Random:
         return _rng(self.seed, part)
@@ -260,10 +260,10 @@
             headers = {"Request_Id": f"o-{self._asked}"}
             if rng.random() < 0.3:
                 headers = {
-                    "Request_Id": f"{promises.BOUND}{self._asked}",
+                    "Request_Id": f"{promises.REGION_BOUND_PREFIX}{self._asked}",
                     "Authorization": f"Bearer {NORTH_KEY}",
                 }
-            call = asyncio.ensure_future(self.fleet.call(daemon, promises.ONCE, **headers))
+            call = asyncio.ensure_future(self.fleet.call(daemon, promises.ONCE_PATH, **headers))
             self._calls.add(call)
             call.add_done_callback(self._calls.discard)
             await asyncio.sleep(ASK_SECONDS)
@@ -292,7 +292,9 @@
         until = loop.time() + SERVES_SECONDS
         while loop.time() < until:
             self._asked += 1
-            answer = await self.fleet.call(daemon, promises.ONCE, Request_Id=f"o-{self._asked}")
+            answer = await self.fleet.call(
+                daemon, promises.ONCE_PATH, Request_Id=f"o-{self._asked}"
+            )
             if answer is not None and answer.status == OK:
                 return True
             await asyncio.sleep(LOOK_SECONDS)
