--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -38,8 +38,8 @@
 class Scenario:
     """The processes of one run, and the times and results of its faults.
 
-    ``leaving_since`` and ``audited_until`` hold, by replica, when it was listed as leaving and until
-    when the audit counts the requests that reach it, in seconds since the Unix epoch.
+    ``leaving_since`` and ``audited_until`` hold, by replica, when it was listed as leaving and
+    until when the audit counts the requests that reach it, in seconds since the Unix epoch.
     ``exit_codes`` are those of daemons that were asked to stop.
     """
 
--- a/benchmarks/rollouts.py
+++ b/benchmarks/rollouts.py
@@ -109,7 +109,7 @@
         await self.start_version(self.new)
 
     async def kill(self, role: str) -> None:
-        """Kill the daemon that has ``role`` by consistent hashing, and restart it."""
+        """Kill the daemon that has ``role`` by rendezvous hashing, and restart it."""
         await asyncio.sleep(self.seconds / 3)
         topics = {"dispatcher": f"cell {SERVICE}/0", "coordinator": f"rollout of {SERVICE}"}
         node = rank(topics[role], [daemon.node for daemon in self.fleet.daemons])[0]
