--- a/benchmarks/regions.py
+++ b/benchmarks/regions.py
@@ -392,16 +392,16 @@
 def figures(simulation: Simulation, seconds: float) -> dict[str, float]:
     """Return the figures of all calls, except those that arrived during the warm-up."""
     calls = [
-        call for call in simulation.calls.values() if call.arrived_at >= WARMUP_SHARE * seconds
+        each for each in simulation.calls.values() if each.arrived_at >= WARMUP_SHARE * seconds
     ]
     ordinary = [call for call in calls if call.ticket.workspace != FLOODING_WORKSPACE]
     served = [call for call in calls if call.engine]
     waits = [call.waited * 1000 for call in served]
     crossed = [
-        call for call in served if simulation.engines[call.engine].region != call.ticket.entry
+        each for each in served if simulation.engines[each.engine].region != each.ticket.entry
     ]
-    tokens = sum(call.ticket.prompt_tokens for call in crossed)
-    uncached_tokens = sum(call.kind.shared_tokens for call in served if not call.cached)
+    tokens = sum(each.ticket.prompt_tokens for each in crossed)
+    uncached_tokens = sum(each.kind.shared_tokens for each in served if not each.cached)
     requested = Counter(call.ticket.workspace for call in ordinary)
     in_time = Counter(call.ticket.workspace for call in ordinary if call.in_time)
     shares = [in_time[name] / requested[name] for name in requested if requested[name] >= 50]
@@ -409,8 +409,8 @@
     return {
         "served": len(served) / len(calls),
         "in time": sum(call.in_time for call in calls) / len(calls),
-        "in time, without the flooder": sum(call.in_time for call in ordinary) / len(ordinary),
-        "the same in the flooded region": sum(call.in_time for call in flooded) / len(flooded),
+        "in time, without the flooder": sum(each.in_time for each in ordinary) / len(ordinary),
+        "the same in the flooded region": sum(each.in_time for each in flooded) / len(flooded),
         "least served workspace in time": min(shares, default=math.nan),
         "median wait, ms": statistics.median(waits),
         "90th percentile of waits, ms": statistics.quantiles(waits, n=10)[-1],
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -33,7 +33,7 @@
 from tests.platform.standins import TurnedAway
 
 WORKSPACES = 30
-LARGE = 3
+LARGE_WORKSPACES = 3
 # A large workspace sends this many times as many requests as another one.
 LARGE_WEIGHT = 10
 DOMAINS = 3
@@ -41,40 +41,40 @@
 WINDOW_SECONDS = 6
 # A window is checked only if nothing was done to daemons or the store in it and for this many
 # seconds before it.
-CALM_SECONDS = 4
-LARGEST_REQUESTS = 3
-LEAST_TOLD = 6
+UNDISTURBED_SECONDS = 4
+TOLERATED_REQUESTS = 3
+MAX_PRINTED_SHARES = 6
 OK = 200
 NOT_RUN = 503
 
 
 @dataclass(frozen=True)
-class Kind:
+class RequestKind:
     """One kind of request.
 
-    ``shared``, ``prompt`` and ``made`` are the tokens of the shared prefix, of the whole prompt and
-    of the output. ``objective`` and ``deadline`` are in seconds.
+    The ``shared_tokens`` are the prefix that prompts share, and are part of the ``prompt_tokens``.
+    ``objective`` and ``deadline`` are in seconds.
     """
 
     route: str
     weight: float
-    shared: int
-    prompt: int
-    made: int
+    shared_tokens: int
+    prompt_tokens: int
+    output_tokens: int
     objective: float
     deadline: float
 
 
 KINDS = (
-    Kind("summary", 192, 5382, 11992, 384, 0.6, 12.0),
-    Kind("reply", 137, 198, 826, 288, 0.3, 12.0),
-    Kind("tag", 305, 568, 2368, 24, 0.4, 2.5),
+    RequestKind("summary", 192, 5382, 11992, 384, 0.6, 12.0),
+    RequestKind("reply", 137, 198, 826, 288, 0.3, 12.0),
+    RequestKind("tag", 305, 568, 2368, 24, 0.4, 2.5),
 )
 # Without the largest kind, the tolerance of three of the largest requests is small. The replicas
 # are slower here, so that they are as overloaded as with all kinds.
 SMALL_KINDS = KINDS[1:]
-SMALL_READ_RATE = 30_000.0
-READ_RATE = EngineStandin.read_rate
+SMALL_PREFILL_TOKENS_PER_SECOND = 30_000.0
+PREFILL_TOKENS_PER_SECOND = EngineStandin.read_rate
 
 
 def configuration() -> dict:
@@ -116,60 +116,62 @@
     owed: int
 
     @property
-    def part(self) -> float:
+    def ratio(self) -> float:
         """Return the part of the owed tokens that it got."""
         return self.got / self.owed if self.owed else 1.0
 
-    def broken(self, largest: int) -> bool:
+    def is_too_small(self, largest: int) -> bool:
         """Return whether it got too little, if the largest request has ``largest`` tokens."""
-        return self.got < self.owed / 2 - LARGEST_REQUESTS * largest
+        return self.got < self.owed / 2 - TOLERATED_REQUESTS * largest
 
 
 @dataclass
 class Ledger:
     """The tokens that workspaces requested and got, by second of the run.
 
-    ``hurt`` has, by second, the workspaces with a request that was refused, failed or late.
+    ``underserved`` has, by second, the workspaces with a request that was refused, failed or late.
     """
 
-    begun_at: float
+    started_at: float
     # The seconds in which something was done to daemons or the store.
     disturbed: set[int] = field(default_factory=set)
-    asked: dict[int, dict[str, int]] = field(default_factory=lambda: defaultdict(_counts))
+    requested: dict[int, dict[str, int]] = field(default_factory=lambda: defaultdict(_counts))
     got: dict[int, dict[str, int]] = field(default_factory=lambda: defaultdict(_counts))
-    hurt: dict[int, set[str]] = field(default_factory=lambda: defaultdict(set))
+    underserved: dict[int, set[str]] = field(default_factory=lambda: defaultdict(set))
 
     def second(self, at: float) -> int:
         """Return the second of the run in which the time ``at`` lies."""
-        return int(at - self.begun_at)
+        return int(at - self.started_at)
 
-    def begun(self, run: Begun) -> None:
+    def record_start(self, run: Begun) -> None:
         """Record that a replica has started to answer a request."""
         self.got[self.second(run.at)][run.workspace] += run.tokens
 
     def shares(self, seconds: int) -> list["Share"]:
-        """Return the share of each workspace in each undisturbed window in which it was short.
+        """Return the share of each workspace in each undisturbed window.
 
-        These are the windows in each second of which ``hurt`` has the workspace.
+        Only windows in each second of which the workspace was underserved count.
         """
-        found = []
+        shares = []
         for first in range(seconds - WINDOW_SECONDS + 1):
             window = range(first, first + WINDOW_SECONDS)
-            if self.disturbed.intersection(range(first - CALM_SECONDS, window.stop)):
+            if self.disturbed.intersection(range(first - UNDISTURBED_SECONDS, window.stop)):
                 continue
-            for workspace in set.intersection(*(self.hurt[second] for second in window)):
-                found.append(self._share(window, workspace))
-        return found
+            for workspace in set.intersection(*(self.underserved[second] for second in window)):
+                shares.append(self._share(window, workspace))
+        return shares
 
     def _share(self, window: range, workspace: str) -> "Share":
-        best = max(self._names(), key=lambda name: self._got(window, name))
-        owed = sum(min(self.asked[second][workspace], self.got[second][best]) for second in window)
+        best = max(self._workspaces(), key=lambda name: self._got(window, name))
+        owed = sum(
+            min(self.requested[second][workspace], self.got[second][best]) for second in window
+        )
         return Share(workspace, window[0], self._got(window, workspace), owed)
 
     def _got(self, window: range, workspace: str) -> int:
         return sum(self.got[second][workspace] for second in window)
 
-    def _names(self) -> list[str]:
+    def _workspaces(self) -> list[str]:
         return [f"w{number}" for number in range(WORKSPACES)]
 
 
@@ -185,7 +187,7 @@
     ledger: Ledger
     rng: random.Random
     rate: float
-    kinds: tuple[Kind, ...]
+    kinds: tuple[RequestKind, ...]
     sent: int = 0
     served: int = 0
     in_time: int = 0
@@ -193,53 +195,53 @@
 
     async def run(self, seconds: float) -> None:
         """Send requests for ``seconds``, and wait for their answers."""
-        weights = [LARGE_WEIGHT] * LARGE + [1] * (WORKSPACES - LARGE)
+        weights = [LARGE_WEIGHT] * LARGE_WORKSPACES + [1] * (WORKSPACES - LARGE_WORKSPACES)
         loop = asyncio.get_running_loop()
         ends_at = loop.time() + seconds
         while loop.time() < ends_at:
             number = self.rng.choices(range(WORKSPACES), weights)[0]
             kind = self.rng.choices(self.kinds, [kind.weight for kind in self.kinds])[0]
-            call = asyncio.ensure_future(self._ask(number, kind))
+            call = asyncio.ensure_future(self._send_request(number, kind))
             self.calls.add(call)
             call.add_done_callback(self.calls.discard)
             await asyncio.sleep(self.rng.expovariate(self.rate))
         await asyncio.wait(self.calls)
 
-    async def _ask(self, number: int, kind: Kind) -> None:
+    async def _send_request(self, number: int, kind: RequestKind) -> None:
         loop = asyncio.get_running_loop()
         sent_at = loop.time()
         self.sent += 1
         workspace = f"w{number}"
-        tokens = kind.prompt + MADE_WEIGHT * kind.made
-        self.ledger.asked[self.ledger.second(sent_at)][workspace] += tokens
+        tokens = kind.prompt_tokens + MADE_WEIGHT * kind.output_tokens
+        self.ledger.requested[self.ledger.second(sent_at)][workspace] += tokens
         for _ in range(2):
             daemon = self.rng.choice([each for each in self.fleet.balanced() if each.running])
             answer = await self._call(daemon, number, kind)
             if answer is not None and answer.status == OK:
                 self.served += 1
-                if loop.time() - sent_at < kind.objective + kind.made * EngineStandin.step:
+                if loop.time() - sent_at < kind.objective + kind.output_tokens * EngineStandin.step:
                     self.in_time += 1
                     return
                 break
             if answer is None or answer.status != NOT_RUN:
                 break
-            self.ledger.hurt[self.ledger.second(loop.time())].add(workspace)
+            self.ledger.underserved[self.ledger.second(loop.time())].add(workspace)
             wait = float(answer.headers.get("Retry-After", "1"))
             if wait > (kind.deadline - (loop.time() - sent_at)) / 3:
                 break
             await asyncio.sleep(wait)
         for second in range(self.ledger.second(sent_at), self.ledger.second(loop.time()) + 1):
-            self.ledger.hurt[second].add(workspace)
+            self.ledger.underserved[second].add(workspace)
 
-    async def _call(self, daemon: Daemon, number: int, kind: Kind):
+    async def _call(self, daemon: Daemon, number: int, kind: RequestKind):
         return await self.fleet.call(
             daemon,
             f"/{kind.route}/",
             Request_Id=f"m-{self.rng.getrandbits(60):015x}",
             Authorization=f"Bearer key-{number}",
             Deadline_Ms=str(int(kind.deadline * 1000)),
-            Token_Count=f"{kind.prompt},{kind.made}",
-            Prompt_Prefix=f"{kind.route}{number % 8}:{kind.shared}",
+            Token_Count=f"{kind.prompt_tokens},{kind.output_tokens}",
+            Prompt_Prefix=f"{kind.route}{number % 8}:{kind.shared_tokens}",
             Model="m",
         )
 
@@ -259,22 +261,24 @@
         daemon.turn_away(TurnedAway.BUSY)
 
 
-async def _play(
+async def _run(
     seed: int, seconds: float, daemons: int, rate: float, calm: bool, small: bool, folder: Path
 ) -> bool:
     rng = random.Random(seed)
     fleet = ProcessFleet(folder)
-    read_rate = SMALL_READ_RATE if small else READ_RATE
+    prefill_rate = SMALL_PREFILL_TOKENS_PER_SECOND if small else PREFILL_TOKENS_PER_SECOND
     ledger = Ledger(asyncio.get_running_loop().time())
     fleet.store.put("config", "main", configuration())
     try:
         for _ in range(REPLICAS):
             await fleet.add_replica(
-                EngineStandin(ledger.begun, read_rate=read_rate), service="model", slots=32
+                EngineStandin(ledger.record_start, read_rate=prefill_rate),
+                service="model",
+                slots=32,
             )
         await fleet.add_daemons(daemons, DOMAINS)
         await fleet.until_ready()
-        ledger.begun_at = asyncio.get_running_loop().time()
+        ledger.started_at = asyncio.get_running_loop().time()
         load = Load(fleet, ledger, rng, rate, SMALL_KINDS if small else KINDS)
         disturbing = None if calm else asyncio.ensure_future(_disturb(fleet, ledger, rng, seconds))
         await load.run(seconds)
@@ -283,19 +287,19 @@
     finally:
         await fleet.stop()
     shares = ledger.shares(int(seconds))
-    largest = max(kind.prompt + MADE_WEIGHT * kind.made for kind in load.kinds)
-    broken = [share for share in shares if share.broken(largest)]
-    least = min((share.part for share in shares), default=1.0)
+    largest = max(kind.prompt_tokens + MADE_WEIGHT * kind.output_tokens for kind in load.kinds)
+    too_small = [share for share in shares if share.is_too_small(largest)]
+    smallest = min((share.ratio for share in shares), default=1.0)
     total = sum(sum(counts.values()) for counts in ledger.got.values())
     print(
         f"seed {seed}: {load.sent} sent, {load.served} served, {load.in_time} in time,",
-        f"{total / seconds:.0f} tokens/s started, smallest share {least:.2f} of {len(shares)},",
-        f"{len(broken)} too small",
+        f"{total / seconds:.0f} tokens/s started, smallest share {smallest:.2f} of {len(shares)},",
+        f"{len(too_small)} too small",
         flush=True,
     )
-    for share in sorted(shares, key=lambda each: each.part)[:LEAST_TOLD]:
+    for share in sorted(shares, key=lambda each: each.ratio)[:MAX_PRINTED_SHARES]:
         print(f"  {share}")
-    return not broken and least > 0
+    return not too_small and smallest > 0
 
 
 def main(
@@ -315,7 +319,7 @@
     logging.getLogger("tornado").setLevel(logging.CRITICAL)
     for number in range(seed, seed + runs):
         folder = Path(tempfile.mkdtemp(prefix=f"shares-{number}-"))
-        if asyncio.run(_play(number, seconds, daemons, rate, calm, small, folder)):
+        if asyncio.run(_run(number, seconds, daemons, rate, calm, small, folder)):
             shutil.rmtree(folder)
         else:
             print(f"  logs in {folder}")
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -56,22 +56,22 @@
 BOUND_SECONDS = 3.0
 SETTLED_SECONDS = 6.0
 # Daemons that start together have connected to each other after this time.
-FIRST_SECONDS = 6.0
-LAST_SECONDS = 2.0
+STARTUP_SECONDS = 6.0
+COOLDOWN_SECONDS = 2.0
 SLOW_SECONDS = 0.5
 # The number of series of faults at a time, the longest pause between two faults of a series, and
 # the pauses between two changes of the configuration.
 SERIES = 2
-MOST_PAUSE_SECONDS = 3.0
-CHANGE_SECONDS = (0.1, 0.5, 1.0, 2.5)
+MAX_PAUSE_SECONDS = 3.0
+CHANGE_PAUSES_SECONDS = (0.1, 0.5, 1.0, 2.5)
 # The findings of one kind that are printed for a run.
-MOST_TOLD = 5
+MAX_PRINTED_FINDINGS = 5
 LINK_CLOSED = b'"link closed"'
 OK = 200
 # The regions of a wide run: the last failure domain alone forms the south.
 NORTH = ("domain-0", "domain-1")
 SOUTH = DOMAINS - 1
-ZONES = ("domain-0", "domain-2", "domain-1", "domain-2")
+REPLICA_ZONES = ("domain-0", "domain-2", "domain-1", "domain-2")
 WIDE_SETTINGS = {
     "domain-regions": "domain-0=north,domain-1=north,domain-2=south",
     "keep-connections-seconds": "5",
@@ -81,11 +81,11 @@
 }
 NORTH_KEY = "the-key-of-north"
 NORTH_TENANT = {"name": "north", "api_keys": [NORTH_KEY], "allowed_regions": ["north"]}
-WAY_SECONDS = (0.005, 0.025)
+ONE_WAY_LATENCY_SECONDS = (0.005, 0.025)
 # The interval of requests in a wide run, and the interval at which replicas start or stop to forget
 # their idle connections.
-ASK_SECONDS = 0.012
-FORGET_SECONDS = 0.5
+REQUEST_INTERVAL_SECONDS = 0.012
+FORGET_INTERVAL_SECONDS = 0.5
 # A rollout judges a version on each route that has calls, so that the routes which the operator
 # adds and removes must have none in a wide run.
 ROUTE_SHARE = 0.0
@@ -93,18 +93,18 @@
 # overlap, so that two series are rare.
 WIDE_SERIES = (1, 1, 1, 2)
 # All daemons must serve within this time after the last fault.
-SERVES_SECONDS = 15.0
-LOOK_SECONDS = 0.1
+SERVING_TIMEOUT_SECONDS = 15.0
+RETRY_SECONDS = 0.1
 
 
 @dataclass
-class Series:
-    """A series of random faults; ``done`` has the names of those that were injected."""
+class FaultSeries:
+    """A series of random faults; ``injected`` has the names of those that were injected."""
 
     fleet: ProcessFleet
     rng: random.Random
-    faults: list[Callable[["Series"], Awaitable[None]]]
-    done: list[str] = field(default_factory=list)
+    faults: list[Callable[["FaultSeries"], Awaitable[None]]]
+    injected: list[str] = field(default_factory=list)
 
     async def run(self, seconds: float) -> None:
         """Inject one fault after the other for ``seconds``."""
@@ -112,58 +112,69 @@
         ends_at = loop.time() + seconds
         while loop.time() < ends_at:
             fault = self.rng.choice(self.faults)
-            self.done.append(fault.__name__)
+            self.injected.append(fault.__name__)
             await fault(self)
-            await asyncio.sleep(self.rng.uniform(0.0, MOST_PAUSE_SECONDS))
+            await asyncio.sleep(self.rng.uniform(0.0, MAX_PAUSE_SECONDS))
 
-    def some(self, most: int) -> list[Daemon]:
-        """Return a random sample of the running daemons, of one to ``most``."""
+    def sample_running(self, max_count: int) -> list[Daemon]:
+        """Return a random sample of one to ``max_count`` running daemons."""
         running = [daemon for daemon in self.fleet.daemons if daemon.running]
-        return self.rng.sample(running, min(len(running), self.rng.randint(1, most)))
+        return self.rng.sample(running, min(len(running), self.rng.randint(1, max_count)))
 
 
 @dataclass(frozen=True)
-class Verdict:
+class SoakResult:
     """The results of one run.
 
-    ``old`` are the answers that an older configuration decided too late, ``others_old`` those by
-    daemons of the other build. ``longest`` is the longest time, in seconds, for which an older
-    configuration decided after a newer one was confirmed. ``cut`` are the connections that daemons
-    closed without an answer. ``closed_links`` counts the links that a daemon closed because of a
-    message that it received. ``faults`` are the names of the injected faults.
+    ``old_answers`` are those that an older configuration decided too late, except those of daemons
+    of the other build, which are ``other_build_old_answers``. ``longest_seconds`` is the longest
+    time for which an older configuration decided after a newer one was confirmed.
+    ``cut_connections`` are those that daemons closed without an answer. ``closed_links`` counts the
+    links that a daemon closed because of a message that it received. ``faults`` are the names of
+    the injected faults.
     """
 
     seed: int
-    asked: int
+    sent: int
     served: int
-    longest: float
-    old: list[OldAnswer]
-    others_old: list[OldAnswer]
-    cut: list[Cut]
+    longest_seconds: float
+    old_answers: list[OldAnswer]
+    other_build_old_answers: list[OldAnswer]
+    cut_connections: list[Cut]
     closed_links: int
     faults: list[str]
     # Only in a wide run: the violated guarantees, and a description of each rollout.
-    broken: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
     orders: list[str] = field(default_factory=list)
 
     @property
-    def good(self) -> bool:
+    def passed(self) -> bool:
         """Return whether all checks passed."""
-        return not (self.old or self.cut or self.closed_links or self.broken)
+        return not (
+            self.old_answers or self.cut_connections or self.closed_links or self.violations
+        )
 
     def __str__(self) -> str:
         line = (
-            f"seed {self.seed}: {self.asked} asked, {self.served} served, {len(self.old)} by an "
-            f"older version, the longest {self.longest:.2f} s, {len(self.others_old)} by the other "
-            f"build, {len(self.cut)} cut, {self.closed_links} links closed; {' '.join(self.faults)}"
+            f"seed {self.seed}: {self.sent} sent, {self.served} served, "
+            f"{len(self.old_answers)} by an older version, "
+            f"the longest {self.longest_seconds:.2f} s, "
+            f"{len(self.other_build_old_answers)} by the other build, "
+            f"{len(self.cut_connections)} cut, {self.closed_links} links closed; "
+            f"{' '.join(self.faults)}"
         )
-        told = [*self.old[:MOST_TOLD], *self.cut[:MOST_TOLD], *self.broken, *self.orders]
-        return "\n  ".join([line, *map(str, told)])
+        printed = [
+            *self.old_answers[:MAX_PRINTED_FINDINGS],
+            *self.cut_connections[:MAX_PRINTED_FINDINGS],
+            *self.violations,
+            *self.orders,
+        ]
+        return "\n  ".join([line, *map(str, printed)])
 
 
 async def soak(
     seed: int, seconds: float, daemons: int, folder: Path, other: Path, wide: bool = False
-) -> Verdict:
+) -> SoakResult:
     """Run one soak, and return its results.
 
     The daemons log into ``folder``; every second one runs the build with the sources ``other``.
@@ -171,69 +182,76 @@
     fleet = ProcessFleet(folder, relay=Relay())
     try:
         if wide:
-            return await Wide(fleet, seed).play(seconds, daemons, other)
-        return await _play(fleet, seed, seconds, daemons, other)
+            return await WideRun(fleet, seed).run(seconds, daemons, other)
+        return await _run(fleet, seed, seconds, daemons, other)
     finally:
         await fleet.stop()
 
 
-async def _play(
+async def _run(
     fleet: ProcessFleet, seed: int, seconds: float, daemons: int, other: Path
-) -> Verdict:
+) -> SoakResult:
     operator = Operator(fleet.store)
     for _ in range(REPLICAS):
         await fleet.add_replica()
     await fleet.add_daemons(daemons, DOMAINS, other)
     await fleet.until_ready()
-    await asyncio.sleep(FIRST_SECONDS)
+    await asyncio.sleep(STARTUP_SECONDS)
     callers = Callers(fleet, operator, _rng(seed, "callers"), BOUND_SECONDS, SETTLED_SECONDS)
-    asking = asyncio.ensure_future(callers.run())
+    sending = asyncio.ensure_future(callers.run())
     changing = asyncio.ensure_future(_change(operator, _rng(seed, "operator")))
     series = _series(fleet, seed, FAULTS, SERIES)
     await asyncio.gather(*(each.run(seconds) for each in series))
-    await asyncio.sleep(LAST_SECONDS)
-    asking.cancel()
+    await asyncio.sleep(COOLDOWN_SECONDS)
+    sending.cancel()
     changing.cancel()
     await callers.settle()
-    return _verdict(fleet, seed, callers, [name for each in series for name in each.done])
+    return _result(fleet, seed, callers, [name for each in series for name in each.injected])
 
 
 def _series(
-    fleet: ProcessFleet, seed: int, faults: list[Callable[[Series], Awaitable[None]]], count: int
-) -> list[Series]:
-    return [Series(fleet, _rng(seed, f"series {number}"), faults) for number in range(count)]
+    fleet: ProcessFleet,
+    seed: int,
+    faults: list[Callable[[FaultSeries], Awaitable[None]]],
+    count: int,
+) -> list[FaultSeries]:
+    return [FaultSeries(fleet, _rng(seed, f"series {number}"), faults) for number in range(count)]
 
 
 @dataclass
-class Wide:
+class WideRun:
     """A run over two regions, with rollouts and with replicas that keep connections open."""
 
     fleet: ProcessFleet
     seed: int
-    _asked: int = 0
+    _sent: int = 0
     _calls: set[asyncio.Task] = field(default_factory=set)
 
-    async def play(self, seconds: float, daemons: int, other: Path) -> Verdict:
+    async def run(self, seconds: float, daemons: int, other: Path) -> SoakResult:
         """Run the soak for ``seconds``, and return its results."""
         operator, orders = await self._start(daemons, other)
         callers = Callers(
             self.fleet, operator, self._rng("callers"), BOUND_SECONDS, SETTLED_SECONDS
         )
         callers.route_share = ROUTE_SHARE
-        around = [callers.run(), _change(operator, self._rng("operator")), self._ask()]
-        tasks = [asyncio.ensure_future(each) for each in [*around, self._forget()]]
+        background = [
+            callers.run(),
+            _change(operator, self._rng("operator")),
+            self._send_requests(),
+        ]
+        tasks = [asyncio.ensure_future(each) for each in [*background, self._vary_forgetting()]]
         count = self._rng("series").choice(WIDE_SERIES)
         series = _series(self.fleet, self.seed, WIDE_FAULTS, count)
         await asyncio.gather(orders.run(seconds), *(each.run(seconds) for each in series))
-        broken = await self._not_serving()
+        violations = await self._find_not_serving()
         for task in tasks:
             task.cancel()
         await callers.settle()
         await asyncio.gather(*self._calls)
-        faults = [name for each in series for name in each.done]
-        verdict = _verdict(self.fleet, self.seed, callers, faults)
-        broken += promises.findings(self.fleet, orders, NORTH)
-        return replace(verdict, broken=broken, orders=promises.describe_rollouts(orders))
+        faults = [name for each in series for name in each.injected]
+        result = _result(self.fleet, self.seed, callers, faults)
+        violations += promises.findings(self.fleet, orders, NORTH)
+        return replace(result, violations=violations, orders=promises.describe_rollouts(orders))
 
     def _rng(self, part: str) -> random.Random:
         return _rng(self.seed, part)
@@ -242,33 +260,33 @@
         self.fleet.replica_class = KeepingReplica
         self.fleet.settings = WIDE_SETTINGS
         operator = Operator(self.fleet.store, [NORTH_TENANT])
-        orders = Orders(self.fleet, self._rng("orders"), ZONES)
+        orders = Orders(self.fleet, self._rng("orders"), REPLICA_ZONES)
         await orders.start()
         await self.fleet.add_daemons(daemons, DOMAINS, other)
         north, south = _regions(self.fleet)
-        self.fleet.relay.delay(north, south, self._rng("ways").uniform(*WAY_SECONDS))
+        self.fleet.relay.delay(north, south, self._rng("ways").uniform(*ONE_WAY_LATENCY_SECONDS))
         await self.fleet.until_ready()
-        await asyncio.sleep(FIRST_SECONDS)
+        await asyncio.sleep(STARTUP_SECONDS)
         return operator, orders
 
-    async def _ask(self) -> None:
+    async def _send_requests(self) -> None:
         """Send requests that must not run twice, some by a workspace restricted to one region."""
         rng = self._rng("asking")
         while True:
-            self._asked += 1
+            self._sent += 1
             daemon = rng.choice(self.fleet.balanced())
-            headers = {"Request_Id": f"o-{self._asked}"}
+            headers = {"Request_Id": f"o-{self._sent}"}
             if rng.random() < 0.3:
                 headers = {
-                    "Request_Id": f"{promises.REGION_BOUND_PREFIX}{self._asked}",
+                    "Request_Id": f"{promises.REGION_BOUND_PREFIX}{self._sent}",
                     "Authorization": f"Bearer {NORTH_KEY}",
                 }
             call = asyncio.ensure_future(self.fleet.call(daemon, promises.ONCE_PATH, **headers))
             self._calls.add(call)
             call.add_done_callback(self._calls.discard)
-            await asyncio.sleep(ASK_SECONDS)
+            await asyncio.sleep(REQUEST_INTERVAL_SECONDS)
 
-    async def _forget(self) -> None:
+    async def _vary_forgetting(self) -> None:
         """Let replicas forget or close their idle connections at random, until cancelled."""
         rng = self._rng("connections")
         while True:
@@ -276,28 +294,26 @@
                 replica.forgets = rng.random() < 0.3
                 if rng.random() < 0.2:
                     replica.close_idle()
-            await asyncio.sleep(FORGET_SECONDS)
+            await asyncio.sleep(FORGET_INTERVAL_SECONDS)
 
-    async def _not_serving(self) -> list[str]:
+    async def _find_not_serving(self) -> list[str]:
         """Return a finding for each daemon that does not serve in time after the last fault."""
-        serving = await asyncio.gather(*(self._serves(each) for each in self.fleet.daemons))
+        serving = await asyncio.gather(*(self._starts_serving(each) for each in self.fleet.daemons))
         return [
-            f"{daemon.node} does not serve {SERVES_SECONDS} s after the last fault"
+            f"{daemon.node} does not serve {SERVING_TIMEOUT_SECONDS} s after the last fault"
             for daemon, serves in zip(self.fleet.daemons, serving, strict=True)
             if not serves
         ]
 
-    async def _serves(self, daemon: Daemon) -> bool:
+    async def _starts_serving(self, daemon: Daemon) -> bool:
         loop = asyncio.get_running_loop()
-        until = loop.time() + SERVES_SECONDS
+        until = loop.time() + SERVING_TIMEOUT_SECONDS
         while loop.time() < until:
-            self._asked += 1
-            answer = await self.fleet.call(
-                daemon, promises.ONCE_PATH, Request_Id=f"o-{self._asked}"
-            )
+            self._sent += 1
+            answer = await self.fleet.call(daemon, promises.ONCE_PATH, Request_Id=f"o-{self._sent}")
             if answer is not None and answer.status == OK:
                 return True
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(RETRY_SECONDS)
         return False
 
 
@@ -308,9 +324,9 @@
     return [ip for ip in ips if ip not in south], south
 
 
-def _verdict(fleet: ProcessFleet, seed: int, callers: Callers, faults: list[str]) -> Verdict:
+def _result(fleet: ProcessFleet, seed: int, callers: Callers, faults: list[str]) -> SoakResult:
     others = {daemon.node for daemon in fleet.daemons if daemon.sources != ROOT}
-    return Verdict(
+    return SoakResult(
         seed,
         callers.asked,
         callers.served,
@@ -331,10 +347,10 @@
 async def _change(operator: Operator, rng: random.Random) -> None:
     while True:
         operator.change()
-        await asyncio.sleep(rng.choice(CHANGE_SECONDS))
+        await asyncio.sleep(rng.choice(CHANGE_PAUSES_SECONDS))
 
 
-async def _turn_away(series: Series, daemons: list[Daemon]) -> None:
+async def _turn_away(series: FaultSeries, daemons: list[Daemon]) -> None:
     how = series.rng.choice(list(TurnedAway))
     for daemon in daemons:
         daemon.turn_away(how)
@@ -343,21 +359,21 @@
         daemon.answer()
 
 
-async def turn_readers_away(series: Series) -> None:
+async def turn_readers_away(series: FaultSeries) -> None:
     """Let the store turn away the daemons that watch it now."""
     series.fleet.forget_calls()
     await asyncio.sleep(3.0)
     await _turn_away(series, series.fleet.watching())
 
 
-async def turn_some_away(series: Series) -> None:
+async def turn_some_away(series: FaultSeries) -> None:
     """Let the store turn away some daemons."""
-    await _turn_away(series, series.some(len(series.fleet.daemons) // 2))
+    await _turn_away(series, series.sample_running(len(series.fleet.daemons) // 2))
 
 
-async def slow(series: Series) -> None:
+async def slow(series: FaultSeries) -> None:
     """Let the store answer some daemons slowly."""
-    daemons = series.some(len(series.fleet.daemons) // 2)
+    daemons = series.sample_running(len(series.fleet.daemons) // 2)
     for daemon in daemons:
         daemon.access.delay = SLOW_SECONDS
     await asyncio.sleep(series.rng.uniform(2.0, 6.0))
@@ -365,23 +381,23 @@
         daemon.access.delay = 0.0
 
 
-async def forget_history(series: Series) -> None:
+async def forget_history(series: FaultSeries) -> None:
     """Let the store forget its history."""
     series.fleet.store.forget_history()
 
 
-async def kill(series: Series) -> None:
+async def kill(series: FaultSeries) -> None:
     """Kill some daemons at once, and restart them."""
-    daemons = series.some(len(series.fleet.daemons) // 2)
+    daemons = series.sample_running(len(series.fleet.daemons) // 2)
     await asyncio.gather(*(series.fleet.kill(daemon) for daemon in daemons))
     await asyncio.sleep(series.rng.uniform(0.2, 2.0))
     for daemon in daemons:
         series.fleet.start(daemon)
 
 
-async def pause(series: Series) -> None:
+async def pause(series: FaultSeries) -> None:
     """Pause some daemons, and resume them."""
-    daemons = series.some(3)
+    daemons = series.sample_running(3)
     for daemon in daemons:
         series.fleet.pause(daemon)
     await asyncio.sleep(series.rng.uniform(0.5, 5.0))
@@ -389,16 +405,16 @@
         series.fleet.resume(daemon)
 
 
-async def stop_in_turn(series: Series) -> None:
+async def stop_in_turn(series: FaultSeries) -> None:
     """Stop some daemons gracefully, one after the other, and restart each."""
-    for daemon in series.some(3):
+    for daemon in series.sample_running(3):
         if daemon.running:
             await series.fleet.end(daemon)
             series.fleet.start(daemon)
             await asyncio.sleep(series.rng.uniform(0.5, 2.0))
 
 
-async def cut_domain(series: Series) -> None:
+async def cut_domain(series: FaultSeries) -> None:
     """Cut a failure domain off from the others."""
     number = series.rng.randrange(DOMAINS)
     ips = [daemon.ip for daemon in series.fleet.daemons]
@@ -406,52 +422,52 @@
     await _cut(series, left, [ip for ip in ips if ip not in left])
 
 
-async def cut_daemon(series: Series) -> None:
+async def cut_daemon(series: FaultSeries) -> None:
     """Cut one daemon off from the others."""
     ips = [daemon.ip for daemon in series.fleet.daemons]
     one = series.rng.choice(ips)
     await _cut(series, [one], [ip for ip in ips if ip != one])
 
 
-async def _cut(series: Series, left: list[str], right: list[str]) -> None:
+async def _cut(series: FaultSeries, left: list[str], right: list[str]) -> None:
     series.fleet.relay.cut(left, right, both=series.rng.random() < 0.5)
-    _reach(series.fleet, left, float("inf"))
+    _set_reached_since(series.fleet, left, float("inf"))
     await asyncio.sleep(series.rng.uniform(2.0, 8.0))
     series.fleet.relay.heal()
-    _reach(series.fleet, left, asyncio.get_running_loop().time())
+    _set_reached_since(series.fleet, left, asyncio.get_running_loop().time())
 
 
-def _reach(fleet: ProcessFleet, ips: list[str], since: float) -> None:
+def _set_reached_since(fleet: ProcessFleet, ips: list[str], since: float) -> None:
     """Record since when the daemons with these IP addresses have reached their peers."""
     for daemon in fleet.daemons:
         if daemon.ip in ips:
             daemon.reached_since = since
 
 
-async def silence_links(series: Series) -> None:
+async def silence_links(series: FaultSeries) -> None:
     """Silence all links between daemons that are open now, for good."""
     series.fleet.relay.silence()
     ips = [daemon.ip for daemon in series.fleet.daemons]
-    _reach(series.fleet, ips, asyncio.get_running_loop().time())
+    _set_reached_since(series.fleet, ips, asyncio.get_running_loop().time())
 
 
-async def cut_region(series: Series) -> None:
+async def cut_region(series: FaultSeries) -> None:
     """Cut the regions off from each other."""
     north, south = _regions(series.fleet)
     await _cut(series, south, north)
 
 
-async def kill_coordinator(series: Series) -> None:
+async def kill_coordinator(series: FaultSeries) -> None:
     """Kill the daemon that coordinates the rollouts of the service, and restart it."""
-    await _kill_first(series, f"rollout of {SERVICE}")
+    await _kill_preferred(series, f"rollout of {SERVICE}")
 
 
-async def kill_dispatcher(series: Series) -> None:
+async def kill_dispatcher(series: FaultSeries) -> None:
     """Kill the daemon that dispatches the first cell of the service, and restart it."""
-    await _kill_first(series, f"cell {SERVICE}/0")
+    await _kill_preferred(series, f"cell {SERVICE}/0")
 
 
-async def _kill_first(series: Series, topic: str) -> None:
+async def _kill_preferred(series: FaultSeries, topic: str) -> None:
     running = {daemon.node: daemon for daemon in series.fleet.daemons if daemon.running}
     daemon = running[rank(topic, list(running))[0]]
     await series.fleet.kill(daemon)
@@ -459,7 +475,7 @@
     series.fleet.start(daemon)
 
 
-async def pause_coordinator(series: Series) -> None:
+async def pause_coordinator(series: FaultSeries) -> None:
     """Pause the daemon that coordinates the rollouts of the service, and resume it."""
     running = {daemon.node: daemon for daemon in series.fleet.daemons if daemon.running}
     daemon = running[rank(f"rollout of {SERVICE}", list(running))[0]]
@@ -468,7 +484,7 @@
     series.fleet.resume(daemon)
 
 
-FAULTS: list[Callable[[Series], Awaitable[None]]] = [
+FAULTS: list[Callable[[FaultSeries], Awaitable[None]]] = [
     turn_readers_away,
     turn_some_away,
     slow,
@@ -497,9 +513,9 @@
     for number in range(seed, seed + runs):
         folder = Path(tempfile.mkdtemp(prefix=f"soak-{number}-"))
         sources = Path(other).resolve()
-        verdict = asyncio.run(soak(number, seconds, daemons, folder, sources, wide))
-        print(verdict, flush=True)
-        if verdict.good:
+        result = asyncio.run(soak(number, seconds, daemons, folder, sources, wide))
+        print(result, flush=True)
+        if result.passed:
             shutil.rmtree(folder)
         else:
             print(f"  logs in {folder}")
--- a/benchmarks/verdicts.py
+++ b/benchmarks/verdicts.py
@@ -34,7 +34,7 @@
 SHARE = 0.04
 SLACK = 20
 # The target version gets at most this share of the requests on a rare route.
-MOST_OF_ROUTE = 0.5
+MAX_ROUTE_SHARE = 0.5
 REPLICAS = ("i-1", "i-2", "i-3")
 
 
@@ -52,12 +52,12 @@
 class Version:
     """How a version differs from the baseline.
 
-    ``fails`` returns the probability that an answer fails for this reason, and ``slower`` the
-    factor by which an answer takes longer.
+    ``failure_probability`` returns the probability that an answer fails because of the version, and
+    ``slowdown`` the factor by which it takes longer.
     """
 
-    fails: Callable[[Answer], float] = lambda answer: 0.0
-    slower: Callable[[Answer, random.Random], float] = lambda answer, rng: 1.0
+    failure_probability: Callable[[Answer], float] = lambda answer: 0.0
+    slowdown: Callable[[Answer, random.Random], float] = lambda answer, rng: 1.0
     bad: bool = True
 
 
@@ -67,16 +67,18 @@
 
 KINDS = {
     "good": Version(bad=False),
-    "good, one replica fails": Version(lambda a: 0.8 * (a.replica == "i-2"), bad=False),
-    "good, a little slower": Version(slower=lambda a, rng: 1.4, bad=False),
-    "half fails": Version(lambda a: 0.5),
-    "half fails from 4 s on": Version(lambda a: 0.5 * (a.at > 4)),
-    "half fails on a route": Version(lambda a: 0.5 * (a.route == 3)),
-    "half fails on a rare route": Version(lambda a: 0.5 * (a.route == 4)),
-    "half fails when busy": Version(lambda a: 0.5 * a.busy),
-    "three times slower": Version(slower=lambda a, rng: 3.0),
-    "half is four times slower": Version(slower=lambda a, rng: _half(a, rng, 4.0)),
-    "ten times slower on a route": Version(slower=lambda a, rng: 10.0 if a.route == 1 else 1.0),
+    "good, one replica fails": Version(lambda answer: 0.8 * (answer.replica == "i-2"), bad=False),
+    "good, a little slower": Version(slowdown=lambda answer, rng: 1.4, bad=False),
+    "half fails": Version(lambda answer: 0.5),
+    "half fails from 4 s on": Version(lambda answer: 0.5 * (answer.at > 4)),
+    "half fails on a route": Version(lambda answer: 0.5 * (answer.route == 3)),
+    "half fails on a rare route": Version(lambda answer: 0.5 * (answer.route == 4)),
+    "half fails when busy": Version(lambda answer: 0.5 * answer.busy),
+    "three times slower": Version(slowdown=lambda answer, rng: 3.0),
+    "half is four times slower": Version(slowdown=lambda answer, rng: _half(answer, rng, 4.0)),
+    "ten times slower on a route": Version(
+        slowdown=lambda answer, rng: 10.0 if answer.route == 1 else 1.0
+    ),
 }
 
 
@@ -89,76 +91,78 @@
 
 
 @dataclass
-class _Sums:
+class _Tallies:
     baseline: Tally = field(default_factory=Tally)
-    target: dict[str, Tally] = field(default_factory=lambda: {r: Tally() for r in REPLICAS})
+    target: dict[str, Tally] = field(
+        default_factory=lambda: {replica: Tally() for replica in REPLICAS}
+    )
 
 
-def play(kind: Version, rate: float, share: float, seconds: float, seed: int) -> Outcome:
+def simulate(kind: Version, rate: float, share: float, seconds: float, seed: int) -> Outcome:
     """Simulate the rollout of one version, and return its outcome.
 
     There are ``rate`` requests a second in total, of which the version gets ``share``.
     """
     rng = random.Random(seed)
-    sums = {number: _Sums() for number in range(len(ROUTES))}
+    tallies = {number: _Tallies() for number in range(len(ROUTES))}
     judge = VersionJudge()
     bad_answers = 0
     # For a random part of the run all versions are slower, as when a flood of requests arrives.
-    slow_from, slow_to = sorted(rng.uniform(0, seconds) for _ in range(2))
+    slow_since, slow_until = sorted(rng.uniform(0, seconds) for _ in range(2))
     for step in range(int(seconds * UPDATES_PER_SECOND)):
         at = step / UPDATES_PER_SECOND
-        load = 2.5 if slow_from < at < slow_to else 1.0
-        for _ in range(_number(rate / UPDATES_PER_SECOND, rng)):
-            bad_answers += _answer(kind, sums, at, load, share, rng)
-        evidence = [RouteEvidence(n, s.baseline, s.target) for n, s in sums.items()]
+        load = 2.5 if slow_since < at < slow_until else 1.0
+        for _ in range(_sample_count(rate / UPDATES_PER_SECOND, rng)):
+            bad_answers += _answer(kind, tallies, at, load, share, rng)
+        evidence = [RouteEvidence(n, s.baseline, s.target) for n, s in tallies.items()]
         verdict = judge.judge(evidence).verdict
         if verdict is Verdict.BAD:
             break
     return Outcome(verdict, bad_answers)
 
 
-def _number(mean: float, rng: random.Random) -> int:
+def _sample_count(mean: float, rng: random.Random) -> int:
     return max(0, round(rng.gauss(mean, mean**0.5)))
 
 
-def _share_of(route: int, share: float) -> float:
+def _route_share(route: int, share: float) -> float:
     """Return the target version's share of the requests on a route.
 
     Half of the requests for the target version are spread evenly over the routes, the other half in
     proportion to the requests of each route.
     """
     even = share / (len(ROUTES) * ROUTES[route][0])
-    return (share + min(MOST_OF_ROUTE, even)) / 2
+    return (share + min(MAX_ROUTE_SHARE, even)) / 2
 
 
 def _answer(
     kind: Version,
-    sums: dict[int, _Sums],
+    tallies: dict[int, _Tallies],
     at: float,
     load: float,
     share: float,
     rng: random.Random,
 ) -> int:
     route = rng.choices(range(len(ROUTES)), [r[0] for r in ROUTES])[0]
-    _, first, whole, spread = ROUTES[route]
-    is_target = rng.random() < _share_of(route, share)
+    _, first_byte, total, sigma = ROUTES[route]
+    is_target = rng.random() < _route_share(route, share)
     answer = Answer(at, route, rng.choice(REPLICAS), rng.random() < 0.6)
     failed = rng.random() < 0.01
-    factor = load * rng.lognormvariate(0, spread)
+    factor = load * rng.lognormvariate(0, sigma)
     if not is_target:
-        sums[route].baseline.add(failed, first * factor, whole * factor)
+        tallies[route].baseline.add(failed, first_byte * factor, total * factor)
         return 0
-    own_failed = rng.random() < kind.fails(answer)
-    slower = kind.slower(answer, rng)
-    tally = sums[route].target[answer.replica]
-    tally.add(failed or own_failed, first * factor * slower, whole * factor * slower)
-    return int(own_failed or slower > 2)
+    version_failed = rng.random() < kind.failure_probability(answer)
+    slowdown = kind.slowdown(answer, rng)
+    tally = tallies[route].target[answer.replica]
+    tally.add(failed or version_failed, first_byte * factor * slowdown, total * factor * slowdown)
+    return int(version_failed or slowdown > 2)
 
 
-def _play(name: str, rate: float, seconds: float, seed: int) -> Outcome:
+def _simulate(name: str, rate: float, seconds: float, seed: int) -> Outcome:
     # The slack adds to the share; it matters where there are few requests.
     share = SHARE + SLACK / (rate * seconds)
-    return play(KINDS[name], rate, share, seconds, seed)
+    return simulate(KINDS[name], rate, share, seconds, seed)
 
 
 def compare(seeds: int = 200, seconds: float = 12.0, workers: int = 3) -> None:
@@ -171,9 +175,9 @@
     for rate in RATES:
         for name in KINDS:
             arguments = ([name] * seeds, [rate] * seeds, [seconds] * seeds, range(seeds))
-            found = list(pool.map(_play, *arguments, chunksize=10))
-            judged_bad = [o.bad_answers for o in found if o.verdict is Verdict.BAD]
-            good = sum(o.verdict is Verdict.GOOD for o in found)
+            outcomes = list(pool.map(_simulate, *arguments, chunksize=10))
+            judged_bad = [o.bad_answers for o in outcomes if o.verdict is Verdict.BAD]
+            good = sum(o.verdict is Verdict.GOOD for o in outcomes)
             ranked = sorted(judged_bad) or [0]
             print(
                 f"{rate:5d}/s {name:28s} bad {len(judged_bad) / seeds:.3f}"
--- a/tests/platform/test_soak.py
+++ b/tests/platform/test_soak.py
@@ -25,16 +25,16 @@
 class SoakTests(unittest.IsolatedAsyncioTestCase):
     async def test_promises_hold_through_series_of_faults(self):
         with tempfile.TemporaryDirectory() as folder:
-            verdict = await soak(SEED, SECONDS, DAEMONS, Path(folder), ROOT)
-        self.assertTrue(verdict.good, str(verdict))
-        self.assertGreater(verdict.served, 0)
+            result = await soak(SEED, SECONDS, DAEMONS, Path(folder), ROOT)
+        self.assertTrue(result.passed, str(result))
+        self.assertGreater(result.served, 0)
 
     async def test_promises_hold_over_regions_with_rollouts_and_kept_connections(self):
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
-            verdict = await soak(WIDE_SEED, WIDE_SECONDS, WIDE_DAEMONS, folder, ROOT, wide=True)
-        self.assertTrue(verdict.good, str(verdict))
-        self.assertGreater(verdict.served, 0)
+            result = await soak(WIDE_SEED, WIDE_SECONDS, WIDE_DAEMONS, folder, ROOT, wide=True)
+        self.assertTrue(result.passed, str(result))
+        self.assertGreater(result.served, 0)
 
 
 if __name__ == "__main__":
