--- a/benchmarks/analysis.py
+++ b/benchmarks/analysis.py
@@ -98,8 +98,8 @@
     edges = np.flatnonzero(np.diff(np.concatenate(([0], both_waiting.astype(int), [0]))))
     ranges = []
     for start, end in zip(edges[::2], edges[1::2], strict=True):
-        stretch = difference[start:end]
-        ranges.append(float(stretch.max() - stretch.min()))
+        interval = difference[start:end]
+        ranges.append(float(interval.max() - interval.min()))
     return ranges
 
 
--- a/benchmarks/balancer.py
+++ b/benchmarks/balancer.py
@@ -10,7 +10,7 @@
 
 
 class Balancer:
-    """Choose daemons that were ready at the last poll."""
+    """A balancer that chooses among the daemons that were ready at the last poll."""
 
     def __init__(self, daemons: list[Daemon]) -> None:
         self._daemons = daemons
--- a/benchmarks/builds.py
+++ b/benchmarks/builds.py
@@ -125,14 +125,14 @@
     for _ in range(per_build):
         run.start(other)
         run.start(ROOT)
-    old_daemons = run.daemons[::2]
+    other_daemons = run.daemons[::2]
     await asyncio.sleep(STARTUP_SECONDS)
     await run.send_requests(seconds / 3)
     print(
         "side by side:", {"links closed": run.closed_links(), "sent, served": _request_counts(run)}
     )
     sending = asyncio.ensure_future(run.send_requests(seconds * 2 / 3))
-    for daemon in old_daemons:
+    for daemon in other_daemons:
         await asyncio.sleep(1.0)
         await asyncio.to_thread(run.replace, daemon, ROOT)
     await sending
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -36,6 +36,7 @@
 RESULTS = Path("results") / "capacity.json"
 SHAPE = deploy.ASSOCIATION
 RUN_SECONDS = 12.0
+# The kind of peer message that carries configuration changes, as the metrics label it.
 CONFIGURATION_UPDATE = "ConfigurationNews"
 
 
@@ -133,7 +134,7 @@
     def changes(self, counts: tuple[int, ...] = (5, 10, 20, 40)) -> dict:
         """Vary the number of configuration changes.
 
-        Print also the seconds until each change is in force on all daemons.
+        Also print the seconds until the changes are in force on all daemons.
         """
         sent, waits = [], []
         for count in counts:
--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -17,6 +17,7 @@
 import fire
 
 NODES = 77
+# By pool: the replicas, the requests a second, and the mean duration of a request in seconds.
 POOLS = {"model": (45, 271.0, 1.5), "service": (4, 133.0, 0.06)}
 IDLE_SECONDS = (1.0, 2.0, 5.0, 10.0, 20.0, 30.0)
 MAX_IDLE_CONNECTIONS = (1, 2, 4)
--- a/benchmarks/deployment.py
+++ b/benchmarks/deployment.py
@@ -188,7 +188,7 @@
         return found
 
     async def store_calls(self) -> dict[str, int]:
-        """Return how often the store was called, by kind of call."""
+        """Return how often the store was called, by kind of call, such as ``PUT objects``."""
         answer = await fetch(HttpRequest(self.store, "GET", "/standin/calls", {}), 5.0)
         return json.loads(answer.body)
 
@@ -283,12 +283,12 @@
     await _wait_for(deployment.store)
     await _fill_store(deployment, parts)
     for number in range(daemons):
-        await _add(deployment, number, extra_flags, relay)
+        await _start_daemon(deployment, number, extra_flags, relay)
     await deployment.wait_until_ready(daemons)
     return deployment
 
 
-async def _add(
+async def _start_daemon(
     deployment: Deployment, number: int, extra_flags: tuple[str, ...], relay: Relay | None
 ) -> None:
     ports = free_ports(4, ip_of(number))
--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -99,7 +99,7 @@
 
 
 async def one_way(scenario: Scenario) -> None:
-    """Drop everything that one daemon sends to the others, but nothing that they send to it."""
+    """Hold back all that one daemon sends to the others, but nothing that they send to it."""
     ips = [daemon.ip for daemon in scenario.deployment.daemons]
     scenario.relay.cut(ips[4:5], ips[:4] + ips[5:], both=False)
     await asyncio.sleep(FAULT_SECONDS)
@@ -314,6 +314,7 @@
 
 
 def _received_while_leaving(logs: dict[str, list[dict]], scenario: Scenario) -> int:
+    """Return how many requests reached a leaving replica later than the grace period allows."""
     count = 0
     for name, since in scenario.leaving_since.items():
         until = scenario.audited_until.get(name, time.time())
--- a/benchmarks/load_generator.py
+++ b/benchmarks/load_generator.py
@@ -35,7 +35,7 @@
 
 
 class _AnswerReceiver:
-    """Receive one answer, and check that it is complete and belongs to its request."""
+    """The receiver of one answer, which checks that it is complete and belongs to its request."""
 
     def __init__(self, record: CallerRecord) -> None:
         self._record = record
--- a/benchmarks/overhead.py
+++ b/benchmarks/overhead.py
@@ -21,7 +21,7 @@
 
 
 class _FirstByteCollector(Collector):
-    """Collect the answer, and record when the first byte of its body arrived."""
+    """A collector of an answer that records when the first byte of its body arrived."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/benchmarks/processor.py
+++ b/benchmarks/processor.py
@@ -23,7 +23,7 @@
 
 DAEMONS = 3
 REPLICAS = 4
-# The work of daemons while they connect to each other does not count.
+# The time in which daemons connect to each other, whose work does not count.
 SETTLE_SECONDS = 4.0
 PATH = "/again/plain"
 TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
--- a/benchmarks/promises.py
+++ b/benchmarks/promises.py
@@ -69,7 +69,7 @@
 
 
 def _find_repeated(fleet: ProcessFleet) -> list[str]:
-    """Return the requests on a route without repeats that ran more than once."""
+    """Return the requests that ran more than once on the route whose requests must not."""
     return [
         f"{name} ran {count} times"
         for name, count in _received_counts(fleet).items()
--- a/benchmarks/quarantine.py
+++ b/benchmarks/quarantine.py
@@ -32,7 +32,7 @@
 
 DAEMONS = 4
 ENGINES = 9
-RESTART_SECONDS = 1.5
+REPLACEMENT_SECONDS = 1.5
 HARMFUL_INTERVAL_SECONDS = 0.4
 CRASH_INTERVAL_SECONDS = 1.0
 REQUEST_INTERVAL_SECONDS = 0.1
@@ -85,8 +85,8 @@
         """Replace each crashed engine by one with a new name, until cancelled."""
         while True:
             for engine in self.crashed():
-                restarted = engine.crashed_at + RESTART_SECONDS < time.time()
-                if restarted and engine.name not in self.replaced:
+                is_due = engine.crashed_at + REPLACEMENT_SECONDS < time.time()
+                if is_due and engine.name not in self.replaced:
                     self.replaced.add(engine.name)
                     self.fleet.store.delete("upstream", engine.name)
                     self.fleet.add_engine(f"model-{len(self.fleet.engines)}", "model", SETTINGS)
@@ -148,6 +148,7 @@
     """Run both parts of the benchmark, and print their figures."""
     configure_logs("critical", "benchmark")
     logging.getLogger("tornado").setLevel(logging.CRITICAL)
+    # Nothing is quarantined if no requests are recorded for a crash.
     patched_limit = mock.patch.object(
         table, "MAX_REQUESTS_PER_CRASH", 0 if off else table.MAX_REQUESTS_PER_CRASH
     )
--- a/benchmarks/rollouts.py
+++ b/benchmarks/rollouts.py
@@ -111,8 +111,8 @@
     async def kill(self, role: str) -> None:
         """Kill the daemon that has ``role`` by rendezvous hashing, and restart it."""
         await asyncio.sleep(self.seconds / 3)
-        topics = {"dispatcher": f"cell {SERVICE}/0", "coordinator": f"rollout of {SERVICE}"}
-        node = rank(topics[role], [daemon.node for daemon in self.fleet.daemons])[0]
+        jobs = {"dispatcher": f"cell {SERVICE}/0", "coordinator": f"rollout of {SERVICE}"}
+        node = rank(jobs[role], [daemon.node for daemon in self.fleet.daemons])[0]
         daemon = next(each for each in self.fleet.daemons if each.node == node)
         daemon.leaves_at = asyncio.get_running_loop().time()
         await self.fleet.kill(daemon)
@@ -168,7 +168,7 @@
         return [counts[second] for second in range(max(counts, default=-1) + 1)]
 
 
-async def _traffic(run: Run, rate: float, until: float) -> list[asyncio.Task]:
+async def _send_traffic(run: Run, rate: float, until: float) -> list[asyncio.Task]:
     loop = asyncio.get_running_loop()
     calls: list[asyncio.Task] = []
     started_at = loop.time()
@@ -198,7 +198,7 @@
         await fleet.until_ready()
         loop = asyncio.get_running_loop()
         until = loop.time() + WARMUP_SECONDS + seconds + AFTER_SECONDS
-        traffic = asyncio.ensure_future(_traffic(run, rate, until))
+        traffic = asyncio.ensure_future(_send_traffic(run, rate, until))
         await asyncio.sleep(WARMUP_SECONDS)
         await run.order()
         platform = asyncio.ensure_future(run.act_as_platform())
--- a/benchmarks/signs.py
+++ b/benchmarks/signs.py
@@ -102,9 +102,9 @@
         """Return the most calls that one daemon sent to an engine within one backoff."""
         counts: defaultdict[tuple[str, str, float], int] = defaultdict(int)
         for node, engine, requested_at in self.backoffs:
-            for caller, replica, at in self.calls:
+            for sender, replica, at in self.calls:
                 inside = requested_at + IN_FLIGHT_SECONDS < at < requested_at + BACKOFF_SECONDS
-                if (caller, replica) == (node, engine) and inside:
+                if (sender, replica) == (node, engine) and inside:
                     counts[node, engine, requested_at] += 1
         return max(counts.values(), default=0)
 
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -82,8 +82,8 @@
 NORTH_KEY = "the-key-of-north"
 NORTH_TENANT = {"name": "north", "api_keys": [NORTH_KEY], "allowed_regions": ["north"]}
 ONE_WAY_LATENCY_SECONDS = (0.005, 0.025)
-# The interval of requests in a wide run, and the interval at which replicas start or stop to forget
-# their idle connections.
+# The interval of requests in a wide run, and the interval at which its replicas start or stop
+# forgetting idle connections.
 REQUEST_INTERVAL_SECONDS = 0.012
 FORGET_INTERVAL_SECONDS = 0.5
 # A rollout judges a version on each route that has calls, so that the routes which the operator
@@ -199,17 +199,17 @@
     await asyncio.sleep(STARTUP_SECONDS)
     callers = Callers(fleet, operator, _rng(seed, "callers"), BOUND_SECONDS, SETTLED_SECONDS)
     sending = asyncio.ensure_future(callers.run())
-    changing = asyncio.ensure_future(_change(operator, _rng(seed, "operator")))
-    series = _series(fleet, seed, FAULTS, SERIES)
+    changing = asyncio.ensure_future(_change_configuration(operator, _rng(seed, "operator")))
+    series = _make_series(fleet, seed, FAULTS, SERIES)
     await asyncio.gather(*(each.run(seconds) for each in series))
     await asyncio.sleep(COOLDOWN_SECONDS)
     sending.cancel()
     changing.cancel()
     await callers.settle()
-    return _result(fleet, seed, callers, [name for each in series for name in each.injected])
+    return _make_result(fleet, seed, callers, [name for each in series for name in each.injected])
 
 
-def _series(
+def _make_series(
     fleet: ProcessFleet,
     seed: int,
     faults: list[Callable[[FaultSeries], Awaitable[None]]],
@@ -236,12 +236,12 @@
         callers.route_share = ROUTE_SHARE
         background = [
             callers.run(),
-            _change(operator, self._rng("operator")),
+            _change_configuration(operator, self._rng("operator")),
             self._send_requests(),
         ]
         tasks = [asyncio.ensure_future(each) for each in [*background, self._vary_forgetting()]]
         count = self._rng("series").choice(WIDE_SERIES)
-        series = _series(self.fleet, self.seed, WIDE_FAULTS, count)
+        series = _make_series(self.fleet, self.seed, WIDE_FAULTS, count)
         await asyncio.gather(orders.run(seconds), *(each.run(seconds) for each in series))
         violations = await self._find_not_serving()
         for task in tasks:
@@ -249,7 +249,7 @@
         await callers.settle()
         await asyncio.gather(*self._calls)
         faults = [name for each in series for name in each.injected]
-        result = _result(self.fleet, self.seed, callers, faults)
+        result = _make_result(self.fleet, self.seed, callers, faults)
         violations += promises.findings(self.fleet, orders, NORTH)
         return replace(result, violations=violations, orders=promises.describe_rollouts(orders))
 
@@ -324,7 +324,7 @@
     return [ip for ip in ips if ip not in south], south
 
 
-def _result(fleet: ProcessFleet, seed: int, callers: Callers, faults: list[str]) -> SoakResult:
+def _make_result(fleet: ProcessFleet, seed: int, callers: Callers, faults: list[str]) -> SoakResult:
     others = {daemon.node for daemon in fleet.daemons if daemon.sources != ROOT}
     return SoakResult(
         seed,
@@ -344,7 +344,7 @@
     return random.Random(f"{seed} {part}")
 
 
-async def _change(operator: Operator, rng: random.Random) -> None:
+async def _change_configuration(operator: Operator, rng: random.Random) -> None:
     while True:
         operator.change()
         await asyncio.sleep(rng.choice(CHANGE_PAUSES_SECONDS))
@@ -467,9 +467,9 @@
     await _kill_preferred(series, f"cell {SERVICE}/0")
 
 
-async def _kill_preferred(series: FaultSeries, topic: str) -> None:
+async def _kill_preferred(series: FaultSeries, job: str) -> None:
     running = {daemon.node: daemon for daemon in series.fleet.daemons if daemon.running}
-    daemon = running[rank(topic, list(running))[0]]
+    daemon = running[rank(job, list(running))[0]]
     await series.fleet.kill(daemon)
     await asyncio.sleep(series.rng.uniform(0.2, 2.0))
     series.fleet.start(daemon)
--- a/benchmarks/verdicts.py
+++ b/benchmarks/verdicts.py
@@ -1,4 +1,4 @@
-"""Simulate how often a version is judged wrongly, and after how many bad answers a bad one is.
+"""Simulate how often versions are judged wrongly, and how soon bad ones are found.
 
     python -m benchmarks.verdicts --seeds 2000
 
@@ -30,7 +30,7 @@
 )
 UPDATES_PER_SECOND = 4
 RATES = (50, 240, 1000, 2000)
-# The target version gets this share of all requests, and this many more.
+# The target version gets this share of all requests, and this many more in total.
 SHARE = 0.04
 SLACK = 20
 # The target version gets at most this share of the requests on a rare route.
@@ -113,7 +113,7 @@
         at = step / UPDATES_PER_SECOND
         load = 2.5 if slow_since < at < slow_until else 1.0
         for _ in range(_sample_count(rate / UPDATES_PER_SECOND, rng)):
-            bad_answers += _answer(kind, tallies, at, load, share, rng)
+            bad_answers += _add_answer(kind, tallies, at, load, share, rng)
         evidence = [RouteEvidence(n, s.baseline, s.target) for n, s in tallies.items()]
         verdict = judge.judge(evidence).verdict
         if verdict is Verdict.BAD:
@@ -135,7 +135,7 @@
     return (share + min(MAX_ROUTE_SHARE, even)) / 2
 
 
-def _answer(
+def _add_answer(
     kind: Version,
     tallies: dict[int, _Tallies],
     at: float,
@@ -143,6 +143,7 @@
     share: float,
     rng: random.Random,
 ) -> int:
+    """Add a random answer to ``tallies``; return 1 if it is bad because of the version, else 0."""
     route = rng.choices(range(len(ROUTES)), [r[0] for r in ROUTES])[0]
     _, first_byte, total, sigma = ROUTES[route]
     is_target = rng.random() < _route_share(route, share)
@@ -160,7 +161,7 @@
 
 
 def _simulate(name: str, rate: float, seconds: float, seed: int) -> Outcome:
-    # The slack adds to the share; it matters where there are few requests.
+    # The slack adds to the share, which matters where there are few requests.
     share = SHARE + SLACK / (rate * seconds)
     return simulate(KINDS[name], rate, share, seconds, seed)
 
