--- a/railsail/store/absence.py
+++ b/railsail/store/absence.py
@@ -1,21 +1,25 @@
-"""Tell whether a store that answers again was away for so long that objects may be missing.
+"""Detection of store outages after which a listing may lack objects.
 
-Objects lapse whose writers could not reach the store for a few heartbeats, and a store that came
-back from a copy lacks what was written since. Their writers write them again when it is back.
+An object expires if its writer cannot reach the store for a few heartbeats, and a store that was
+restored from a copy lacks what was written after the copy was made. The writers write the missing
+objects again once the store answers.
 """
 
 from railsail.store.versions import era_of
 
-# Objects lapse when their writers have been silent for three heartbeats, of about a second each. A
-# shorter absence, such as that of a watch that was cut, is none.
+# Objects expire when their writers miss three heartbeats of about a second each. A shorter time
+# without answers, such as that of one failed watch, does not count as an outage.
 LAPSE_SECONDS = 2.0
-# What was missing when the store came back is written again within about two seconds, and counts as
-# gone if it is still missing then.
+# Time after an outage in which missing objects are not taken as deleted: their writers need about
+# two seconds to write them again.
 RETURN_SECONDS = 2.5
 
 
 class StoreAbsence:
-    """Follow the calls about some kinds; times are in seconds of a monotonic clock."""
+    """The recent results of the calls for one kind, and the store outage that they show.
+
+    Times are in seconds of a monotonic clock.
+    """
 
     def __init__(self) -> None:
         self._since: float | None = None
@@ -23,28 +27,30 @@
 
     @property
     def era(self) -> int:
-        """Return the era of the last listing, 0 before the first one."""
+        """Return the store generation of the last listing, 0 before the first listing."""
         return self._era or 0
 
     def failed(self, asked_at: float, now: float, waits: float) -> None:
-        """Take note that a call of ``asked_at``, which waits by its own wish, was not answered.
+        """Record that a call made at ``asked_at`` failed at ``now``.
 
-        Where it was not even answered after its wait, the store has been silent since.
+        ``waits`` is how many seconds the call let the store delay the answer. If it failed after
+        more time than that, the store has been silent since ``asked_at``; otherwise the outage is
+        counted from ``now``.
         """
         silent = now - asked_at > waits
         if self._since is None:
             self._since = asked_at if silent else now
 
     def lapsed(self, now: float) -> bool:
-        """Say whether the store has not answered for so long that objects have lapsed."""
+        """Return True if the store has been silent for so long that objects have expired."""
         return self._since is not None and now - self._since > LAPSE_SECONDS
 
     def ended(self) -> None:
-        """Take note that the store answered, or that peers have read it since."""
+        """Record that the store answered, or that peers have read it in the meantime."""
         self._since = None
 
     def answered(self, version: int, now: float) -> bool:
-        """Take note of a listing, and say whether objects may be missing from it."""
+        """Record a listing at ``version``; return True if objects may be missing from it."""
         lapsed = self.lapsed(now)
         older = self._era is not None and era_of(version) > self._era
         self.ended()
--- a/railsail/store/base.py
+++ b/railsail/store/base.py
@@ -1,8 +1,8 @@
 """The typed interface to the platform's object API.
 
-Versions are whole numbers given by the platform; they rise with every write to any object, also
-where the store comes back from an older copy (see ``railsail.store.versions``). A conditional write
-names the version that it expects, 0 for an object that must not exist yet.
+Versions are whole numbers that rise with every write to any object, also when the store is restored
+from an older copy (see ``railsail.store.versions``). A conditional write names the version that it
+expects, 0 for an object that must not exist yet.
 """
 
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 from railsail.core.registry import Registry
 
-# What store clients put into a text in place of bytes that are no text.
+# The Unicode replacement character, which store clients put in place of bytes that are not UTF-8.
 UNREADABLE = "\ufffd"
 
 
@@ -26,10 +26,11 @@
 
 @dataclass(frozen=True)
 class Listing:
-    """All objects of a kind, and the platform's ``version`` at that moment.
+    """All objects of a kind, and the store's ``version`` when they were listed.
 
-    ``settled`` is false where the store has just come back: objects may have lapsed meanwhile, or
-    be missing from the copy that it came back from, and be written again in a moment.
+    ``settled`` is false just after an outage of the store: objects may have expired during the
+    outage, or be missing from the copy that the store was restored from, and are about to be
+    written again.
     """
 
     version: int
@@ -39,7 +40,7 @@
 
 @dataclass(frozen=True)
 class WatchEvent:
-    """A change after the watched version; ``value`` is ``None`` for a deletion."""
+    """A change of one object; ``value`` is ``None`` for a deletion."""
 
     kind: str
     name: str
@@ -49,7 +50,11 @@
 
 @dataclass(frozen=True)
 class WatchResult:
-    """What a watch returned; ``expired`` means that changes were missed and a list is needed."""
+    """The changes that a watch returned, and the store's ``version`` up to which they are complete.
+
+    ``expired`` means that the store no longer has all changes after the watched version, so that
+    the objects must be listed again.
+    """
 
     version: int
     events: tuple[WatchEvent, ...]
@@ -59,16 +64,16 @@
 class Store(Protocol):
     """A client of the object API.
 
-    Every method raises ``StoreUnavailable`` when no answer came. A write that raises it may have
-    taken effect all the same. ``put``, ``put_status`` and ``delete`` raise ``StoreConflict`` when
-    the object has another version than the one expected. ``watches_many`` says that one watch may
-    be about several kinds at once.
+    Every method raises ``StoreUnavailable`` if the store cannot be reached or refuses the call. A
+    write that raises it may have taken effect nevertheless. ``put``, ``put_status`` and ``delete``
+    raise ``StoreConflict`` if the object has another version than the expected one.
+    ``watches_many`` is True if one watch may cover several kinds.
     """
 
     watches_many: bool
 
     async def get(self, kind: str, name: str) -> StoredObject | None:
-        """Return an object, or ``None`` if there is none."""
+        """Return an object, or ``None`` if it does not exist."""
 
     async def list(self, kind: str) -> Listing:
         """Return all objects of ``kind``."""
@@ -79,16 +84,16 @@
     async def put_status(
         self, kind: str, name: str, value: dict[str, object], expected: int
     ) -> int:
-        """Replace the status of an object if its version is ``expected``; return the new one.
+        """Replace the status of an object if its version is ``expected``; return the new version.
 
-        The status of a rollout is the value of ``status`` in what ``get`` and ``list`` return.
+        The status of a rollout is what ``get`` and ``list`` return under the key ``status``.
         """
 
     async def delete(self, kind: str, name: str, expected: int) -> None:
         """Delete an object if its version is ``expected``."""
 
     async def watch(self, kinds: tuple[str, ...], since: int, seconds: float) -> WatchResult:
-        """Wait at most ``seconds`` for changes of ``kinds`` after version ``since``."""
+        """Return changes of ``kinds`` after version ``since``; wait at most ``seconds`` for one."""
 
 
 STORES: Registry[type] = Registry("store client")
--- a/railsail/store/calls.py
+++ b/railsail/store/calls.py
@@ -1,4 +1,4 @@
-"""Calls to a store over HTTP: made once each, counted, and told apart by how they ended."""
+"""HTTP calls to a store: one attempt each, counted in the metrics, failures raised as errors."""
 
 import asyncio
 import time
@@ -16,19 +16,18 @@
 CONFLICT = 409
 GONE = 410
 _NO_ANSWER = 599
-# A store that turns calls away and names a time is left alone for so long, in seconds at most. It
-# may be well again before its time is over, and a change must be in force at all nodes within three
-# seconds.
+# Longest time for which a ``Retry-After`` of the store is obeyed. The store may recover before the
+# time that it named, and a change must be in force on all nodes within three seconds.
 MOST_REST_SECONDS = 2.0
 
 
 class StoreCalls:
-    """Make calls; ``seconds`` bounds each, ``most_bytes`` its answer."""
+    """Make HTTP calls with a timeout of ``seconds``, and responses of ``most_bytes`` at most."""
 
     def __init__(self, metrics: Metrics, seconds: float, most_bytes: int) -> None:
         self._metrics = metrics
         self._seconds = seconds
-        # Until when each endpoint wants no calls, by the clock of the event loop.
+        # By endpoint: until when it asked for no calls, in seconds of the event loop's clock.
         self._rests_until: dict[str, float] = {}
         self._client = AsyncHTTPClient(
             force_instance=True, max_clients=MOST_CALLS, max_body_size=most_bytes
@@ -42,10 +41,12 @@
         body: str | bytes | None = None,
         waits: float = 0.0,
     ) -> HTTPResponse:
-        """Return the answer of a call, which may wait for ``waits`` seconds by its own wish.
+        """Call the store and return the response.
 
-        Raise ``StoreConflict`` or ``StoreUnavailable``; a read may answer that nothing is there.
-        No call is made while the store wants none.
+        The store may delay the answer by ``waits`` seconds, which extends the timeout. A GET also
+        returns responses of status 404 and 410. Raise ``StoreConflict`` on status 409, and
+        ``StoreUnavailable`` on any other failure. No call is made before the time that the endpoint
+        named in a ``Retry-After``; this raises ``StoreUnavailable`` too.
         """
         endpoint = urlsplit(url).netloc
         if asyncio.get_running_loop().time() < self._rests_until.get(endpoint, 0.0):
@@ -79,8 +80,8 @@
         self._rests_until[endpoint] = max(self._rests_until.get(endpoint, 0.0), until)
 
     async def _fetch(self, request: HTTPRequest) -> HTTPResponse:
-        # The library complains about a fetch that is cancelled and then fails, so that a cancelled
-        # caller leaves the fetch to end by itself.
+        # Tornado logs an error if a fetch fails after it was cancelled. The fetch is therefore
+        # shielded: it runs to its end if the caller is cancelled.
         future = asyncio.ensure_future(self._client.fetch(request, raise_error=False))
         future.add_done_callback(lambda done: done.cancelled() or done.exception())
         return await asyncio.shield(future)
--- a/railsail/store/claims.py
+++ b/railsail/store/claims.py
@@ -1,9 +1,9 @@
 """Claims of idempotency keys: a key is claimed in the store before its request is sent.
 
-Keys are spread over shards, each a journal. The daemon that hashing names for a shard writes its
-claims, many in one conditional update; safety rests on that update alone, never on who believes
-itself to be the one. Each record carries the attempt that made it, so that a write whose reply was
-lost is found when the journal is read again.
+Keys are hashed to shards, and each shard is a journal. Rendezvous hashing over the members names
+one daemon that writes the claims of a shard, in batches. Only the conditional update of the journal
+makes this safe: two daemons that both write a shard cannot both claim a key. Each record holds the
+attempt that made it, so that a write whose reply was lost is found when the journal is read again.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 SHARDS = 16
 PART_SIZE = 32
 MOST_IN_BATCH = 32
-# The shards together write at most this often; the store takes about a hundred writes a second.
+# Upper bound for all shards together; the store handles about a hundred writes a second.
 WRITES_PER_SECOND = 40.0
 SPACING_SECONDS = SHARDS / WRITES_PER_SECOND
 KEY_BYTES = 16
@@ -31,7 +31,7 @@
 
 
 class ClaimResult(enum.IntEnum):
-    """How a claim ended."""
+    """The result of a claim or of its release."""
 
     CLAIMED = 0
     HELD = 1
@@ -41,9 +41,11 @@
 
 @dataclass(frozen=True)
 class Claim:
-    """One claim: the digest of the key, that of the request, and who made it.
+    """A claim of a key by a request, or its release.
 
-    ``attempt`` is a number that no other claim of the same ``node`` and ``start_id`` has.
+    ``key`` is the digest of the workspace and its idempotency key, and ``fingerprint`` that of the
+    request. ``attempt`` is unique among the claims of the same ``node`` and ``start_id``; the
+    release of a claim has the same one.
     """
 
     key: bytes
@@ -55,12 +57,12 @@
 
     @property
     def owner(self) -> tuple[str, int, int]:
-        """Return what tells this claim from any other of the same key."""
+        """Return the id that distinguishes this claim from others of the same key."""
         return (self.node, self.start_id, self.attempt)
 
 
 class ClaimAnswer(msgspec.Struct, frozen=True):
-    """The result of a claim, and the claim that stands."""
+    """The result of a claim, and the claim that holds the key, if any."""
 
     result: ClaimResult
     holder: Claim | None = None
@@ -72,7 +74,7 @@
 
 
 def fingerprint(method: str, path: str, body: bytes) -> bytes:
-    """Return the digest of a request, by which another one under the same key is told apart."""
+    """Return the digest of a request, which detects a different request under the same key."""
     head = f"{method} {path}\0".encode()
     return hashlib.blake2b(head + body, digest_size=KEY_BYTES).digest()
 
@@ -89,7 +91,10 @@
 
 
 class ClaimShard:
-    """Make the claims of one shard, in batches."""
+    """Write the claims of one shard to its journal, in batches.
+
+    Claims are kept for at least ``keep_seconds``.
+    """
 
     def __init__(
         self, store: Store, number: int, keep_seconds: float, clock: Clock, rng: random.Random
@@ -99,7 +104,7 @@
         self._clock = clock
         self._backoff = Backoff(rng, 0.05, 2.0)
         self._head: Head | None = None
-        # The time of the last record of each archived part that was read, by part number.
+        # By the number of an archived part that was read: the time of its last record.
         self._part_ends: dict[int, float] = {}
         self._index: dict[bytes, tuple[float, Claim]] = {}
         self._pending: list[_Pending] = []
@@ -107,7 +112,7 @@
         self._last_write = 0.0
 
     async def make(self, claim: Claim) -> ClaimAnswer:
-        """Make ``claim``, or release it; return when the store has it, or another one stands."""
+        """Claim a key or release it; return once this is stored, or another claim holds the key."""
         if len(self._pending) >= MOST_PENDING:
             return ClaimAnswer(ClaimResult.UNAVAILABLE)
         pending = _Pending(claim)
@@ -126,10 +131,11 @@
                 await self._write(batch)
                 self._backoff.reset()
             except StoreConflict:
-                # Another daemon wrote this shard; what it wrote is read before the next try.
+                # Another daemon wrote this shard; its records are read before the next attempt.
                 self._head = None
             except StoreUnavailable:
-                # The write may have taken effect: the journal tells, and the index then shows it.
+                # The write may have taken effect. The journal is read again, and if it holds the
+                # claims, they are answered from the index.
                 self._head = None
                 self._drop_abandoned()
                 await asyncio.sleep(self._backoff.pause())
@@ -156,10 +162,13 @@
         await self._expire()
 
     def _settle(self, pending: _Pending, made: dict[bytes, Claim]) -> bool:
-        """Answer ``pending`` if the index decides it; say whether nothing is to be written now."""
+        """Answer ``pending`` if the index decides it; return True if nothing must be written now.
+
+        ``made`` holds the claims that are already part of the batch, by key.
+        """
         claim = pending.claim
         if claim.key in made:
-            # Another claim of the key is in this batch; this one is decided after it.
+            # The batch has another claim of this key. This one is decided after it was written.
             return True
         known = self._index.get(claim.key)
         standing = known[1] if known else None
@@ -189,7 +198,7 @@
 
     def _enter(self, records) -> None:
         for record in records:
-            # Records come in the order of the journal, so that the last one of a key stands.
+            # Records are in the order of the journal: the last one of a key is in force.
             at, claim = _from_record(record)
             self._index[claim.key] = (at, claim)
 
@@ -207,7 +216,7 @@
                 del self._index[key]
 
     def _drop_abandoned(self) -> None:
-        # Those who asked have given up by a timeout of their own, which cancels the answer.
+        # A requester that gave up by its own timeout has cancelled the future of the answer.
         self._pending = [pending for pending in self._pending if not pending.answer.done()]
 
 
--- a/railsail/store/freshness.py
+++ b/railsail/store/freshness.py
@@ -1,8 +1,8 @@
-"""How old what a node holds of the store's objects may be, by kind.
+"""How outdated a node's copy of the store's objects can be, by kind.
 
-A call that the store answered proves that its caller held all changes of a kind up to a version,
-and when. The age of the newest proof bounds how long ago a change can have been made that the node
-does not know.
+A call that the store answered proves that the caller had all changes of a kind up to a version at
+a given time. A change that this node does not have yet was made after that time, so that the age of
+the newest proof bounds how outdated the copy is.
 """
 
 from collections.abc import Callable
@@ -11,9 +11,9 @@
 
 
 class Proof(msgspec.Struct, frozen=True):
-    """That all changes of ``kind`` up to the store's ``version`` are held.
+    """Proof that a node has all changes of ``kind`` up to the store's ``version``.
 
-    That version was the store's newest one at ``at``, in seconds of the monotonic clock.
+    That was the newest version at ``at``, in seconds of the monotonic clock.
     """
 
     kind: str
@@ -22,7 +22,7 @@
 
 
 class Freshness:
-    """Keep the newest proof of each kind."""
+    """The newest proof of each kind."""
 
     def __init__(self, monotonic: Callable[[], float]) -> None:
         self._monotonic = monotonic
@@ -30,23 +30,24 @@
         self._listeners: list[Callable[[Proof], None]] = []
 
     def on_read(self, listener: Callable[[Proof], None]) -> None:
-        """Call ``listener`` with each proof that this node has from the store itself."""
+        """Call ``listener`` with each new proof that this node got from the store itself."""
         self._listeners.append(listener)
 
     def now(self) -> float:
-        """Return the time by which proofs are told."""
+        """Return the time, by the clock of proofs."""
         return self._monotonic()
 
     def read(self, proof: Proof) -> None:
-        """Keep a proof that this node has from the store itself."""
+        """Record a proof that this node got from the store itself, and notify the listeners."""
         if self.take(proof):
             for listener in self._listeners:
                 listener(proof)
 
     def take(self, proof: Proof) -> bool:
-        """Keep ``proof`` if it is newer than the one known, and say whether it is.
+        """Record ``proof`` if it is newer than the recorded one; return True if it is.
 
-        A later proof of an earlier version comes from a reader of an older copy of the store.
+        A later proof of a lower version is ignored: it comes from a node that read an outdated
+        copy of the store.
         """
         known = self._proofs.get(proof.kind)
         if known is not None and (proof.at <= known.at or proof.version < known.version):
@@ -59,15 +60,15 @@
         return list(self._proofs.values())
 
     def ages(self) -> dict[str, float]:
-        """Return the ages of the newest proofs in seconds, by kind."""
+        """Return the age of the newest proof of each kind in seconds."""
         return {kind: self.age(kind) for kind in self._proofs}
 
     def age(self, kind: str) -> float:
-        """Return the age of the newest proof in seconds, infinite where there is none."""
+        """Return the age of the newest proof of ``kind`` in seconds, infinite if there is none."""
         known = self._proofs.get(kind)
         return float("inf") if known is None else self._monotonic() - known.at
 
     def version(self, kind: str) -> int:
-        """Return the store's version up to which all changes are held, 0 where none is proved."""
+        """Return the version of the newest proof of ``kind``, 0 if there is none."""
         known = self._proofs.get(kind)
         return 0 if known is None else known.version
--- a/railsail/store/http.py
+++ b/railsail/store/http.py
@@ -1,6 +1,6 @@
 """The client of the platform's object API over HTTP and JSON.
 
-The protocol is met in this module only; ``docs/ref/store-api.md`` describes it.
+No other module depends on this protocol. ``docs/ref/store-api.md`` describes it.
 """
 
 import json
@@ -22,7 +22,10 @@
 
 @STORES.register("http")
 class HttpStore:
-    """Speak to one of several endpoints; each call is made once, and the caller decides on more."""
+    """A store client that sends each call once, to one of several endpoints at random.
+
+    Retries are up to the caller.
+    """
 
     watches_many = True
 
@@ -32,7 +35,7 @@
         self._calls = StoreCalls(metrics, CALL_SECONDS, MOST_BYTES)
 
     async def get(self, kind: str, name: str) -> StoredObject | None:
-        """Return an object, or ``None`` if there is none."""
+        """Return an object, or ``None`` if it does not exist."""
         response = await self._call("get", "GET", f"/v1/objects/{quote(kind)}/{quote(name)}")
         if response.code == NOT_FOUND:
             return None
@@ -64,7 +67,7 @@
         await self._call("delete", "DELETE", path)
 
     async def watch(self, kinds: tuple[str, ...], since: int, seconds: float) -> WatchResult:
-        """Wait at most ``seconds`` for changes of ``kinds`` after version ``since``."""
+        """Return changes of ``kinds`` after version ``since``; wait at most ``seconds`` for one."""
         path = f"/v1/watch?kinds={quote(','.join(kinds))}&since={since}&seconds={seconds:g}"
         response = await self._call("watch", "GET", path, waits=seconds)
         if response.code == GONE:
--- a/railsail/store/journal.py
+++ b/railsail/store/journal.py
@@ -1,11 +1,12 @@
-"""A journal in the store: one object that holds the newest records, and archived parts.
+"""A journal in the store: a head object with the newest records, and parts with archived ones.
 
-All records go through conditional updates of the one head object, whose versions only rise, so
-that a writer that was paused cannot add to an old state: its update is refused. Positions are
-counted from 0 and never given twice. A part holds ``part_size`` records from a multiple of that
-on, so that whoever writes one writes the same, and the head need not list them.
+Records are appended by conditional updates of the head object. Its version only rises, so that the
+update of a writer that was paused in between is refused. Records are numbered from 0, and no number
+is reused. Part N holds the ``part_size`` records from number N * ``part_size`` on: every writer
+that archives it writes the same value, and the head need not list the parts.
 
-The head: ``{"next": position, "first": number of the oldest part, "tail": [record, ...]}``.
+The value of the head object is
+``{"next": number of the next record, "first": number of the oldest part, "tail": [record, ...]}``.
 """
 
 import contextlib
@@ -20,7 +21,11 @@
 
 @dataclass(frozen=True)
 class Head:
-    """The head object at the store's ``version``, 0 if there is none yet."""
+    """The head object at the store's ``version``, which is 0 if it does not exist yet.
+
+    ``next`` is the number of the next record, ``first`` that of the oldest part that is kept, and
+    ``tail`` has the records that are not archived.
+    """
 
     version: int = 0
     next: int = 0
@@ -29,15 +34,16 @@
 
     @property
     def tail_start(self) -> int:
-        """Return the position of the first record of the tail."""
+        """Return the number of the first record of the tail."""
         return self.next - len(self.tail)
 
 
 class Journal:
-    """Read and add to one journal.
+    """A client of one journal.
 
-    It makes each call once and raises what the store raises. After ``StoreUnavailable`` from
-    ``append`` the records may have been added: read the head and look for them.
+    Each call of the store is made once, and its errors are raised to the caller. If ``append``
+    raises ``StoreUnavailable``, the records may have been added nevertheless: read the head and
+    search for them.
     """
 
     def __init__(self, store: Store, kind: str, name: str, part_size: int) -> None:
@@ -47,7 +53,7 @@
         self._part_size = part_size
 
     async def read_head(self) -> Head:
-        """Return the head as it is now."""
+        """Read the head from the store."""
         stored = await self._store.get(self._kind, self._name)
         return head_of(stored.version, stored.value) if stored else Head()
 
@@ -56,14 +62,15 @@
         return range(head.first, head.tail_start // self._part_size)
 
     async def read_part(self, number: int) -> tuple[Record, ...]:
-        """Return the records of an archived part; none if it was deleted meanwhile."""
+        """Return the records of an archived part, none if it was deleted in the meantime."""
         stored = await self._store.get(self._kind, self._part_name(number))
         return tuple(stored.value["records"]) if stored else ()
 
     async def append(self, head: Head, records: list[Record]) -> Head:
-        """Add ``records`` after ``head`` and return the new head.
+        """Append ``records`` to the journal and return the new head.
 
-        Raise ``StoreConflict`` if the journal has changed since ``head`` was read.
+        Full parts are archived before. Raise ``StoreConflict`` if the journal has changed since
+        ``head`` was read.
         """
         while len(head.tail) >= self._part_size:
             head = await self._archive(head)
@@ -84,8 +91,7 @@
     async def _archive(self, head: Head) -> Head:
         number = head.tail_start // self._part_size
         value = {"records": list(head.tail[: self._part_size])}
-        # A conflict means that the part was archived before, by a writer that then did not get to
-        # write the head.
+        # A conflict means that a writer archived the part and then failed to write the head.
         with contextlib.suppress(StoreConflict):
             await self._store.put(self._kind, self._part_name(number), value, 0)
         return replace(head, tail=head.tail[self._part_size :])
@@ -102,12 +108,16 @@
 
 
 def head_of(version: int, value: dict[str, object]) -> Head:
-    """Return the head that ``value`` describes."""
+    """Return the head that is stored as ``value``."""
     return Head(version, value["next"], value["first"], tuple(value["tail"]))
 
 
 class Backoff:
-    """Give growing pauses with full jitter, in seconds."""
+    """Exponential backoff with jitter; times are in seconds.
+
+    Each delay is sampled between half and all of a bound, which doubles with each attempt up to
+    ``most``. The first delay is between ``first`` and twice as much.
+    """
 
     def __init__(self, rng: random.Random, first: float, most: float) -> None:
         self._rng = rng
@@ -116,11 +126,11 @@
         self._tries = 0
 
     def pause(self) -> float:
-        """Return the next pause."""
+        """Return the next delay."""
         self._tries += 1
         ceiling = min(self._most, self._first * 2**self._tries)
         return self._rng.uniform(ceiling / 2, ceiling)
 
     def reset(self) -> None:
-        """Begin with short pauses again."""
+        """Restart with the shortest delay."""
         self._tries = 0
--- a/railsail/store/proofs.py
+++ b/railsail/store/proofs.py
@@ -1,8 +1,9 @@
-"""Tell peers what was proved of the store, so that the few that read it are known to do so.
+"""Exchange of proofs between peers, which shows all nodes that some node reads the store.
 
-A proof goes over the neighbours as changes do, on the same links and after them, so that whoever
-has it from a peer holds what that peer held. Where a link is new, what came before it is missing:
-of the configuration that shows at once, by its version.
+Proofs are forwarded from neighbour to neighbour on the same links as changes, and after them. A
+node that receives a proof has therefore received all changes that its sender had. A new link is the
+exception, since what was sent before is missing there. For the configuration this is detected by
+its version, which each message names.
 """
 
 import asyncio
@@ -16,16 +17,19 @@
 from railsail.peers.records import ProofRecord
 from railsail.store.freshness import Freshness, Proof
 
-# A neighbour is told what is newer by this part of the longest wait of a watch than what it has.
+# A neighbour is sent the proofs of this node again once one is newer than its own by this share of
+# the maximum wait of a watch.
 TELL_SHARE = 0.3
-# Proofs of several kinds, and from several neighbours, come together; they are waited for so long.
+# Proofs of several kinds, or from several neighbours, arrive together. They are collected for this
+# time and sent in one message.
 MERGE_SECONDS = 0.02
 
 
 class ProofExchange:
-    """Tell and hear proofs; ``configuration`` is the kind that ``version`` is about.
+    """Send the newest proofs to neighbours, and record those that they send.
 
-    ``seconds`` gives the longest wait of a watch of a kind.
+    ``seconds`` returns the maximum wait of a watch of a kind, in seconds. ``version`` returns the
+    version of the active configuration, whose kind is ``configuration``.
     """
 
     def __init__(
@@ -43,9 +47,10 @@
         self._version = version
         self._neighbours = neighbours
         self._hub = hub
-        # When what each neighbour is known to hold was all, by kind.
+        # By neighbour and kind: the time of the newest proof that it has, as far as known here.
         self._known: defaultdict[str, dict[str, float]] = defaultdict(dict)
-        # By neighbour, the least seconds between its clock and ours that news have shown.
+        # By neighbour: the lowest difference in seconds between the time at which one of its
+        # messages arrived by our clock and the time at which it was sent by its clock.
         self._least_difference: dict[str, float] = {}
         self._timer: asyncio.TimerHandle | None = None
         freshness.on_read(lambda proof: self._tell_soon())
@@ -54,8 +59,8 @@
         hub.on_down(self._forget)
 
     def _link_up(self, peer: Identity) -> None:
-        # What was queued on a link that ended is lost. What comes first on a new one comes at once,
-        # and shows what comes later than it should.
+        # What was queued on the former link is lost, so that the neighbour may lack our proofs. The
+        # first message on the new link arrives without delay, and is the reference for later ones.
         self._forget(peer.node)
         self._tell_soon()
 
@@ -75,9 +80,9 @@
             self._tell_soon()
 
     def _seconds_held_up(self, node: str, news: ProofNews) -> float:
-        """Return how much longer ``news`` were on their way than the fastest ones of ``node``.
+        """Return how many seconds longer ``news`` took than the fastest message of ``node``.
 
-        A link that is cut for a while delivers what was sent before, which is old by then.
+        A link that was cut delivers late what was sent before the cut.
         """
         difference = self._freshness.now() - news.sent / 1000
         least = min(difference, self._least_difference.get(node, difference))
--- a/railsail/store/versions.py
+++ b/railsail/store/versions.py
@@ -1,9 +1,10 @@
-"""Versions of a store that may come back from an older copy.
+"""Versions of objects in a store that may be restored from an older copy.
 
-A store gives each change a revision. When it comes back from a copy, revisions go back and are
-given out again, and it tells by a number, its era, that this has happened. A version joins both, so
-that all that is read in a later era is newer than all that was read before, on every node and in
-every message: records merge by versions, and an older one loses.
+The store numbers its changes by revisions. A restore sets the revision back to that of the copy, so
+that the same revisions are used again; the store reports by a number, its generation, how often
+that has happened. A version combines the generation and the revision. All that was read after a
+restore therefore has a higher version than all that was read before, on every node and in every
+message, and wins where records are merged.
 """
 
 # Bits of a version that hold the revision: 35 years at a thousand changes a second.
@@ -12,15 +13,15 @@
 
 
 def to_version(era: int, revision: int) -> int:
-    """Return the version of ``revision`` in ``era``; eras count from 0."""
+    """Return the version of ``revision`` in the store generation ``era``, which counts from 0."""
     return era * _REVISIONS + revision
 
 
 def era_of(version: int) -> int:
-    """Return the era in which ``version`` was given."""
+    """Return the store generation of ``version``."""
     return version // _REVISIONS
 
 
 def revision_of(version: int) -> int:
-    """Return the store's own revision of ``version``."""
+    """Return the revision of ``version`` within its store generation."""
     return version % _REVISIONS
--- a/railsail/store/watcher.py
+++ b/railsail/store/watcher.py
@@ -1,9 +1,9 @@
-"""Follow kinds of objects in the store: a watch on a few nodes, a slow list on all.
+"""Reads kinds of objects from the store: by watches on a few nodes, by rare listings on all.
 
-A watch may end, skip or repeat; versions of single objects and the slow list make up for it. The
-few that watch are named by hashing over the members, so that the store's calls do not grow with
-the fleet; the others hear of changes from their peers, and list ten times more seldom, since lists
-are long.
+A watch may fail, miss changes or return them twice; the versions of the objects and the listings
+make up for that. The few nodes that watch are chosen by hashing over the members, so that the load
+of the store does not grow with the fleet. The other nodes receive changes from their peers. They
+list ten times more rarely, because listings are large.
 """
 
 import asyncio
@@ -24,21 +24,23 @@
 
 LIST_SECONDS = 60.0
 LIST_SECONDS_OF_OTHERS = 600.0
-# A node that is cut off from its peers begins to watch within this time; to look costs nothing.
+# How often a node that does not watch checks whether it should. The check makes no call.
 LOOK_SECONDS = 0.5
 LEAST_LOOK_SECONDS = 0.01
-# A node that begins to read learns so soon whether there is anything new.
+# Maximum wait of the first watch after a node started to read, which so learns at once whether
+# there are changes.
 FIRST_WAIT_SECONDS = 0.05
-# A watch waits for this part of its longest time at least.
+# A watch waits for a random share of its maximum wait, at least this one.
 LEAST_WAIT_SHARE = 0.25
-# A node that starts hears of the others within this time, and takes itself for one of the few that
-# watch until then.
+# Time in which a node that starts learns of the other members. Until then it would choose itself as
+# one of the few that watch.
 LEARN_MEMBERS_SECONDS = 1.0
-# A store that has forgotten its history may do so again and again; lists are dear.
+# Minimum delay before the next listing. A store that does not keep its history would be listed
+# again and again, and listings are expensive.
 RELIST_SECONDS = 0.3
-# Changes come in groups, as when replicas start or are replaced. A watch that has ended is made
-# anew so many seconds later, and gets the rest of its group with one call; a replica that leaves
-# serves on for seconds.
+# Delay between two watches. Changes come in groups, such as when replicas start or are replaced:
+# the next watch returns the rest of the group in one call. The delay does no harm, because a
+# replica that is leaving continues to serve for seconds.
 GATHER_SECONDS = 0.1
 FIRST_PAUSE_SECONDS = 0.25
 MOST_PAUSE_SECONDS = 10.0
@@ -50,7 +52,11 @@
 
 
 class StoreWatcher:
-    """List and watch the kinds that were asked for, and hand the objects to their listeners."""
+    """Reads the kinds that are followed, and calls their listeners.
+
+    ``watches`` returns True if this node is one of the few that watch, and ``size`` returns the
+    number of members. A watch waits ``watch_seconds`` at most.
+    """
 
     def __init__(
         self,
@@ -75,10 +81,10 @@
         self._seen: dict[str, Seen] = {}
         self._holds: dict[str, Callable[[], bool]] = {}
         self._answered: dict[str, bool] = {}
-        # By kind, whether its last listing may lack objects that are written again in a moment.
         self._absences: defaultdict[str, StoreAbsence] = defaultdict(StoreAbsence)
+        # Kinds whose last listing may lack objects that are about to be written again.
         self._unsettled: set[str] = set()
-        # By the kinds of a watch, when this node reads them though others are to.
+        # By the kinds of a watch: when this node reads them in place of the nodes that watch.
         self._standby: dict[tuple[str, ...], Standby] = {}
         self._rest = StandbyRest(watch_seconds, rng)
         self.reachable = False
@@ -87,7 +93,7 @@
 
     @property
     def era(self) -> int:
-        """Return the latest era of the store that a listing told."""
+        """Return the latest store generation that a listing had."""
         return max((absence.era for absence in self._absences.values()), default=0)
 
     def follow(
@@ -99,11 +105,12 @@
         seconds: float = 0.0,
         holds: Callable[[], bool] = lambda: True,
     ) -> None:
-        """Call ``listed`` with every listing of ``kind``, and ``seen`` with single changes.
+        """Call ``listed`` with every listing of ``kind``, and ``seen`` with each change.
 
-        With ``name``, only the object of that name is read, and other changes are passed on unread.
-        A watch of this kind lasts ``seconds``, 0 for as long as those of other kinds. Where
-        ``holds`` is false, the listeners have not taken in all that they were told yet.
+        With ``name``, a listing has only the object of that name; ``seen`` still gets the changes
+        of all objects of the kind. A watch of this kind waits ``seconds`` at most, and as long as
+        those of other kinds if that is 0. ``holds`` returns False while the listeners have not
+        applied all that they received, and nothing is proved in that time.
         """
         self._seconds[kind] = seconds or self._watch_seconds
         self._listed[kind] = listed
@@ -112,7 +119,7 @@
         self._holds[kind] = holds
 
     async def run(self) -> None:
-        """Follow the store until cancelled."""
+        """Read the store until cancelled."""
         self._started_at = asyncio.get_running_loop().time()
         kinds = tuple(self._listed)
         groups = [kinds] if self._store.watches_many else [(kind,) for kind in kinds]
@@ -143,11 +150,11 @@
                 stored = await self._store.get(kind, self._names[kind])
                 self._absences[kind].ended()
                 self._tell(kind, listed, Listing(0, (stored,) if stored else ()))
-                # The store's own version is not told with one object.
+                # The answer for a single object does not name the store's version.
                 known = self._freshness.version(kind)
                 self._prove(kind, max(known, stored.version if stored else 0), asked_at)
                 if stored is not None and len(kinds) == 1:
-                    # Nothing else is followed here, so that its own last change is a beginning.
+                    # No other objects are watched, so that the watch can start from its version.
                     versions.append(stored.version)
                 continue
             listing = await self._store.list(kind)
@@ -157,9 +164,10 @@
         return min(versions, default=0)
 
     def _true_at(self, result: WatchResult, asked_at: float, waits: float) -> float:
-        """Return a time at which the store had no newer version than that of the answer.
+        """Return a time at which the store had no newer version than that of ``result``.
 
-        A store that has changes answers at once, however late that comes; without any it waits.
+        A store that has changes answers at once, although the answer may arrive late. Without
+        changes it answers after ``waits`` seconds, during which there was no change.
         """
         if result.events:
             return asked_at
@@ -178,18 +186,19 @@
         return True
 
     async def _follow_from(self, kinds: tuple[str, ...], version: int) -> None:
-        # Jitter keeps the nodes of a fleet from listing in step.
+        # Jitter prevents that all nodes of a fleet list at the same time.
         loop = asyncio.get_running_loop()
         begun = loop.time()
         share = self._rng.uniform(0.75, 1.25)
         await self._learn_members()
-        # A first short watch proves what was listed a while ago, before others run out of patience.
+        # The first watch is short. It renews the proof of the listing, which is a while old by now,
+        # before other nodes start to read because their proofs are too old.
         follows = False
         while (left := begun + self._list_seconds(kinds, share) - loop.time()) > 0:
             if not self._reads(kinds):
                 follows = False
                 if self._standby[kinds].seconds_left(self._age(kinds)):
-                    # Peers have read the store since, and listed it where that was needed.
+                    # Peers have read the store in the meantime, and have listed it if necessary.
                     self._end_absence(kinds)
                 await asyncio.sleep(self._look_seconds(kinds))
                 continue
@@ -202,7 +211,8 @@
             except StoreUnavailable as problem:
                 if self._watches():
                     raise
-                # Lists are dear, and those that watch may tell again before the store answers here.
+                # No new listing: it is expensive, and the nodes that watch may send proofs again
+                # before the store answers here.
                 self._note(kinds, False, str(problem))
                 self._rest.failed(self._freshness.now())
                 continue
@@ -223,7 +233,8 @@
             return result
         now = asyncio.get_running_loop().time()
         if any(self._absences[kind].lapsed(now) for kind in kinds):
-            # It would tell that lapsed objects are gone; a list waits until they are written again.
+            # Its events include the deletions of objects that expired during the outage. They are
+            # ignored: the objects are listed instead, once their writers have written them again.
             return replace(result, expired=True)
         self._end_absence(kinds)
         for event in result.events:
@@ -237,26 +248,30 @@
             self._absences[kind].ended()
 
     def _reads(self, kinds: tuple[str, ...]) -> bool:
-        """Say whether this node reads ``kinds`` now, as one of the few or since they are silent."""
+        """Return True if this node should read ``kinds`` now.
+
+        It is one of the few that watch, or their proofs do not arrive.
+        """
         if self._watches():
             return True
-        # Those that are to read may be unable to, or to tell, and not know it: a node that counted
-        # on them without a proof would go on with old routes, keys and replicas.
+        # The nodes that watch may be unable to read the store or to reach their peers without
+        # noticing. A node that relied on them without a proof would continue with outdated routes,
+        # keys and replicas.
         now = self._freshness.now()
         if self._rest.seconds_left(now):
             return False
         return self._standby[kinds].reads(self._age(kinds), now)
 
     def _first_version(self, kinds: tuple[str, ...], version: int) -> int:
-        """Return from which version to watch, where this node has watched ``kinds`` to ``version``.
+        """Return the version from which to watch, if this node itself has read up to ``version``.
 
-        A node that read nothing was told all changes up to what its peers proved.
+        A node that does not read has received all changes up to the versions that peers proved.
         """
         if self._watches():
             return version
         self._events.emit(
             Kind.STORE,
-            "read here, since nobody tells that it is read",
+            "this node starts to read: no proofs arrive from the nodes that watch",
             kinds=" ".join(kinds),
             proof_age_ms=round(self._age(kinds) * 1000),
         )
@@ -271,23 +286,27 @@
         return min(LOOK_SECONDS, max(LEAST_LOOK_SECONDS, left))
 
     def longest_wait(self, kind: str) -> float:
-        """Return how many seconds a watch of ``kind`` waits at most."""
+        """Return the maximum wait of a watch of ``kind`` in seconds."""
         return self._seconds.get(kind, self._watch_seconds)
 
     def _longest_wait(self, kinds: tuple[str, ...]) -> float:
         return min(self.longest_wait(kind) for kind in kinds)
 
     def _wait_seconds(self, kinds: tuple[str, ...]) -> float:
-        """Return how long the next watch waits.
+        """Return the maximum wait of the next watch, a random share of the configured one.
 
-        Nodes whose watches all ended with one change would prove what they hold at the same times.
+        One change ends the watches of all nodes at once. With equal waits they would get their next
+        proofs at the same time as well.
         """
         return self._rng.uniform(LEAST_WAIT_SHARE, 1.0) * self._longest_wait(kinds)
 
     async def _noting_absence(
         self, kinds: tuple[str, ...], call: Awaitable[R], waits: float = 0.0
     ) -> R:
-        """Return what ``call`` does, which waits by its own wish; note it if the store is away."""
+        """Return the result of ``call``, and record a failure as a possible outage.
+
+        The call lets the store delay the answer by ``waits`` seconds.
+        """
         loop = asyncio.get_running_loop()
         asked_at = loop.time()
         try:
@@ -301,17 +320,21 @@
         try:
             listener(news)
         except Exception:
-            # One object that its listener cannot take must not end the watch at node after node.
-            get_logger().exception("objects not taken in", kind=kind)
+            # A listener that fails on one object must not end the watch on one node after another.
+            get_logger().exception("listener of the store failed", kind=kind)
 
     async def _learn_members(self) -> None:
-        # Who watches follows from the members, and a node that starts knows none yet.
+        # The nodes that watch are chosen among the members, and a node that starts knows none yet.
         left = self._started_at + LEARN_MEMBERS_SECONDS - asyncio.get_running_loop().time()
         if left > 0:
             await asyncio.sleep(left)
 
     def _list_seconds(self, kinds: tuple[str, ...], share: float) -> float:
-        """Return how long after a listing the next one is due, by whether this node watches now."""
+        """Return how many seconds after a listing the next one is due.
+
+        Nodes that do not watch list more rarely. A listing that may lack objects is repeated soon
+        by the nodes that read.
+        """
         watches = self._watches()
         reads = watches or self._standby[kinds].reading(self._freshness.now())
         if reads and self._unsettled & set(kinds):
@@ -330,5 +353,5 @@
 
 
 def as_event(stored: StoredObject) -> WatchEvent:
-    """Return a listed object as the event of its last change."""
+    """Return the event of the last change of a listed object."""
     return WatchEvent(stored.kind, stored.name, stored.version, stored.value)
