--- a/railsail/store/watcher.py
+++ b/railsail/store/watcher.py
@@ -16,10 +16,10 @@
 from railsail.core.events import EventLog, Kind
 from railsail.core.exceptions import StoreUnavailable
 from railsail.core.logs import get_logger
-from railsail.store.absence import RETURN_SECONDS, StoreAbsence
 from railsail.store.base import Listing, Store, StoredObject, WatchEvent, WatchResult
 from railsail.store.freshness import Freshness, Proof
 from railsail.store.journal import Backoff
+from railsail.store.outage import RETURN_SECONDS, StoreAbsence
 from railsail.store.standby import Standby, StandbyRest
 
 LIST_SECONDS = 60.0
--- a/tests/store/test_versions.py
+++ b/tests/store/test_versions.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from railsail.store.absence import LAPSE_SECONDS, StoreAbsence
+from railsail.store.outage import LAPSE_SECONDS, StoreAbsence
 from railsail.store.versions import era_of, revision_of, to_version
 
 
--- a/tests/store/test_watcher.py
+++ b/tests/store/test_watcher.py
@@ -10,7 +10,7 @@
 from railsail.core.clock import Clock, steady_seconds
 from railsail.core.events import EventLog
 from railsail.core.exceptions import StoreUnavailable
-from railsail.store import absence as absence_module
+from railsail.store import outage as outage_module
 from railsail.store import standby as standby_module
 from railsail.store import watcher as watcher_module
 from railsail.store.base import Listing, WatchEvent, WatchResult
@@ -224,7 +224,7 @@
     async def test_deletion_of_objects_that_expired_during_an_outage_is_ignored(self):
         """The objects are listed instead, once their writers have written them again."""
         self.start(self.WATCH_SECONDS)
-        self.hold(mock.patch.object(absence_module, "LAPSE_SECONDS", self.WATCH_SECONDS))
+        self.hold(mock.patch.object(outage_module, "LAPSE_SECONDS", self.WATCH_SECONDS))
         self.store.events = (WatchEvent(KIND, "r1", 5, None),)
         self.store.down = True
         await self.until(lambda: self.store.since)
