--- a/railsail/store/calls.py
+++ b/railsail/store/calls.py
@@ -39,11 +39,11 @@
         method: str,
         url: str,
         body: str | bytes | None = None,
-        waits: float = 0.0,
+        max_wait: float = 0.0,
     ) -> HTTPResponse:
         """Call the store and return the response.
 
-        The store may delay the answer by ``waits`` seconds, which extends the timeout. A GET also
+        The store may delay the answer by ``max_wait`` seconds, which extends the timeout. A GET also
         returns responses of status 404 and 410. Raise ``StoreConflict`` on status 409, and
         ``StoreUnavailable`` on any other failure. No call is made before the time that the endpoint
         named in a ``Retry-After``; this raises ``StoreUnavailable`` too.
@@ -58,7 +58,7 @@
             body=body,
             headers={"Content-Type": "application/json"} if body else None,
             connect_timeout=CONNECT_SECONDS,
-            request_timeout=self._seconds + waits,
+            request_timeout=self._seconds + max_wait,
             follow_redirects=False,
         )
         try:
--- a/railsail/store/http.py
+++ b/railsail/store/http.py
@@ -69,7 +69,7 @@
     async def watch(self, kinds: tuple[str, ...], since: int, seconds: float) -> WatchResult:
         """Return changes of ``kinds`` after version ``since``; wait at most ``seconds`` for one."""
         path = f"/v1/watch?kinds={quote(','.join(kinds))}&since={since}&seconds={seconds:g}"
-        response = await self._call("watch", "GET", path, waits=seconds)
+        response = await self._call("watch", "GET", path, max_wait=seconds)
         if response.code == GONE:
             return WatchResult(since, (), expired=True)
         body = _body(response)
@@ -81,10 +81,10 @@
         method: str,
         path: str,
         body: str | None = None,
-        waits: float = 0.0,
+        max_wait: float = 0.0,
     ) -> HTTPResponse:
         endpoint = self._rng.choice(self._endpoints)
-        return await self._calls.call(operation, method, f"http://{endpoint}{path}", body, waits)
+        return await self._calls.call(operation, method, f"http://{endpoint}{path}", body, max_wait)
 
 
 def _body(response: HTTPResponse) -> dict:
--- a/railsail/store/versions.py
+++ b/railsail/store/versions.py
@@ -12,9 +12,9 @@
 _REVISIONS = 1 << REVISION_BITS
 
 
-def to_version(era: int, revision: int) -> int:
-    """Return the version of ``revision`` in the store generation ``era``, which counts from 0."""
-    return era * _REVISIONS + revision
+def to_version(generation: int, revision: int) -> int:
+    """Return the version of ``revision`` in a store ``generation``, counted from 0."""
+    return generation * _REVISIONS + revision
 
 
 def era_of(version: int) -> int:
--- a/railsail/store/watcher.py
+++ b/railsail/store/watcher.py
@@ -19,7 +19,7 @@
 from railsail.store.base import Listing, Store, StoredObject, WatchEvent, WatchResult
 from railsail.store.freshness import Freshness, Proof
 from railsail.store.journal import Backoff
-from railsail.store.outage import RETURN_SECONDS, StoreAbsence
+from railsail.store.outage import REWRITE_SECONDS, StoreOutage
 from railsail.store.standby import Standby, StandbyRest
 
 LIST_SECONDS = 60.0
@@ -81,7 +81,7 @@
         self._seen: dict[str, Seen] = {}
         self._holds: dict[str, Callable[[], bool]] = {}
         self._answered: dict[str, bool] = {}
-        self._absences: defaultdict[str, StoreAbsence] = defaultdict(StoreAbsence)
+        self._outages: defaultdict[str, StoreOutage] = defaultdict(StoreOutage)
         # Kinds whose last listing may lack objects that are about to be written again.
         self._unsettled: set[str] = set()
         # By the kinds of a watch: when this node reads them in place of the nodes that watch.
@@ -94,7 +94,7 @@
     @property
     def era(self) -> int:
         """Return the latest store generation that a listing had."""
-        return max((absence.era for absence in self._absences.values()), default=0)
+        return max((outage.generation for outage in self._outages.values()), default=0)
 
     def follow(
         self,
@@ -148,7 +148,7 @@
             asked_at = self._freshness.now()
             if self._names[kind]:
                 stored = await self._store.get(kind, self._names[kind])
-                self._absences[kind].ended()
+                self._outages[kind].end()
                 self._tell(kind, listed, Listing(0, (stored,) if stored else ()))
                 # The answer for a single object does not name the store's version.
                 known = self._freshness.version(kind)
@@ -179,7 +179,7 @@
 
     def _settles(self, kind: str, listing: Listing) -> bool:
         now = asyncio.get_running_loop().time()
-        if self._absences[kind].answered(listing.version, now):
+        if self._outages[kind].record_listing(listing.version, now):
             self._unsettled.add(kind)
             return False
         self._unsettled.discard(kind)
@@ -232,7 +232,7 @@
         if result.expired:
             return result
         now = asyncio.get_running_loop().time()
-        if any(self._absences[kind].lapsed(now) for kind in kinds):
+        if any(self._outages[kind].objects_expired(now) for kind in kinds):
             # Its events include the deletions of objects that expired during the outage. They are
             # ignored: the objects are listed instead, once their writers have written them again.
             return replace(result, expired=True)
@@ -245,7 +245,7 @@
 
     def _end_absence(self, kinds: tuple[str, ...]) -> None:
         for kind in kinds:
-            self._absences[kind].ended()
+            self._outages[kind].end()
 
     def _reads(self, kinds: tuple[str, ...]) -> bool:
         """Return True if this node should read ``kinds`` now.
@@ -313,7 +313,7 @@
             return await call
         except StoreUnavailable:
             for kind in kinds:
-                self._absences[kind].failed(asked_at, loop.time(), waits)
+                self._outages[kind].record_failure(asked_at, loop.time(), waits)
             raise
 
     def _tell(self, kind: str, listener: Callable[[T], None], news: T) -> None:
@@ -338,7 +338,7 @@
         watches = self._watches()
         reads = watches or self._standby[kinds].reading(self._freshness.now())
         if reads and self._unsettled & set(kinds):
-            return RETURN_SECONDS
+            return REWRITE_SECONDS
         return share * (LIST_SECONDS if watches else LIST_SECONDS_OF_OTHERS)
 
     def _note(self, kinds: tuple[str, ...], answered: bool, detail: str = "") -> None:
--- a/tests/store/test_versions.py
+++ b/tests/store/test_versions.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from railsail.store.outage import LAPSE_SECONDS, StoreAbsence
+from railsail.store.outage import OBJECT_EXPIRY_SECONDS, StoreOutage
 from railsail.store.versions import era_of, revision_of, to_version
 
 
@@ -22,32 +22,32 @@
         self.assertLessEqual(to_version(999_999, (1 << 40) - 1), 1 << 62)
 
 
-class AbsenceTests(unittest.TestCase):
+class OutageTests(unittest.TestCase):
     def setUp(self):
-        self.absence = StoreAbsence()
-        self.absence.answered(5, 100.0)
+        self.outage = StoreOutage()
+        self.outage.record_listing(5, 100.0)
 
     def test_one_failed_watch_is_no_outage(self):
-        self.absence.failed(100.0, 108.0, waits=10.0)
-        self.assertFalse(self.absence.answered(6, 108.3))
+        self.outage.record_failure(100.0, 108.0, max_wait=10.0)
+        self.assertFalse(self.outage.record_listing(6, 108.3))
 
     def test_listing_after_long_failure_may_lack_objects(self):
-        self.absence.failed(100.0, 108.0, waits=10.0)
-        self.absence.failed(108.2, 109.0, waits=0.0)
-        self.assertTrue(self.absence.answered(6, 108.0 + LAPSE_SECONDS + 0.1))
+        self.outage.record_failure(100.0, 108.0, max_wait=10.0)
+        self.outage.record_failure(108.2, 109.0, max_wait=0.0)
+        self.assertTrue(self.outage.record_listing(6, 108.0 + OBJECT_EXPIRY_SECONDS + 0.1))
 
     def test_watch_that_timed_out_counts_as_outage_since_its_start(self):
-        self.absence.failed(100.0, 112.0, waits=10.0)
-        self.assertTrue(self.absence.answered(6, 112.2))
+        self.outage.record_failure(100.0, 112.0, max_wait=10.0)
+        self.assertTrue(self.outage.record_listing(6, 112.2))
 
     def test_next_listing_is_complete(self):
-        self.absence.failed(100.0, 112.0, waits=10.0)
-        self.absence.answered(6, 112.2)
-        self.assertFalse(self.absence.answered(7, 115.0))
+        self.outage.record_failure(100.0, 112.0, max_wait=10.0)
+        self.outage.record_listing(6, 112.2)
+        self.assertFalse(self.outage.record_listing(7, 115.0))
 
     def test_first_listing_of_a_new_generation_may_lack_objects(self):
-        self.assertTrue(self.absence.answered(to_version(1, 2), 101.0))
-        self.assertFalse(self.absence.answered(to_version(1, 9), 104.0))
+        self.assertTrue(self.outage.record_listing(to_version(1, 2), 101.0))
+        self.assertFalse(self.outage.record_listing(to_version(1, 9), 104.0))
 
 
 if __name__ == "__main__":
--- a/tests/store/test_watcher.py
+++ b/tests/store/test_watcher.py
@@ -224,7 +224,7 @@
     async def test_deletion_of_objects_that_expired_during_an_outage_is_ignored(self):
         """The objects are listed instead, once their writers have written them again."""
         self.start(self.WATCH_SECONDS)
-        self.hold(mock.patch.object(outage_module, "LAPSE_SECONDS", self.WATCH_SECONDS))
+        self.hold(mock.patch.object(outage_module, "OBJECT_EXPIRY_SECONDS", self.WATCH_SECONDS))
         self.store.events = (WatchEvent(KIND, "r1", 5, None),)
         self.store.down = True
         await self.until(lambda: self.store.since)
