--- a/railsail/store/calls.py
+++ b/railsail/store/calls.py
@@ -43,8 +43,8 @@
     ) -> HTTPResponse:
         """Call the store and return the response.
 
-        The store may delay the answer by ``max_wait`` seconds, which extends the timeout. A GET also
-        returns responses of status 404 and 410. Raise ``StoreConflict`` on status 409, and
+        The store may delay the answer by ``max_wait`` seconds, which extends the timeout. A GET
+        also returns responses of status 404 and 410. Raise ``StoreConflict`` on status 409, and
         ``StoreUnavailable`` on any other failure. No call is made before the time that the endpoint
         named in a ``Retry-After``; this raises ``StoreUnavailable`` too.
         """
--- a/railsail/store/watcher.py
+++ b/railsail/store/watcher.py
@@ -22,28 +22,28 @@
 from railsail.store.outage import REWRITE_SECONDS, StoreOutage
 from railsail.store.standby import Standby, StandbyRest
 
-LIST_SECONDS = 60.0
-LIST_SECONDS_OF_OTHERS = 600.0
+LIST_INTERVAL_SECONDS = 60.0
+STANDBY_LIST_INTERVAL_SECONDS = 600.0
 # How often a node that does not watch checks whether it should. The check makes no call.
-LOOK_SECONDS = 0.5
-LEAST_LOOK_SECONDS = 0.01
+MAX_CHECK_INTERVAL_SECONDS = 0.5
+MIN_CHECK_INTERVAL_SECONDS = 0.01
 # Maximum wait of the first watch after a node started to read, which so learns at once whether
 # there are changes.
-FIRST_WAIT_SECONDS = 0.05
+FIRST_WATCH_SECONDS = 0.05
 # A watch waits for a random share of its maximum wait, at least this one.
-LEAST_WAIT_SHARE = 0.25
+MIN_WAIT_SHARE = 0.25
 # Time in which a node that starts learns of the other members. Until then it would choose itself as
 # one of the few that watch.
-LEARN_MEMBERS_SECONDS = 1.0
+MEMBER_DISCOVERY_SECONDS = 1.0
 # Minimum delay before the next listing. A store that does not keep its history would be listed
 # again and again, and listings are expensive.
-RELIST_SECONDS = 0.3
+RELIST_DELAY_SECONDS = 0.3
 # Delay between two watches. Changes come in groups, such as when replicas start or are replaced:
 # the next watch returns the rest of the group in one call. The delay does no harm, because a
 # replica that is leaving continues to serve for seconds.
-GATHER_SECONDS = 0.1
-FIRST_PAUSE_SECONDS = 0.25
-MOST_PAUSE_SECONDS = 10.0
+BATCH_SECONDS = 0.1
+INITIAL_BACKOFF_SECONDS = 0.25
+MAX_BACKOFF_SECONDS = 10.0
 
 T = TypeVar("T", Listing, WatchEvent)
 R = TypeVar("R")
@@ -128,15 +128,15 @@
         await asyncio.gather(*(self._run_group(group) for group in groups))
 
     async def _run_group(self, kinds: tuple[str, ...]) -> None:
-        longest = min(MOST_PAUSE_SECONDS, self._watch_seconds)
-        backoff = Backoff(self._rng, FIRST_PAUSE_SECONDS, longest)
+        longest = min(MAX_BACKOFF_SECONDS, self._watch_seconds)
+        backoff = Backoff(self._rng, INITIAL_BACKOFF_SECONDS, longest)
         while True:
             try:
                 version = await self._noting_absence(kinds, self._list_all(kinds))
                 self._note(kinds, True)
                 backoff.reset()
                 await self._follow_from(kinds, version)
-                await asyncio.sleep(RELIST_SECONDS)
+                await asyncio.sleep(RELIST_DELAY_SECONDS)
             except StoreUnavailable as problem:
                 self._note(kinds, False, str(problem))
                 await asyncio.sleep(backoff.pause())
@@ -205,7 +205,7 @@
             waits = self._wait_seconds(kinds)
             if not follows:
                 version = self._first_version(kinds, version)
-                waits = FIRST_WAIT_SECONDS
+                waits = FIRST_WATCH_SECONDS
             try:
                 result = await self._watch(kinds, version, min(left, waits))
             except StoreUnavailable as problem:
@@ -223,7 +223,7 @@
             follows = True
             version = max(version, result.version)
             if result.events:
-                await asyncio.sleep(GATHER_SECONDS)
+                await asyncio.sleep(BATCH_SECONDS)
 
     async def _watch(self, kinds: tuple[str, ...], version: int, waits: float) -> WatchResult:
         asked_at = self._freshness.now()
@@ -283,7 +283,7 @@
     def _look_seconds(self, kinds: tuple[str, ...]) -> float:
         patience = self._standby[kinds].seconds_left(self._age(kinds))
         left = max(patience, self._rest.seconds_left(self._freshness.now()))
-        return min(LOOK_SECONDS, max(LEAST_LOOK_SECONDS, left))
+        return min(MAX_CHECK_INTERVAL_SECONDS, max(MIN_CHECK_INTERVAL_SECONDS, left))
 
     def longest_wait(self, kind: str) -> float:
         """Return the maximum wait of a watch of ``kind`` in seconds."""
@@ -298,7 +298,7 @@
         One change ends the watches of all nodes at once. With equal waits they would get their next
         proofs at the same time as well.
         """
-        return self._rng.uniform(LEAST_WAIT_SHARE, 1.0) * self._longest_wait(kinds)
+        return self._rng.uniform(MIN_WAIT_SHARE, 1.0) * self._longest_wait(kinds)
 
     async def _noting_absence(
         self, kinds: tuple[str, ...], call: Awaitable[R], waits: float = 0.0
@@ -325,7 +325,7 @@
 
     async def _learn_members(self) -> None:
         # The nodes that watch are chosen among the members, and a node that starts knows none yet.
-        left = self._started_at + LEARN_MEMBERS_SECONDS - asyncio.get_running_loop().time()
+        left = self._started_at + MEMBER_DISCOVERY_SECONDS - asyncio.get_running_loop().time()
         if left > 0:
             await asyncio.sleep(left)
 
@@ -339,7 +339,7 @@
         reads = watches or self._standby[kinds].reading(self._freshness.now())
         if reads and self._unsettled & set(kinds):
             return REWRITE_SECONDS
-        return share * (LIST_SECONDS if watches else LIST_SECONDS_OF_OTHERS)
+        return share * (LIST_INTERVAL_SECONDS if watches else STANDBY_LIST_INTERVAL_SECONDS)
 
     def _note(self, kinds: tuple[str, ...], answered: bool, detail: str = "") -> None:
         self._answered[kinds[0]] = answered
--- a/tests/platform/test_restored.py
+++ b/tests/platform/test_restored.py
@@ -138,7 +138,7 @@
         await self.until(lambda: node.hub.has_peers_below(ERAS))
         self.assertTrue(node._watches_store())
         self.store.era = 0
-        node.watcher._absences.clear()
+        node.watcher._outages.clear()
         self.assertFalse(node._watches_store())
 
     async def test_configuration_does_not_go_back(self):
--- a/tests/store/test_watcher.py
+++ b/tests/store/test_watcher.py
@@ -15,7 +15,7 @@
 from railsail.store import watcher as watcher_module
 from railsail.store.base import Listing, WatchEvent, WatchResult
 from railsail.store.freshness import Freshness, Proof
-from railsail.store.watcher import GATHER_SECONDS, StoreWatcher
+from railsail.store.watcher import BATCH_SECONDS, StoreWatcher
 
 KIND = "upstream"
 GROUP = 20
@@ -75,7 +75,7 @@
             for _ in range(10):
                 await asyncio.sleep(0)
         while len(seen) < GROUP:
-            await asyncio.sleep(GATHER_SECONDS / 10)
+            await asyncio.sleep(BATCH_SECONDS / 10)
         task.cancel()
         self.assertEqual(seen, list(range(1, GROUP + 1)))
         self.assertLess(store.watches, GROUP / 2)
@@ -91,9 +91,9 @@
         watcher = watching(store, lambda: watches, 0.05)
         watcher.follow(KIND, listings.append, lambda event: None)
         with (
-            mock.patch.object(watcher_module, "LIST_SECONDS", 1.0),
-            mock.patch.object(watcher_module, "LEARN_MEMBERS_SECONDS", 0.0),
-            mock.patch.object(watcher_module, "LOOK_SECONDS", 0.01),
+            mock.patch.object(watcher_module, "LIST_INTERVAL_SECONDS", 1.0),
+            mock.patch.object(watcher_module, "MEMBER_DISCOVERY_SECONDS", 0.0),
+            mock.patch.object(watcher_module, "MAX_CHECK_INTERVAL_SECONDS", 0.01),
         ):
             task = asyncio.ensure_future(watcher.run())
             while not store.watches:
@@ -142,7 +142,7 @@
         store = GroupStore()
         lists: list[Listing] = []
         watches = [True]
-        with mock.patch.object(watcher_module, "LEARN_MEMBERS_SECONDS", 0.05):
+        with mock.patch.object(watcher_module, "MEMBER_DISCOVERY_SECONDS", 0.05):
             watcher = watching(store, lambda: watches[0], 2.0)
             watcher.follow(KIND, lists.append, lambda event: None)
             task = asyncio.ensure_future(watcher.run())
@@ -187,7 +187,7 @@
     LONG_WATCH_SECONDS = 300.0
 
     async def asyncSetUp(self) -> None:
-        self.hold(mock.patch.object(watcher_module, "LEARN_MEMBERS_SECONDS", 0.0))
+        self.hold(mock.patch.object(watcher_module, "MEMBER_DISCOVERY_SECONDS", 0.0))
         self.hold(mock.patch.object(standby_module, "FIRST_REST_SECONDS", 0.01))
 
     def start(self, watch_seconds: float) -> None:
