--- a/railsail/store/watcher.py
+++ b/railsail/store/watcher.py
@@ -20,7 +20,7 @@
 from railsail.store.freshness import Freshness, Proof
 from railsail.store.journal import Backoff
 from railsail.store.outage import REWRITE_SECONDS, StoreOutage
-from railsail.store.standby import Standby, StandbyRest
+from railsail.store.standby import Standby, StandbyBackoff
 
 LIST_INTERVAL_SECONDS = 60.0
 STANDBY_LIST_INTERVAL_SECONDS = 600.0
@@ -86,7 +86,7 @@
         self._incomplete: set[str] = set()
         # By the kinds of a watch: when this node reads them in place of the nodes that watch.
         self._standby: dict[tuple[str, ...], Standby] = {}
-        self._backoff = StandbyRest(watch_seconds, rng)
+        self._backoff = StandbyBackoff(watch_seconds, rng)
         self.reachable = False
         self._started_at = 0.0
         self.tried = asyncio.Event()
@@ -200,7 +200,7 @@
         while (remaining := listed_at + self._list_interval(kinds, jitter) - loop.time()) > 0:
             if not self._should_read(kinds):
                 has_watched = False
-                if self._standby[kinds].seconds_left(self._proof_age(kinds)):
+                if self._standby[kinds].seconds_until_reading(self._proof_age(kinds)):
                     # Peers have read the store in the meantime, and have listed it if necessary.
                     self._end_outage(kinds)
                 await asyncio.sleep(self._check_interval(kinds))
@@ -217,12 +217,12 @@
                 # No new listing: it is expensive, and the nodes that watch may send proofs again
                 # before the store answers here.
                 self._record_reachability(kinds, False, str(problem))
-                self._backoff.failed(self._freshness.now())
+                self._backoff.record_failure(self._freshness.now())
                 continue
             if result.expired:
                 return
             self._record_reachability(kinds, True)
-            self._backoff.answered()
+            self._backoff.record_answer()
             has_watched = True
             version = max(version, result.version)
             if result.events:
@@ -265,9 +265,9 @@
         # noticing. A node that relied on them without a proof would continue with outdated routes,
         # keys and replicas.
         now = self._freshness.now()
-        if self._backoff.seconds_left(now):
+        if self._backoff.remaining_seconds(now):
             return False
-        return self._standby[kinds].reads(self._proof_age(kinds), now)
+        return self._standby[kinds].should_read(self._proof_age(kinds), now)
 
     def _start_version(self, kinds: tuple[str, ...], version: int) -> int:
         """Return the version from which to watch, if this node itself has read up to ``version``.
@@ -288,8 +288,8 @@
         return max(self._freshness.age(kind) for kind in kinds)
 
     def _check_interval(self, kinds: tuple[str, ...]) -> float:
-        until_reading = self._standby[kinds].seconds_left(self._proof_age(kinds))
-        remaining = max(until_reading, self._backoff.seconds_left(self._freshness.now()))
+        until_reading = self._standby[kinds].seconds_until_reading(self._proof_age(kinds))
+        remaining = max(until_reading, self._backoff.remaining_seconds(self._freshness.now()))
         return min(MAX_CHECK_INTERVAL_SECONDS, max(MIN_CHECK_INTERVAL_SECONDS, remaining))
 
     def longest_wait(self, kind: str) -> float:
@@ -343,7 +343,7 @@
         by the nodes that read.
         """
         watches_now = self._is_watcher()
-        reads_now = watches_now or self._standby[kinds].reading(self._freshness.now())
+        reads_now = watches_now or self._standby[kinds].is_reading(self._freshness.now())
         if reads_now and self._incomplete & set(kinds):
             return REWRITE_SECONDS
         return jitter * (LIST_INTERVAL_SECONDS if watches_now else STANDBY_LIST_INTERVAL_SECONDS)
--- a/tests/store/test_watcher.py
+++ b/tests/store/test_watcher.py
@@ -188,7 +188,7 @@
 
     async def asyncSetUp(self) -> None:
         self.hold(mock.patch.object(watcher_module, "MEMBER_DISCOVERY_SECONDS", 0.0))
-        self.hold(mock.patch.object(standby_module, "FIRST_REST_SECONDS", 0.01))
+        self.hold(mock.patch.object(standby_module, "INITIAL_BACKOFF_SECONDS", 0.01))
 
     def start(self, watch_seconds: float) -> None:
         self.store = SilentStore()
