--- a/railsail/store/freshness.py
+++ b/railsail/store/freshness.py
@@ -29,7 +29,7 @@
         self._proofs: dict[str, Proof] = {}
         self._listeners: list[Callable[[Proof], None]] = []
 
-    def on_read(self, listener: Callable[[Proof], None]) -> None:
+    def on_own_proof(self, listener: Callable[[Proof], None]) -> None:
         """Call ``listener`` with each new proof that this node got from the store itself."""
         self._listeners.append(listener)
 
@@ -37,13 +37,13 @@
         """Return the time, by the clock of proofs."""
         return self._monotonic()
 
-    def read(self, proof: Proof) -> None:
+    def record_own(self, proof: Proof) -> None:
         """Record a proof that this node got from the store itself, and notify the listeners."""
-        if self.take(proof):
+        if self.record(proof):
             for listener in self._listeners:
                 listener(proof)
 
-    def take(self, proof: Proof) -> bool:
+    def record(self, proof: Proof) -> bool:
         """Record ``proof`` if it is newer than the recorded one; return True if it is.
 
         A later proof of a lower version is ignored: it comes from a node that read an outdated
@@ -55,7 +55,7 @@
         self._proofs[proof.kind] = proof
         return True
 
-    def all(self) -> list[Proof]:
+    def proofs(self) -> list[Proof]:
         """Return the newest proof of each kind."""
         return list(self._proofs.values())
 
--- a/railsail/store/proofs.py
+++ b/railsail/store/proofs.py
@@ -19,41 +19,42 @@
 
 # A neighbour is sent the proofs of this node again once one is newer than its own by this share of
 # the maximum wait of a watch.
-TELL_SHARE = 0.3
+RESEND_SHARE = 0.3
 # Proofs of several kinds, or from several neighbours, arrive together. They are collected for this
 # time and sent in one message.
-MERGE_SECONDS = 0.02
+BATCH_SECONDS = 0.02
 
 
 class ProofExchange:
     """Send the newest proofs to neighbours, and record those that they send.
 
-    ``seconds`` returns the maximum wait of a watch of a kind, in seconds. ``version`` returns the
-    version of the active configuration, whose kind is ``configuration``.
+    ``max_wait`` returns the maximum wait of a watch of a kind, in seconds.
+    ``configuration_version`` returns the version of the active configuration, and
+    ``configuration_kind`` is the kind of its objects.
     """
 
     def __init__(
         self,
         freshness: Freshness,
-        seconds: Callable[[str], float],
-        configuration: str,
-        version: Callable[[], int],
+        max_wait: Callable[[str], float],
+        configuration_kind: str,
+        configuration_version: Callable[[], int],
         neighbours: Callable[[], Iterable[str]],
         hub: PeerHub,
     ) -> None:
         self._freshness = freshness
-        self._seconds = seconds
-        self._configuration = configuration
-        self._version = version
+        self._max_wait = max_wait
+        self._configuration_kind = configuration_kind
+        self._configuration_version = configuration_version
         self._neighbours = neighbours
         self._hub = hub
         # By neighbour and kind: the time of the newest proof that it has, as far as known here.
-        self._known: defaultdict[str, dict[str, float]] = defaultdict(dict)
+        self._proved_at: defaultdict[str, dict[str, float]] = defaultdict(dict)
         # By neighbour: the lowest difference in seconds between the time at which one of its
         # messages arrived by our clock and the time at which it was sent by its clock.
-        self._least_difference: dict[str, float] = {}
+        self._min_clock_difference: dict[str, float] = {}
         self._timer: asyncio.TimerHandle | None = None
-        freshness.on_read(lambda proof: self._tell_soon())
+        freshness.on_own_proof(lambda proof: self._schedule_sending())
         hub.handle(ProofNews, self._received)
         hub.on_up(self._link_up)
         hub.on_down(self._forget)
@@ -62,54 +63,55 @@
         # What was queued on the former link is lost, so that the neighbour may lack our proofs. The
         # first message on the new link arrives without delay, and is the reference for later ones.
         self._forget(peer.node)
-        self._tell_soon()
+        self._schedule_sending()
 
     def _forget(self, node: str) -> None:
-        self._known.pop(node, None)
-        self._least_difference.pop(node, None)
-
-    def _received(self, node: str, news: ProofNews) -> None:
-        sent_at = self._freshness.now() - self._seconds_held_up(node, news)
-        proofs = [Proof(r.kind, r.version, sent_at - r.age / 1000) for r in news.proofs]
-        self._known[node].update({proof.kind: proof.at for proof in proofs})
-        if news.configuration > self._version():
-            self._hub.send(node, StateRequest(self._version()))
-            proofs = [proof for proof in proofs if proof.kind != self._configuration]
-        newer = [proof for proof in proofs if self._freshness.take(proof)]
+        self._proved_at.pop(node, None)
+        self._min_clock_difference.pop(node, None)
+
+    def _received(self, node: str, update: ProofNews) -> None:
+        sent_at = self._freshness.now() - self._extra_delay(node, update)
+        proofs = [Proof(r.kind, r.version, sent_at - r.age / 1000) for r in update.proofs]
+        self._proved_at[node].update({proof.kind: proof.at for proof in proofs})
+        if update.configuration > self._configuration_version():
+            self._hub.send(node, StateRequest(self._configuration_version()))
+            proofs = [proof for proof in proofs if proof.kind != self._configuration_kind]
+        newer = [proof for proof in proofs if self._freshness.record(proof)]
         if newer:
-            self._tell_soon()
+            self._schedule_sending()
 
-    def _seconds_held_up(self, node: str, news: ProofNews) -> float:
-        """Return how many seconds longer ``news`` took than the fastest message of ``node``.
+    def _extra_delay(self, node: str, update: ProofNews) -> float:
+        """Return how many seconds longer ``update`` took than the fastest message of ``node``.
 
         A link that was cut delivers late what was sent before the cut.
         """
-        difference = self._freshness.now() - news.sent / 1000
-        least = min(difference, self._least_difference.get(node, difference))
-        self._least_difference[node] = least
-        return difference - least
+        difference = self._freshness.now() - update.sent / 1000
+        minimum = min(difference, self._min_clock_difference.get(node, difference))
+        self._min_clock_difference[node] = minimum
+        return difference - minimum
 
-    def _tell_soon(self) -> None:
+    def _schedule_sending(self) -> None:
         if self._timer is None:
-            self._timer = asyncio.get_running_loop().call_later(MERGE_SECONDS, self._tell)
+            self._timer = asyncio.get_running_loop().call_later(BATCH_SECONDS, self._send_proofs)
 
-    def _tell(self) -> None:
+    def _send_proofs(self) -> None:
         self._timer = None
-        proofs = self._freshness.all()
-        lacking = [node for node in self._neighbours() if self._lacks(node, proofs)]
-        if not lacking:
+        proofs = self._freshness.proofs()
+        outdated = [node for node in self._neighbours() if self._is_outdated(node, proofs)]
+        if not outdated:
             return
         now = self._freshness.now()
         records = [_to_record(proof, now) for proof in proofs]
-        news = ProofNews(round(now * 1000), self._version(), records)
-        for node in lacking:
-            if self._hub.send(node, news):
-                self._known[node] = {proof.kind: proof.at for proof in proofs}
+        update = ProofNews(round(now * 1000), self._configuration_version(), records)
+        for node in outdated:
+            if self._hub.send(node, update):
+                self._proved_at[node] = {proof.kind: proof.at for proof in proofs}
 
-    def _lacks(self, node: str, proofs: list[Proof]) -> bool:
-        known = self._known[node]
+    def _is_outdated(self, node: str, proofs: list[Proof]) -> bool:
+        proved_at = self._proved_at[node]
         return any(
-            proof.at - known.get(proof.kind, -math.inf) >= TELL_SHARE * self._seconds(proof.kind)
+            proof.at - proved_at.get(proof.kind, -math.inf)
+            >= RESEND_SHARE * self._max_wait(proof.kind)
             for proof in proofs
         )
 
--- a/railsail/store/watcher.py
+++ b/railsail/store/watcher.py
@@ -177,7 +177,7 @@
 
     def _record_proof(self, kind: str, version: int, at: float) -> None:
         if self._caught_up[kind]():
-            self._freshness.read(Proof(kind, version, at))
+            self._freshness.record_own(Proof(kind, version, at))
 
     def _record_listing(self, kind: str, listing: Listing) -> bool:
         """Record that ``kind`` was listed; return False if objects may be missing."""
--- a/tests/store/test_freshness.py
+++ b/tests/store/test_freshness.py
@@ -19,25 +19,25 @@
         self.assertEqual(self.freshness.version(KIND), 0)
 
     def test_newest_proof_is_kept(self):
-        self.assertTrue(self.freshness.take(self.proof(7, 2.0)))
-        self.assertFalse(self.freshness.take(self.proof(7, 3.0)))
-        self.assertTrue(self.freshness.take(self.proof(7, 1.0)))
+        self.assertTrue(self.freshness.record(self.proof(7, 2.0)))
+        self.assertFalse(self.freshness.record(self.proof(7, 3.0)))
+        self.assertTrue(self.freshness.record(self.proof(7, 1.0)))
         self.clock.advance(0.5)
         self.assertAlmostEqual(self.freshness.age(KIND), 1.5)
 
     def test_later_proof_of_a_lower_version_is_ignored(self):
-        self.freshness.take(self.proof(7, 2.0))
-        self.assertFalse(self.freshness.take(self.proof(6, 0.0)))
+        self.freshness.record(self.proof(7, 2.0))
+        self.assertFalse(self.freshness.record(self.proof(6, 0.0)))
         self.assertAlmostEqual(self.freshness.age(KIND), 2.0)
 
     def test_listeners_are_called_for_new_own_proofs_only(self):
-        told = []
-        self.freshness.on_read(told.append)
-        self.freshness.take(self.proof(7, 2.0))
+        notified = []
+        self.freshness.on_own_proof(notified.append)
+        self.freshness.record(self.proof(7, 2.0))
         own = self.proof(7, 1.0)
-        self.freshness.read(own)
-        self.freshness.read(own)
-        self.assertEqual(told, [own])
+        self.freshness.record_own(own)
+        self.freshness.record_own(own)
+        self.assertEqual(notified, [own])
 
 
 if __name__ == "__main__":
--- a/tests/store/test_proofs.py
+++ b/tests/store/test_proofs.py
@@ -8,11 +8,11 @@
 from railsail.peers.messages import ProofNews, StateRequest
 from railsail.peers.records import ProofRecord
 from railsail.store.freshness import Freshness, Proof
-from railsail.store.proofs import MERGE_SECONDS, TELL_SHARE, ProofExchange
+from railsail.store.proofs import BATCH_SECONDS, RESEND_SHARE, ProofExchange
 
 CONFIGURATION = "configuration"
 UPSTREAM = "upstream"
-SECONDS = 2.0
+MAX_WAIT_SECONDS = 2.0
 NEIGHBOURS = ("a", "b")
 
 
@@ -44,55 +44,55 @@
         self.version = 5
         ProofExchange(
             self.freshness,
-            lambda kind: SECONDS,
+            lambda kind: MAX_WAIT_SECONDS,
             CONFIGURATION,
             lambda: self.version,
             lambda: NEIGHBOURS,
             self.hub,
         )
 
-    async def told(self) -> list[tuple[str, object]]:
+    async def sent_messages(self) -> list[tuple[str, object]]:
         """Wait until everything due has been sent, and return what was sent since the last call."""
-        await asyncio.sleep(2 * MERGE_SECONDS)
+        await asyncio.sleep(2 * BATCH_SECONDS)
         sent, self.hub.sent = self.hub.sent, []
         return sent
 
-    def news(self, *records: ProofRecord, configuration: int = 5) -> ProofNews:
+    def update(self, *records: ProofRecord, configuration: int = 5) -> ProofNews:
         """Return a message that a peer sends now, with the same clock as this node."""
         return ProofNews(round(self.clock.monotonic() * 1000), configuration, list(records))
 
     def read(self, kind: str = UPSTREAM, version: int = 40, age: float = 0.0) -> None:
-        self.freshness.read(Proof(kind, version, self.clock.monotonic() - age))
+        self.freshness.record_own(Proof(kind, version, self.clock.monotonic() - age))
 
     async def test_own_proof_is_sent_to_all_neighbours_with_its_age(self):
         self.read(age=0.2)
-        news = self.news(ProofRecord(UPSTREAM, 40, 200))
-        self.assertEqual(await self.told(), [("a", news), ("b", news)])
+        update = self.update(ProofRecord(UPSTREAM, 40, 200))
+        self.assertEqual(await self.sent_messages(), [("a", update), ("b", update)])
 
     async def test_proofs_of_several_kinds_are_sent_in_one_message(self):
         self.read()
         self.read(CONFIGURATION)
-        self.assertEqual(len(await self.told()), len(NEIGHBOURS))
+        self.assertEqual(len(await self.sent_messages()), len(NEIGHBOURS))
 
     async def test_proofs_in_quick_succession_are_sent_once(self):
         self.read()
-        await self.told()
-        self.clock.advance(TELL_SHARE * SECONDS * 0.9)
+        await self.sent_messages()
+        self.clock.advance(RESEND_SHARE * MAX_WAIT_SECONDS * 0.9)
         self.read()
-        self.assertEqual(await self.told(), [])
-        self.clock.advance(TELL_SHARE * SECONDS * 0.2)
+        self.assertEqual(await self.sent_messages(), [])
+        self.clock.advance(RESEND_SHARE * MAX_WAIT_SECONDS * 0.2)
         self.read()
-        self.assertEqual(len(await self.told()), len(NEIGHBOURS))
+        self.assertEqual(len(await self.sent_messages()), len(NEIGHBOURS))
 
     async def test_proof_of_a_peer_is_forwarded_to_neighbours_that_lack_it(self):
-        self.hub.receive("a", self.news(ProofRecord(UPSTREAM, 40, 300)))
+        self.hub.receive("a", self.update(ProofRecord(UPSTREAM, 40, 300)))
         self.assertAlmostEqual(self.freshness.age(UPSTREAM), 0.3)
-        self.assertEqual([node for node, _ in await self.told()], ["b"])
+        self.assertEqual([node for node, _ in await self.sent_messages()], ["b"])
 
     async def test_proof_is_not_sent_to_neighbours_that_sent_the_same(self):
         for node in NEIGHBOURS:
-            self.hub.receive(node, self.news(ProofRecord(UPSTREAM, 40, 300)))
-        self.assertEqual(await self.told(), [])
+            self.hub.receive(node, self.update(ProofRecord(UPSTREAM, 40, 300)))
+        self.assertEqual(await self.sent_messages(), [])
 
     async def test_delay_of_a_message_is_added_to_the_age_of_its_proofs(self):
         """A link that is cut and resumes delivers messages late, whose proofs are then older.
@@ -101,12 +101,12 @@
         by configuration 46, over 3 s after 47 was confirmed, with a ``proof_age_ms`` of 1377 and
         1187, although no node that read the store had had 46 that recently.
         """
-        self.hub.receive("a", self.news(ProofRecord(UPSTREAM, 40, 300)))
-        held_up = self.news(ProofRecord(UPSTREAM, 40, 0))
+        self.hub.receive("a", self.update(ProofRecord(UPSTREAM, 40, 300)))
+        delayed = self.update(ProofRecord(UPSTREAM, 40, 0))
         self.clock.advance(3.0)
-        self.hub.receive("a", held_up)
+        self.hub.receive("a", delayed)
         self.assertAlmostEqual(self.freshness.age(UPSTREAM), 3.0)
-        self.hub.receive("a", self.news(ProofRecord(UPSTREAM, 40, 100)))
+        self.hub.receive("a", self.update(ProofRecord(UPSTREAM, 40, 100)))
         self.assertAlmostEqual(self.freshness.age(UPSTREAM), 0.1)
 
     async def test_first_message_on_a_new_link_measures_the_clock_difference_again(self):
@@ -118,14 +118,14 @@
 
     async def test_proofs_are_sent_again_on_a_new_link(self):
         self.read()
-        await self.told()
+        await self.sent_messages()
         self.hub.up(Identity("a", 1))
-        self.assertEqual([node for node, _ in await self.told()], ["a"])
+        self.assertEqual([node for node, _ in await self.sent_messages()], ["a"])
 
     async def test_proof_of_a_missing_configuration_is_ignored_and_its_changes_requested(self):
         records = [ProofRecord(CONFIGURATION, 40, 0), ProofRecord(UPSTREAM, 40, 0)]
-        self.hub.receive("a", self.news(*records, configuration=6))
-        self.assertEqual((await self.told())[0], ("a", StateRequest(5)))
+        self.hub.receive("a", self.update(*records, configuration=6))
+        self.assertEqual((await self.sent_messages())[0], ("a", StateRequest(5)))
         self.assertEqual(self.freshness.age(CONFIGURATION), float("inf"))
         self.assertEqual(self.freshness.age(UPSTREAM), 0.0)
 
--- a/tests/store/test_watcher.py
+++ b/tests/store/test_watcher.py
@@ -210,14 +210,14 @@
 
     async def test_watch_starts_at_the_version_that_peers_proved_without_a_listing(self):
         self.start(self.WATCH_SECONDS)
-        self.freshness.take(Proof(KIND, 77, steady_seconds()))
+        self.freshness.record(Proof(KIND, 77, steady_seconds()))
         await self.until(lambda: self.store.since)
         self.assertEqual((self.store.since[0], self.store.lists), (77, 1))
         await self.until(lambda: self.freshness.age(KIND) < self.WATCH_SECONDS / 2)
 
     async def test_node_does_not_watch_while_proofs_of_peers_are_recent(self):
         self.start(self.LONG_WATCH_SECONDS)
-        self.freshness.take(Proof(KIND, 77, steady_seconds()))
+        self.freshness.record(Proof(KIND, 77, steady_seconds()))
         await asyncio.sleep(0.5)
         self.assertEqual(self.store.since, [])
 
