--- a/railsail/store/calls.py
+++ b/railsail/store/calls.py
@@ -10,27 +10,27 @@
 from railsail.core.metrics import Metrics
 from railsail.core.retryafter import rest_seconds
 
-CONNECT_SECONDS = 1.0
-MOST_CALLS = 64
+CONNECT_TIMEOUT_SECONDS = 1.0
+MAX_CONCURRENT_CALLS = 64
 NOT_FOUND = 404
 CONFLICT = 409
 GONE = 410
-_NO_ANSWER = 599
+_NO_RESPONSE = 599
 # Longest time for which a ``Retry-After`` of the store is obeyed. The store may recover before the
 # time that it named, and a change must be in force on all nodes within three seconds.
-MOST_REST_SECONDS = 2.0
+MAX_RETRY_AFTER_SECONDS = 2.0
 
 
 class StoreCalls:
-    """Make HTTP calls with a timeout of ``seconds``, and responses of ``most_bytes`` at most."""
+    """Make HTTP calls, each with a ``timeout`` in seconds and a bound on its response size."""
 
-    def __init__(self, metrics: Metrics, seconds: float, most_bytes: int) -> None:
+    def __init__(self, metrics: Metrics, timeout: float, max_response_bytes: int) -> None:
         self._metrics = metrics
-        self._seconds = seconds
+        self._timeout = timeout
         # By endpoint: until when it asked for no calls, in seconds of the event loop's clock.
-        self._rests_until: dict[str, float] = {}
+        self._backoff_until: dict[str, float] = {}
         self._client = AsyncHTTPClient(
-            force_instance=True, max_clients=MOST_CALLS, max_body_size=most_bytes
+            force_instance=True, max_clients=MAX_CONCURRENT_CALLS, max_body_size=max_response_bytes
         )
 
     async def call(
@@ -49,7 +49,7 @@
         named in a ``Retry-After``; this raises ``StoreUnavailable`` too.
         """
         endpoint = urlsplit(url).netloc
-        if asyncio.get_running_loop().time() < self._rests_until.get(endpoint, 0.0):
+        if asyncio.get_running_loop().time() < self._backoff_until.get(endpoint, 0.0):
             self._metrics.store_calls.inc({"operation": operation, "result": "held"})
             raise StoreUnavailable(f"{method} {url}: not called, the store asked for rest")
         request = HTTPRequest(
@@ -57,15 +57,15 @@
             method=method,
             body=body,
             headers={"Content-Type": "application/json"} if body else None,
-            connect_timeout=CONNECT_SECONDS,
-            request_timeout=self._seconds + max_wait,
+            connect_timeout=CONNECT_TIMEOUT_SECONDS,
+            request_timeout=self._timeout + max_wait,
             follow_redirects=False,
         )
         try:
             response = await self._fetch(request)
         except (OSError, HTTPClientError) as problem:
-            response = HTTPResponse(request, _NO_ANSWER, error=problem)
-        self._note_rest(endpoint, response)
+            response = HTTPResponse(request, _NO_RESPONSE, error=problem)
+        self._record_retry_after(endpoint, response)
         result = _classify(response, method)
         self._metrics.store_calls.inc({"operation": operation, "result": result})
         if result == "conflict":
@@ -74,16 +74,18 @@
             raise StoreUnavailable(f"{method} {url}: {response.error or response.code}")
         return response
 
-    def _note_rest(self, endpoint: str, response: HTTPResponse) -> None:
-        seconds = rest_seconds(response.code, response.headers, time.time(), MOST_REST_SECONDS)
-        until = asyncio.get_running_loop().time() + seconds
-        self._rests_until[endpoint] = max(self._rests_until.get(endpoint, 0.0), until)
+    def _record_retry_after(self, endpoint: str, response: HTTPResponse) -> None:
+        retry_after = rest_seconds(
+            response.code, response.headers, time.time(), MAX_RETRY_AFTER_SECONDS
+        )
+        until = asyncio.get_running_loop().time() + retry_after
+        self._backoff_until[endpoint] = max(self._backoff_until.get(endpoint, 0.0), until)
 
     async def _fetch(self, request: HTTPRequest) -> HTTPResponse:
         # Tornado logs an error if a fetch fails after it was cancelled. The fetch is therefore
         # shielded: it runs to its end if the caller is cancelled.
         future = asyncio.ensure_future(self._client.fetch(request, raise_error=False))
-        future.add_done_callback(lambda done: done.cancelled() or done.exception())
+        future.add_done_callback(lambda finished: finished.cancelled() or finished.exception())
         return await asyncio.shield(future)
 
 
--- a/railsail/store/claims.py
+++ b/railsail/store/claims.py
@@ -20,14 +20,14 @@
 from railsail.store.journal import Backoff, Head, Journal, Record
 
 KIND = "claims"
-SHARDS = 16
-PART_SIZE = 32
-MOST_IN_BATCH = 32
+SHARD_COUNT = 16
+RECORDS_PER_PART = 32
+MAX_BATCH_SIZE = 32
 # Upper bound for all shards together; the store handles about a hundred writes a second.
-WRITES_PER_SECOND = 40.0
-SPACING_SECONDS = SHARDS / WRITES_PER_SECOND
+MAX_WRITES_PER_SECOND = 40.0
+MIN_WRITE_INTERVAL_SECONDS = SHARD_COUNT / MAX_WRITES_PER_SECOND
 KEY_BYTES = 16
-MOST_PENDING = 10_000
+MAX_PENDING_CLAIMS = 10_000
 
 
 class ClaimResult(enum.IntEnum):
@@ -81,7 +81,7 @@
 
 def shard_of(key: bytes) -> int:
     """Return the shard of a key's digest."""
-    return key[0] % SHARDS
+    return key[0] % SHARD_COUNT
 
 
 @dataclass
@@ -99,34 +99,34 @@
     def __init__(
         self, store: Store, number: int, keep_seconds: float, clock: Clock, rng: random.Random
     ) -> None:
-        self._journal = Journal(store, KIND, f"shard-{number:02d}", PART_SIZE)
+        self._journal = Journal(store, KIND, f"shard-{number:02d}", RECORDS_PER_PART)
         self._keep_seconds = keep_seconds
         self._clock = clock
         self._backoff = Backoff(rng, 0.05, 2.0)
         self._head: Head | None = None
         # By the number of an archived part that was read: the time of its last record.
-        self._part_ends: dict[int, float] = {}
+        self._part_end_times: dict[int, float] = {}
         self._index: dict[bytes, tuple[float, Claim]] = {}
         self._pending: list[_Pending] = []
-        self._running: asyncio.Task | None = None
+        self._writing: asyncio.Task | None = None
         self._last_write = 0.0
 
     async def make(self, claim: Claim) -> ClaimAnswer:
         """Claim a key or release it; return once this is stored, or another claim holds the key."""
-        if len(self._pending) >= MOST_PENDING:
+        if len(self._pending) >= MAX_PENDING_CLAIMS:
             return ClaimAnswer(ClaimResult.UNAVAILABLE)
         pending = _Pending(claim)
         self._pending.append(pending)
-        if self._running is None or self._running.done():
-            self._running = asyncio.ensure_future(self._work())
+        if self._writing is None or self._writing.done():
+            self._writing = asyncio.ensure_future(self._write_pending())
         return await pending.answer
 
-    async def _work(self) -> None:
+    async def _write_pending(self) -> None:
         while self._pending:
-            wait = self._last_write + SPACING_SECONDS - self._clock.monotonic()
+            wait = self._last_write + MIN_WRITE_INTERVAL_SECONDS - self._clock.monotonic()
             if wait > 0:
                 await asyncio.sleep(wait)
-            batch = self._pending[:MOST_IN_BATCH]
+            batch = self._pending[:MAX_BATCH_SIZE]
             try:
                 await self._write(batch)
                 self._backoff.reset()
@@ -137,90 +137,92 @@
                 # The write may have taken effect. The journal is read again, and if it holds the
                 # claims, they are answered from the index.
                 self._head = None
-                self._drop_abandoned()
+                self._drop_answered()
                 await asyncio.sleep(self._backoff.pause())
 
     async def _write(self, batch: list[_Pending]) -> None:
-        await self._refresh()
+        await self._read_journal()
         records: list[Record] = []
-        made: dict[bytes, Claim] = {}
+        batch_claims: dict[bytes, Claim] = {}
         for pending in batch:
-            if pending.answer.done() or self._settle(pending, made):
+            if pending.answer.done() or self._try_answer(pending, batch_claims):
                 continue
-            made[pending.claim.key] = pending.claim
+            batch_claims[pending.claim.key] = pending.claim
             records.append(_to_record(pending.claim, self._clock.wall()))
         if records:
             self._last_write = self._clock.monotonic()
             self._head = await self._journal.append(self._head, records)
-            self._enter(records)
+            self._index_records(records)
             for number in self._journal.parts(self._head):
-                self._part_ends.setdefault(number, self._clock.wall())
+                self._part_end_times.setdefault(number, self._clock.wall())
         for pending in batch:
             if not pending.answer.done():
-                self._settle(pending, {})
+                self._try_answer(pending, {})
         self._pending = [pending for pending in self._pending if not pending.answer.done()]
-        await self._expire()
+        await self._drop_expired_parts()
 
-    def _settle(self, pending: _Pending, made: dict[bytes, Claim]) -> bool:
+    def _try_answer(self, pending: _Pending, batch_claims: dict[bytes, Claim]) -> bool:
         """Answer ``pending`` if the index decides it; return True if nothing must be written now.
 
-        ``made`` holds the claims that are already part of the batch, by key.
+        ``batch_claims`` holds the claims that are already part of the batch, by key.
         """
         claim = pending.claim
-        if claim.key in made:
+        if claim.key in batch_claims:
             # The batch has another claim of this key. This one is decided after it was written.
             return True
         known = self._index.get(claim.key)
-        standing = known[1] if known else None
+        current = known[1] if known else None
         if claim.release:
-            if standing is None or standing.owner != claim.owner or standing.release:
+            if current is None or current.owner != claim.owner or current.release:
                 pending.answer.set_result(ClaimAnswer(ClaimResult.RELEASED))
                 return True
             return False
-        if standing is None or standing.release:
+        if current is None or current.release:
             return False
-        own = standing.owner == claim.owner
+        own = current.owner == claim.owner
         result = ClaimResult.CLAIMED if own else ClaimResult.HELD
-        pending.answer.set_result(ClaimAnswer(result, standing))
+        pending.answer.set_result(ClaimAnswer(result, current))
         return True
 
-    async def _refresh(self) -> None:
+    async def _read_journal(self) -> None:
         if self._head is not None:
             return
         head = await self._journal.read_head()
         for number in self._journal.parts(head):
-            if number not in self._part_ends:
+            if number not in self._part_end_times:
                 records = await self._journal.read_part(number)
-                self._enter(records)
-                self._part_ends[number] = records[-1]["t"] if records else 0.0
-        self._enter(head.tail)
+                self._index_records(records)
+                self._part_end_times[number] = records[-1]["t"] if records else 0.0
+        self._index_records(head.tail)
         self._head = head
 
-    def _enter(self, records) -> None:
+    def _index_records(self, records) -> None:
         for record in records:
             # Records are in the order of the journal: the last one of a key is in force.
-            at, claim = _from_record(record)
-            self._index[claim.key] = (at, claim)
-
-    async def _expire(self) -> None:
-        before = self._clock.wall() - self._keep_seconds
-        first = self._head.first
-        while self._part_ends.get(first, before) < before:
-            first += 1
-        if first == self._head.first:
+            recorded_at, claim = _from_record(record)
+            self._index[claim.key] = (recorded_at, claim)
+
+    async def _drop_expired_parts(self) -> None:
+        expired_before = self._clock.wall() - self._keep_seconds
+        first_part = self._head.first_part
+        while self._part_end_times.get(first_part, expired_before) < expired_before:
+            first_part += 1
+        if first_part == self._head.first_part:
             return
-        self._head = await self._journal.drop_parts(self._head, first)
-        self._part_ends = {n: end for n, end in self._part_ends.items() if n >= first}
-        for key, (at, _) in list(self._index.items()):
-            if at < before:
+        self._head = await self._journal.drop_parts(self._head, first_part)
+        self._part_end_times = {
+            n: end for n, end in self._part_end_times.items() if n >= first_part
+        }
+        for key, (recorded_at, _) in list(self._index.items()):
+            if recorded_at < expired_before:
                 del self._index[key]
 
-    def _drop_abandoned(self) -> None:
+    def _drop_answered(self) -> None:
         # A requester that gave up by its own timeout has cancelled the future of the answer.
         self._pending = [pending for pending in self._pending if not pending.answer.done()]
 
 
-def _to_record(claim: Claim, at: float) -> Record:
+def _to_record(claim: Claim, recorded_at: float) -> Record:
     return {
         "k": claim.key.hex(),
         "f": claim.fingerprint.hex(),
@@ -228,7 +230,7 @@
         "s": claim.start_id,
         "a": claim.attempt,
         "r": int(claim.release),
-        "t": round(at, 3),
+        "t": round(recorded_at, 3),
     }
 
 
--- a/railsail/store/http.py
+++ b/railsail/store/http.py
@@ -16,8 +16,8 @@
 from railsail.store.base import STORES, Listing, StoredObject, WatchEvent, WatchResult
 from railsail.store.calls import GONE, NOT_FOUND, StoreCalls
 
-CALL_SECONDS = 6.0
-MOST_BYTES = 8 << 20
+CALL_TIMEOUT_SECONDS = 6.0
+MAX_RESPONSE_BYTES = 8 << 20
 
 
 @STORES.register("http")
@@ -32,7 +32,7 @@
     def __init__(self, endpoints: Sequence[Endpoint], metrics: Metrics, rng: random.Random) -> None:
         self._endpoints = list(endpoints)
         self._rng = rng
-        self._calls = StoreCalls(metrics, CALL_SECONDS, MOST_BYTES)
+        self._calls = StoreCalls(metrics, CALL_TIMEOUT_SECONDS, MAX_RESPONSE_BYTES)
 
     async def get(self, kind: str, name: str) -> StoredObject | None:
         """Return an object, or ``None`` if it does not exist."""
--- a/railsail/store/journal.py
+++ b/railsail/store/journal.py
@@ -23,19 +23,19 @@
 class Head:
     """The head object at the store's ``version``, which is 0 if it does not exist yet.
 
-    ``next`` is the number of the next record, ``first`` that of the oldest part that is kept, and
-    ``tail`` has the records that are not archived.
+    ``first_part`` is the number of the oldest part that is kept, and ``tail`` has the records that
+    are not archived.
     """
 
     version: int = 0
-    next: int = 0
-    first: int = 0
+    next_number: int = 0
+    first_part: int = 0
     tail: tuple[Record, ...] = ()
 
     @property
     def tail_start(self) -> int:
         """Return the number of the first record of the tail."""
-        return self.next - len(self.tail)
+        return self.next_number - len(self.tail)
 
 
 class Journal:
@@ -55,11 +55,11 @@
     async def read_head(self) -> Head:
         """Read the head from the store."""
         stored = await self._store.get(self._kind, self._name)
-        return head_of(stored.version, stored.value) if stored else Head()
+        return _head_of(stored.version, stored.value) if stored else Head()
 
     def parts(self, head: Head) -> range:
         """Return the numbers of the archived parts that are kept."""
-        return range(head.first, head.tail_start // self._part_size)
+        return range(head.first_part, head.tail_start // self._part_size)
 
     async def read_part(self, number: int) -> tuple[Record, ...]:
         """Return the records of an archived part, none if it was deleted in the meantime."""
@@ -74,13 +74,15 @@
         """
         while len(head.tail) >= self._part_size:
             head = await self._archive(head)
-        changed = replace(head, next=head.next + len(records), tail=(*head.tail, *records))
+        changed = replace(
+            head, next_number=head.next_number + len(records), tail=(*head.tail, *records)
+        )
         return await self._write(changed)
 
-    async def drop_parts(self, head: Head, first: int) -> Head:
-        """Delete the parts before number ``first``, and return the new head."""
-        old = range(head.first, first)
-        head = await self._write(replace(head, first=first))
+    async def drop_parts(self, head: Head, first_part: int) -> Head:
+        """Delete the parts before number ``first_part``, and return the new head."""
+        old = range(head.first_part, first_part)
+        head = await self._write(replace(head, first_part=first_part))
         for number in old:
             await self._delete(self._part_name(number))
         return head
@@ -97,7 +99,7 @@
         return replace(head, tail=head.tail[self._part_size :])
 
     async def _write(self, head: Head) -> Head:
-        value = {"next": head.next, "first": head.first, "tail": list(head.tail)}
+        value = {"next": head.next_number, "first": head.first_part, "tail": list(head.tail)}
         version = await self._store.put(self._kind, self._name, value, head.version)
         return replace(head, version=version)
 
@@ -107,7 +109,7 @@
             await self._store.delete(self._kind, name, stored.version)
 
 
-def head_of(version: int, value: dict[str, object]) -> Head:
+def _head_of(version: int, value: dict[str, object]) -> Head:
     """Return the head that is stored as ``value``."""
     return Head(version, value["next"], value["first"], tuple(value["tail"]))
 
@@ -116,21 +118,21 @@
     """Exponential backoff with jitter; times are in seconds.
 
     Each delay is sampled between half and all of a bound, which doubles with each attempt up to
-    ``most``. The first delay is between ``first`` and twice as much.
+    ``maximum``. The first delay is between ``initial`` and twice as much.
     """
 
-    def __init__(self, rng: random.Random, first: float, most: float) -> None:
+    def __init__(self, rng: random.Random, initial: float, maximum: float) -> None:
         self._rng = rng
-        self._first = first
-        self._most = most
-        self._tries = 0
+        self._initial = initial
+        self._maximum = maximum
+        self._attempts = 0
 
     def pause(self) -> float:
         """Return the next delay."""
-        self._tries += 1
-        ceiling = min(self._most, self._first * 2**self._tries)
+        self._attempts += 1
+        ceiling = min(self._maximum, self._initial * 2**self._attempts)
         return self._rng.uniform(ceiling / 2, ceiling)
 
     def reset(self) -> None:
         """Restart with the shortest delay."""
-        self._tries = 0
+        self._attempts = 0
--- a/tests/store/test_claims.py
+++ b/tests/store/test_claims.py
@@ -56,25 +56,27 @@
 class ClaimTests(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         # The minimum interval between writes only limits the load of the store.
-        self.addCleanup(setattr, claims, "SPACING_SECONDS", claims.SPACING_SECONDS)
-        claims.SPACING_SECONDS = 0.0
+        self.addCleanup(
+            setattr, claims, "MIN_WRITE_INTERVAL_SECONDS", claims.MIN_WRITE_INTERVAL_SECONDS
+        )
+        claims.MIN_WRITE_INTERVAL_SECONDS = 0.0
 
     def shard(self, store: MemoryStore, keep: float = 3600.0) -> ClaimShard:
         shard = ClaimShard(store, 0, keep, Clock(), random.Random(5))
-        shard._backoff._first = 0.0005
-        shard._backoff._most = 0.001
+        shard._backoff._initial = 0.0005
+        shard._backoff._maximum = 0.001
         return shard
 
     async def race(self, store: MemoryStore, keys: int) -> None:
         """Claim the same keys for three nodes by two batchers; check that each has one holder."""
         shards = [self.shard(store), self.shard(store)]
-        tries = []
+        attempts = []
         for number in range(keys):
             for node, shard in (("n0", shards[0]), ("n1", shards[1]), ("n2", shards[0])):
-                tries.append((number, shard.make(claim(f"key{number}", node))))
-        answers = await asyncio.gather(*(made for _, made in tries))
+                attempts.append((number, shard.make(claim(f"key{number}", node))))
+        answers = await asyncio.gather(*(made for _, made in attempts))
         holders = dict.fromkeys(range(keys), 0)
-        for (number, _), answer in zip(tries, answers, strict=True):
+        for (number, _), answer in zip(attempts, answers, strict=True):
             holders[number] += answer.result is ClaimResult.CLAIMED
         self.assertEqual(set(holders.values()), {1})
 
