--- a/railsail/peers/auth.py
+++ b/railsail/peers/auth.py
@@ -12,7 +12,7 @@
     return secrets.token_bytes(NONCE_BYTES)
 
 
-def proof(
+def handshake_proof(
     secret: str, side: str, challenge: bytes, own_nonce: bytes, node: str, start_id: int
 ) -> bytes:
     """Return the proof of the process ``start_id`` of ``node``.
@@ -24,6 +24,6 @@
     return hmac.new(secret.encode(), text, hashlib.sha256).digest()
 
 
-def same(left: bytes, right: bytes) -> bool:
+def equal_proofs(left: bytes, right: bytes) -> bool:
     """Return True if both proofs are equal; the comparison takes constant time."""
     return hmac.compare_digest(left, right)
--- a/railsail/peers/base.py
+++ b/railsail/peers/base.py
@@ -18,19 +18,20 @@
 class Message(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
     """The base class of messages, and of the records that they contain.
 
-    A ``PATIENT`` message may be delayed a little to share a frame with others. Only peers of level
-    ``SINCE`` and higher know the message (see ``railsail.peers.levels``). If lower levels know
-    fewer of its fields, ``COUNTS`` maps the last level of each such form to its number of fields.
+    If ``SHARES_FRAME`` is set, a message may be delayed a little to share a frame with later ones.
+    Only peers of level ``SINCE_LEVEL`` and higher know the message (see ``railsail.peers.levels``).
+    If lower levels know fewer of its fields, ``FIELD_COUNTS`` maps the last level of each such form
+    to its number of fields.
     """
 
-    PATIENT: ClassVar[bool] = False
-    SINCE: ClassVar[int] = 0
-    COUNTS: ClassVar[Mapping[int, int]] = MappingProxyType({})
+    SHARES_FRAME: ClassVar[bool] = False
+    SINCE_LEVEL: ClassVar[int] = 0
+    FIELD_COUNTS: ClassVar[Mapping[int, int]] = MappingProxyType({})
 
-    def count_at(self, level: int) -> int:
+    def field_count(self, level: int) -> int:
         """Return how many of the fields peers of ``level`` know."""
-        held = [last for last in self.COUNTS if level <= last]
-        return self.COUNTS[min(held)] if held else len(self.__struct_fields__)
+        last_levels = [last for last in self.FIELD_COUNTS if level <= last]
+        return self.FIELD_COUNTS[min(last_levels)] if last_levels else len(self.__struct_fields__)
 
     def for_level(self, level: int) -> Self:
         """Return the message, with unknown values replaced by ones that peers of ``level`` know."""
--- a/railsail/peers/codec.py
+++ b/railsail/peers/codec.py
@@ -14,8 +14,8 @@
 from railsail.peers.levels import NEWEST, to_array
 from railsail.peers.messages import AnyMessage
 
-MOST_FRAME_BYTES = 1 << 20
-MOST_DEPTH = 8
+MAX_FRAME_BYTES = 1 << 20
+MAX_DEPTH = 8
 TIME_MODULUS = 1 << 16
 
 
@@ -52,7 +52,7 @@
 def decode_frame(data: bytes) -> tuple[int, list[AnyMessage]]:
     """Return the time and the messages of a frame; raise ``ProtocolError`` if it is invalid."""
     items = load_frame(data)
-    return items[0] % TIME_MODULUS, read_messages(items)
+    return items[0] % TIME_MODULUS, parse_messages(items)
 
 
 def load_frame(data: bytes) -> list:
@@ -66,7 +66,7 @@
     return items
 
 
-def read_messages(items: list) -> list[AnyMessage]:
+def parse_messages(items: list) -> list[AnyMessage]:
     """Return the messages of a loaded frame; raise ``ProtocolError`` if one of them is invalid."""
     try:
         return msgspec.convert([items[1:]], _Messages).all
@@ -83,9 +83,9 @@
 
 
 def _load(data: bytes) -> object:
-    if not isinstance(data, bytes) or len(data) > MOST_FRAME_BYTES:
+    if not isinstance(data, bytes) or len(data) > MAX_FRAME_BYTES:
         raise ProtocolError("a frame must be binary and not too long")
     try:
-        return cbor2.loads(data, max_depth=MOST_DEPTH, allow_indefinite=False)
+        return cbor2.loads(data, max_depth=MAX_DEPTH, allow_indefinite=False)
     except (cbor2.CBORDecodeError, ValueError, TypeError, RecursionError, OverflowError) as problem:
         raise ProtocolError(f"not CBOR: {problem}") from None
--- a/railsail/peers/hub.py
+++ b/railsail/peers/hub.py
@@ -17,16 +17,16 @@
 from railsail.core.metrics import Metrics
 from railsail.core.tasks import TaskSet
 from railsail.peers.base import Message
-from railsail.peers.codec import MOST_FRAME_BYTES
-from railsail.peers.levels import SUBPROTOCOLS, choose
+from railsail.peers.codec import MAX_FRAME_BYTES
+from railsail.peers.levels import SUBPROTOCOLS, select_subprotocol
 from railsail.peers.link import Identity, Link, accept_handshake, join_handshake
 from railsail.peers.messages import AnyMessage
 
-DIAL_SECONDS = 1.0
-FIRST_PAUSE_SECONDS = 0.2
-MOST_PAUSE_SECONDS = 5.0
+DIAL_TIMEOUT_SECONDS = 1.0
+INITIAL_BACKOFF_SECONDS = 0.2
+MAX_BACKOFF_SECONDS = 5.0
 # A link to a node that is not a neighbour is closed after it was not used for this time.
-UNUSED_SECONDS = 60.0
+MAX_UNUSED_SECONDS = 60.0
 
 M = TypeVar("M", bound=Message)
 Handler = Callable[[str, M], None]
@@ -57,17 +57,17 @@
         self._events = events
         self._metrics = metrics
         self._handlers: dict[type, Handler] = {}
-        self._up: list[Callable[[Identity], None]] = []
-        self._down: list[Callable[[str], None]] = []
+        self._up_listeners: list[Callable[[Identity], None]] = []
+        self._down_listeners: list[Callable[[str], None]] = []
         self._links: dict[str, list[Link]] = {}
-        self._heard: dict[str, float] = {}
-        self._used: dict[str, float] = {}
+        self._received_at: dict[str, float] = {}
+        self._used_at: dict[str, float] = {}
         self._dialling: dict[str, asyncio.Task] = {}
-        self._pause: dict[str, float] = {}
-        self._not_before: dict[str, float] = {}
+        self._dial_backoff: dict[str, float] = {}
+        self._next_dial_at: dict[str, float] = {}
         self._tasks = TaskSet()
         self._server = None
-        self._closed = False
+        self._stopped = False
 
     def handle(self, kind: type[M], handler: Handler) -> None:
         """Call ``handler`` with the sender's node and the message, for each message of ``kind``."""
@@ -78,11 +78,11 @@
 
         It is also called when one of several links to a peer ended, whose queue is lost.
         """
-        self._up.append(listener)
+        self._up_listeners.append(listener)
 
     def on_down(self, listener: Callable[[str], None]) -> None:
         """Call ``listener`` with a node when its last link ended, or when dialling it failed."""
-        self._down.append(listener)
+        self._down_listeners.append(listener)
 
     async def start(self) -> None:
         """Listen for peers."""
@@ -93,14 +93,14 @@
             port,
             compression=None,
             ping_interval=None,
-            max_size=MOST_FRAME_BYTES,
+            max_size=MAX_FRAME_BYTES,
             subprotocols=SUBPROTOCOLS,
-            select_subprotocol=choose,
+            select_subprotocol=select_subprotocol,
         )
 
     async def stop(self) -> None:
         """Close all links."""
-        self._closed = True
+        self._stopped = True
         if self._server is not None:
             self._server.close(close_connections=False)
         links = [link for links in self._links.values() for link in links]
@@ -117,7 +117,7 @@
         if not links:
             self.dial(node)
             return False
-        self._used[node] = self._clock.monotonic()
+        self._used_at[node] = self._clock.monotonic()
         links[-1].send(message)
         return True
 
@@ -145,7 +145,7 @@
 
         The time is in seconds of the monotonic clock. A new link counts as a message.
         """
-        return self._heard.get(node, 0.0)
+        return self._received_at.get(node, 0.0)
 
     def dial(self, node: str) -> bool:
         """Start to dial ``node`` if there is no link; return True if there is a link or an attempt.
@@ -154,7 +154,7 @@
         """
         if node in self._dialling or self.connected(node):
             return True
-        if self._closed or self._clock.monotonic() < self._not_before.get(node, 0.0):
+        if self._stopped or self._clock.monotonic() < self._next_dial_at.get(node, 0.0):
             return False
         self._dialling[node] = self._tasks.start(self._dial(node))
         return True
@@ -171,15 +171,15 @@
         """
         now = self._clock.monotonic()
         for node in self.peers():
-            if node not in kept and now - self._used.get(node, now) > UNUSED_SECONDS:
+            if node not in kept and now - self._used_at.get(node, now) > MAX_UNUSED_SECONDS:
                 for link in self._links[node]:
                     self._tasks.start(link.close())
 
     def forget(self, node: str) -> None:
         """End the links to ``node``, which has left the fleet, and drop its state."""
         self.drop(node)
-        for memory in (self._heard, self._used, self._pause, self._not_before):
-            memory.pop(node, None)
+        for times in (self._received_at, self._used_at, self._dial_backoff, self._next_dial_at):
+            times.pop(node, None)
 
     async def _accept(self, socket: ServerConnection) -> None:
         try:
@@ -194,13 +194,13 @@
     async def _dial(self, node: str) -> None:
         endpoint = parse_endpoint(node)
         try:
-            async with asyncio.timeout(DIAL_SECONDS):
+            async with asyncio.timeout(DIAL_TIMEOUT_SECONDS):
                 socket = await connect(
                     f"ws://{endpoint}/",
                     compression=None,
                     ping_interval=None,
                     close_timeout=1,
-                    max_size=MOST_FRAME_BYTES,
+                    max_size=MAX_FRAME_BYTES,
                     subprotocols=SUBPROTOCOLS,
                     proxy=None,
                     local_addr=(parse_endpoint(self.own.node).ip, 0),
@@ -211,7 +211,7 @@
             return
         finally:
             self._dialling.pop(node, None)
-        self._pause.pop(node, None)
+        self._dial_backoff.pop(node, None)
         if peer.node != node:
             get_logger().warning("peer has another id", dialled=node, found=peer.node)
             await socket.close()
@@ -221,17 +221,19 @@
     def _dial_failed(self, node: str, problem: Exception) -> None:
         if isinstance(problem, PeerRefused):
             get_logger().warning("peer refused", dialled=node, reason=str(problem))
-        pause = min(self._pause.get(node, FIRST_PAUSE_SECONDS / 2) * 2, MOST_PAUSE_SECONDS)
-        self._pause[node] = pause
-        self._not_before[node] = self._clock.monotonic() + pause
-        self._tell_down(node)
+        backoff = min(
+            self._dial_backoff.get(node, INITIAL_BACKOFF_SECONDS / 2) * 2, MAX_BACKOFF_SECONDS
+        )
+        self._dial_backoff[node] = backoff
+        self._next_dial_at[node] = self._clock.monotonic() + backoff
+        self._notify_down(node)
 
     async def _serve(self, socket, peer: Identity) -> None:
         link = Link(socket, peer, self._events, self._metrics)
         links = self._links.setdefault(peer.node, [])
         links.append(link)
-        self._heard[peer.node] = self._used[peer.node] = self._clock.monotonic()
-        for listener in self._up:
+        self._received_at[peer.node] = self._used_at[peer.node] = self._clock.monotonic()
+        for listener in self._up_listeners:
             listener(peer)
         try:
             await link.run(lambda message: self._received(peer.node, message))
@@ -241,24 +243,24 @@
             links.remove(link)
             self._link_ended(peer, links)
 
-    def _link_ended(self, peer: Identity, left: list[Link]) -> None:
-        if not left:
+    def _link_ended(self, peer: Identity, remaining: list[Link]) -> None:
+        if not remaining:
             self._links.pop(peer.node, None)
-            self._tell_down(peer.node)
-        elif not self._closed:
+            self._notify_down(peer.node)
+        elif not self._stopped:
             # What was queued on this link is lost; the listeners send their state again on another
             # link to the same peer.
-            for listener in self._up:
+            for listener in self._up_listeners:
                 listener(peer)
 
-    def _tell_down(self, node: str) -> None:
-        if self._closed:
+    def _notify_down(self, node: str) -> None:
+        if self._stopped:
             return
-        for listener in self._down:
+        for listener in self._down_listeners:
             listener(node)
 
     def _received(self, node: str, message: AnyMessage) -> None:
-        self._heard[node] = self._used[node] = self._clock.monotonic()
+        self._received_at[node] = self._used_at[node] = self._clock.monotonic()
         self._deliver(node, message)
 
     def _deliver(self, node: str, message: AnyMessage) -> None:
--- a/railsail/peers/levels.py
+++ b/railsail/peers/levels.py
@@ -31,12 +31,12 @@
 _HEARTBEAT = 1
 _QUARANTINE_NEWS = 6
 _OLDEST_HEARTBEAT = 5
-_NAME = "railsail."
+_SUBPROTOCOL_PREFIX = "railsail."
 # The negotiated levels by name, the highest first.
-SUBPROTOCOLS = [f"{_NAME}{level}" for level in range(NEWEST, QUARANTINE, -1)]
+SUBPROTOCOLS = [f"{_SUBPROTOCOL_PREFIX}{level}" for level in range(NEWEST, QUARANTINE, -1)]
 
 
-def choose(socket: object, offered: Sequence[str]) -> str | None:
+def select_subprotocol(socket: object, offered: Sequence[str]) -> str | None:
     """Return the subprotocol of the highest level that both sides speak.
 
     Return ``None`` if the dialling side, an older build, offers none. The default selection of the
@@ -45,19 +45,19 @@
     return next((name for name in SUBPROTOCOLS if name in offered), None)
 
 
-def negotiated(subprotocol: str | None) -> int:
+def negotiated_level(subprotocol: str | None) -> int:
     """Return the level that a link negotiated, the oldest if it has no subprotocol."""
     if subprotocol is None:
         return OLDEST
-    return int(subprotocol.removeprefix(_NAME))
+    return int(subprotocol.removeprefix(_SUBPROTOCOL_PREFIX))
 
 
-def shown(items: Sequence[object]) -> int:
+def inferred_level(items: Sequence[object]) -> int:
     """Return the minimum level that the sender of the raw messages ``items`` must have."""
-    return QUARANTINE if any(_shows_quarantine(item) for item in items) else OLDEST
+    return QUARANTINE if any(_implies_quarantine(item) for item in items) else OLDEST
 
 
-def _shows_quarantine(item: object) -> bool:
+def _implies_quarantine(item: object) -> bool:
     if not isinstance(item, list) or not item:
         return False
     # A build of level 1 sends a heartbeat with all of its fields, which are one more.
@@ -67,7 +67,7 @@
 def to_array(message: Message, level: int) -> list[object]:
     """Return ``message`` as an array that peers of ``level`` can read."""
     fitted = message.for_level(level)
-    names = fitted.__struct_fields__[: fitted.count_at(level)]
+    names = fitted.__struct_fields__[: fitted.field_count(level)]
     values = [_to_builtin(getattr(fitted, name), level) for name in names]
     tag = fitted.__struct_config__.tag
     return values if tag is None else [tag, *values]
--- a/railsail/peers/link.py
+++ b/railsail/peers/link.py
@@ -20,19 +20,19 @@
     encode_message,
     join_frame,
     load_frame,
-    read_messages,
+    parse_messages,
 )
 from railsail.peers.handshake import Accept, Challenge, Join
-from railsail.peers.levels import QUARANTINE, negotiated, shown
+from railsail.peers.levels import QUARANTINE, inferred_level, negotiated_level
 from railsail.peers.messages import AnyMessage
 
-MOST_QUEUED = 10_000
-HANDSHAKE_SECONDS = 3.0
+MAX_QUEUED_MESSAGES = 10_000
+HANDSHAKE_TIMEOUT_SECONDS = 3.0
 # Longest delay of a message that may share a frame with later ones. A shared frame saves the
 # headers of a frame and of a packet.
-PATIENCE_SECONDS = 0.1
+BATCH_SECONDS = 0.1
 _MS_SHIFT = 16
-_HALF = 1 << 15
+_HALF_TIME_MODULUS = 1 << 15
 
 
 class Socket(Protocol):
@@ -68,10 +68,10 @@
     join = decode_handshake(await _receive(socket))
     if not isinstance(join, Join) or join.version != PROTOCOL_VERSION:
         raise PeerRefused("the handshake is not of this version")
-    expected = auth.proof(secret, "join", nonce, join.nonce, join.node, join.start_id)
-    if not auth.same(expected, join.proof):
+    expected = auth.handshake_proof(secret, "join", nonce, join.nonce, join.node, join.start_id)
+    if not auth.equal_proofs(expected, join.proof):
         raise PeerRefused(f"{join.node} does not know the peer secret")
-    proof = auth.proof(secret, "accept", join.nonce, nonce, own.node, own.start_id)
+    proof = auth.handshake_proof(secret, "accept", join.nonce, nonce, own.node, own.start_id)
     await socket.send(encode_message(Accept(own.node, own.start_id, proof)))
     return Identity(join.node, join.start_id)
 
@@ -85,20 +85,22 @@
     if not isinstance(challenge, Challenge) or challenge.version != PROTOCOL_VERSION:
         raise PeerRefused("the handshake is not of this version")
     nonce = auth.new_nonce()
-    proof = auth.proof(secret, "join", challenge.nonce, nonce, own.node, own.start_id)
+    proof = auth.handshake_proof(secret, "join", challenge.nonce, nonce, own.node, own.start_id)
     join = Join(PROTOCOL_VERSION, own.node, own.start_id, nonce, proof)
     await socket.send(encode_message(join))
     accept = decode_handshake(await _receive(socket))
     if not isinstance(accept, Accept):
         raise PeerRefused("the handshake was not accepted")
-    expected = auth.proof(secret, "accept", nonce, challenge.nonce, accept.node, accept.start_id)
-    if not auth.same(expected, accept.proof):
+    expected = auth.handshake_proof(
+        secret, "accept", nonce, challenge.nonce, accept.node, accept.start_id
+    )
+    if not auth.equal_proofs(expected, accept.proof):
         raise PeerRefused(f"{accept.node} does not know the peer secret")
     return Identity(accept.node, accept.start_id)
 
 
 async def _receive(socket: Socket) -> bytes:
-    return await asyncio.wait_for(socket.recv(), HANDSHAKE_SECONDS)
+    return await asyncio.wait_for(socket.recv(), HANDSHAKE_TIMEOUT_SECONDS)
 
 
 class Link:
@@ -110,32 +112,32 @@
     def __init__(self, socket: Socket, peer: Identity, events: EventLog, metrics: Metrics) -> None:
         self.peer = peer
         # The protocol level of the peer; see ``railsail.peers.levels``.
-        self.level = negotiated(socket.subprotocol)
+        self.level = negotiated_level(socket.subprotocol)
         self._socket = socket
         self._events = events
         self._metrics = metrics
         self._queue: deque[bytes] = deque()
         self._wake = asyncio.Event()
-        self._overflown = False
+        self._overflowed = False
 
     def send(self, message: Message) -> None:
         """Queue ``message``; a link whose queue overflows is closed.
 
         A message that the peer's build does not know is dropped.
         """
-        if self.level < message.SINCE:
+        if self.level < message.SINCE_LEVEL:
             return
-        if len(self._queue) >= MOST_QUEUED:
-            self._overflown = True
+        if len(self._queue) >= MAX_QUEUED_MESSAGES:
+            self._overflowed = True
         encoded = encode_message(message, self.level)
         kind = {"kind": type(message).__name__}
         self._metrics.peer_messages.inc(kind)
         self._metrics.peer_bytes.add(kind, len(encoded))
         self._queue.append(encoded)
-        if not message.PATIENT:
+        if not message.SHARES_FRAME:
             self._wake.set()
         elif len(self._queue) == 1:
-            asyncio.get_running_loop().call_later(PATIENCE_SECONDS, self._wake.set)
+            asyncio.get_running_loop().call_later(BATCH_SECONDS, self._wake.set)
 
     async def run(self, receive: Callable[[AnyMessage], None]) -> None:
         """Send and receive until the link ends."""
@@ -161,14 +163,14 @@
                 data = await self._socket.recv()
                 items = load_frame(data)
                 if self.level < QUARANTINE:
-                    self.level = shown(items)
-                self._observe(items[0] % TIME_MODULUS)
-                for message in read_messages(items):
+                    self.level = inferred_level(items)
+                self._observe_time(items[0] % TIME_MODULUS)
+                for message in parse_messages(items):
                     receive(message)
 
     async def _write(self) -> None:
         with contextlib.suppress(ConnectionClosed, OSError):
-            while not self._overflown:
+            while not self._overflowed:
                 await self._wake.wait()
                 self._wake.clear()
                 encoded = list(self._queue)
@@ -178,20 +180,20 @@
                 frame = join_frame(self._events.hybrid.tick() >> _MS_SHIFT, encoded)
                 self._metrics.peer_bytes.add(
                     {"kind": "frame"},
-                    len(frame) - sum(map(len, encoded)) + frame_header(len(frame)),
+                    len(frame) - sum(map(len, encoded)) + _frame_header_bytes(len(frame)),
                 )
                 await self._socket.send(frame)
         await self.close()
 
-    def _observe(self, time_ms: int) -> None:
+    def _observe_time(self, time_ms: int) -> None:
         # The frame has the peer's time modulo 2**16 ms. The value nearest to our time is assumed.
         own = self._events.hybrid.tick() >> _MS_SHIFT
-        ahead = (time_ms - own + _HALF) % (2 * _HALF) - _HALF
+        ahead = (time_ms - own + _HALF_TIME_MODULUS) % (2 * _HALF_TIME_MODULUS) - _HALF_TIME_MODULUS
         if ahead >= 0:
             self._events.hybrid.observe((own + ahead + 1) << _MS_SHIFT)
 
 
-def frame_header(length: int) -> int:
+def _frame_header_bytes(length: int) -> int:
     """Return the size of a masked websocket header (RFC 6455) for ``length`` bytes of payload."""
     if length < 126:
         return 6
--- a/railsail/peers/messages.py
+++ b/railsail/peers/messages.py
@@ -32,7 +32,7 @@
 
 # For peers below the level ``QUARANTINE``: the results of calls to send in place of those that they
 # do not know. An answer that broke off becomes an error, and a caller that left becomes no result.
-_OLD_RESULTS = {4: 2, 5: 0}
+_RESULTS_BEFORE_QUARANTINE = {4: 2, 5: 0}
 
 
 class Heartbeat(Message, frozen=True, tag=1):
@@ -42,8 +42,8 @@
     ``quarantine`` are digests of what it knows of these.
     """
 
-    PATIENT: ClassVar[bool] = True
-    COUNTS: ClassVar[Mapping[int, int]] = {OLDEST: 4}
+    SHARES_FRAME: ClassVar[bool] = True
+    FIELD_COUNTS: ClassVar[Mapping[int, int]] = {OLDEST: 4}
 
     configuration: Natural
     members: Natural
@@ -86,7 +86,7 @@
 class QuarantineNews(Message, frozen=True, tag=6):
     """Send the crashes of replicas that are new to the sender, or all."""
 
-    SINCE: ClassVar[int] = QUARANTINE
+    SINCE_LEVEL: ClassVar[int] = QUARANTINE
 
     ends: Annotated[list[ReplicaEndRecord], msgspec.Meta(max_length=1000)]
 
@@ -98,7 +98,7 @@
     ``configuration`` the version of its active configuration.
     """
 
-    SINCE: ClassVar[int] = PROOFS
+    SINCE_LEVEL: ClassVar[int] = PROOFS
 
     sent: Natural
     configuration: Natural
@@ -108,7 +108,7 @@
 class RolloutUpdate(Message, frozen=True, tag=8):
     """Send the rollouts whose order or state is new to the sender, or all."""
 
-    SINCE: ClassVar[int] = ROLLOUTS
+    SINCE_LEVEL: ClassVar[int] = ROLLOUTS
 
     rollouts: Annotated[list[RolloutRecord], msgspec.Meta(max_length=1000)]
 
@@ -123,7 +123,7 @@
     there is none.
     """
 
-    COUNTS: ClassVar[Mapping[int, int]] = {QUARANTINE: 18, PROOFS: 19}
+    FIELD_COUNTS: ClassVar[Mapping[int, int]] = {QUARANTINE: 18, PROOFS: 19}
 
     number: Natural
     attempt: Natural
@@ -197,14 +197,14 @@
         """Return the message with a result that peers of ``level`` know."""
         if level >= QUARANTINE:
             return self
-        result = _OLD_RESULTS.get(self.result, self.result)
+        result = _RESULTS_BEFORE_QUARANTINE.get(self.result, self.result)
         return Release(self.number, self.attempt, self.cost, result)
 
 
 class Progress(Message, frozen=True, tag=15):
     """Raise the total charge of a running request to ``charged``."""
 
-    PATIENT: ClassVar[bool] = True
+    SHARES_FRAME: ClassVar[bool] = True
 
     number: Natural
     charged: Natural
@@ -255,7 +255,7 @@
     Only sums that changed are sent.
     """
 
-    PATIENT: ClassVar[bool] = True
+    SHARES_FRAME: ClassVar[bool] = True
 
     pool: Text
     epoch: Natural
@@ -268,7 +268,7 @@
     The root decides that all nodes exchange sums every ``period`` milliseconds.
     """
 
-    PATIENT: ClassVar[bool] = True
+    SHARES_FRAME: ClassVar[bool] = True
 
     pool: Text
     root: Text
@@ -283,7 +283,7 @@
     Request ``wanted`` of the tickets that wait in ``to_cell``.
     """
 
-    PATIENT: ClassVar[bool] = True
+    SHARES_FRAME: ClassVar[bool] = True
 
     pool: Text
     to_cell: Natural
@@ -375,7 +375,7 @@
     none are named.
     """
 
-    SINCE: ClassVar[int] = ROLLOUTS
+    SINCE_LEVEL: ClassVar[int] = ROLLOUTS
 
     service: Text
     cell: Natural
@@ -395,7 +395,7 @@
     went to the target version in ``term``, and ``running`` those in flight on other versions now.
     """
 
-    SINCE: ClassVar[int] = ROLLOUTS
+    SINCE_LEVEL: ClassVar[int] = ROLLOUTS
 
     service: Text
     cell: Natural
--- a/railsail/peers/records.py
+++ b/railsail/peers/records.py
@@ -26,7 +26,7 @@
 class UpstreamRecord(Message, frozen=True):
     """The record of a replica; see ``railsail.upstreams.records.Upstream``."""
 
-    COUNTS: ClassVar[Mapping[int, int]] = {PROOFS: 12}
+    FIELD_COUNTS: ClassVar[Mapping[int, int]] = {PROOFS: 12}
 
     name: Text
     pool: Text
@@ -84,7 +84,7 @@
     is pending, 0 once the answer has started.
     """
 
-    COUNTS: ClassVar[Mapping[int, int]] = {OLDEST: 7}
+    FIELD_COUNTS: ClassVar[Mapping[int, int]] = {OLDEST: 7}
 
     number: Natural
     attempt: Natural
--- a/railsail/peers/reference.py
+++ b/railsail/peers/reference.py
@@ -47,13 +47,13 @@
 def _row(kind: type[Message]) -> str:
     fields = ", ".join(_field(kind, number) for number in range(len(kind.__struct_fields__)))
     meaning = " ".join((kind.__doc__ or "").split())
-    name = f"{kind.__name__} ({kind.SINCE})" if kind.SINCE else kind.__name__
+    name = f"{kind.__name__} ({kind.SINCE_LEVEL})" if kind.SINCE_LEVEL else kind.__name__
     return f"| {_number(kind)} | {name} | {fields} | {meaning} |"
 
 
 def _field(kind: type[Message], number: int) -> str:
     name = kind.__struct_fields__[number]
-    unknown = [last for last, count in kind.COUNTS.items() if number >= count]
+    unknown = [last for last, count in kind.FIELD_COUNTS.items() if number >= count]
     return f"{name} ({max(unknown) + 1})" if unknown else name
 
 
--- a/tests/fleet/test_pauses.py
+++ b/tests/fleet/test_pauses.py
@@ -19,7 +19,7 @@
         now = node.clock.monotonic()
         # As after a suspension: all that was heard is old, and no beat came in between.
         for peer in node.hub.peers():
-            node.hub._heard[peer] = now - AWAY_SECONDS
+            node.hub._received_at[peer] = now - AWAY_SECONDS
         for peer in membership._monitored_since:
             membership._monitored_since[peer] = now - AWAY_SECONDS
         node.kernel.pauses.ended(AWAY_SECONDS, now)
--- a/tests/peers/test_frames.py
+++ b/tests/peers/test_frames.py
@@ -25,28 +25,28 @@
     """Return all recorded frames."""
     found = []
     for path in sorted(FRAMES.glob("*.json")):
-        build = json.loads(path.read_text())
-        for name, text in build["frames"].items():
-            found.append(Recorded(path.stem, build["level"], name, bytes.fromhex(text)))
+        recording = json.loads(path.read_text())
+        for name, text in recording["frames"].items():
+            found.append(Recorded(path.stem, recording["level"], name, bytes.fromhex(text)))
     return found
 
 
 class RecordedFrameTests(unittest.TestCase):
     def test_each_recorded_frame_is_read(self):
-        for kept in recorded():
-            with self.subTest(build=kept.build, message=kept.message):
-                _, (message,) = decode_frame(kept.frame)
-                self.assertEqual(type(message).__name__, kept.message)
+        for recorded_frame in recorded():
+            with self.subTest(build=recorded_frame.build, message=recorded_frame.message):
+                _, (message,) = decode_frame(recorded_frame.frame)
+                self.assertEqual(type(message).__name__, recorded_frame.message)
 
     def test_message_for_an_earlier_build_is_encoded_as_that_build_sent_it(self):
-        for kept in recorded():
-            with self.subTest(build=kept.build, message=kept.message):
-                time_ms, (message,) = decode_frame(kept.frame)
-                sent = join_frame(time_ms, [encode_message(message, kept.level)])
-                self.assertEqual(sent, kept.frame)
+        for recorded_frame in recorded():
+            with self.subTest(build=recorded_frame.build, message=recorded_frame.message):
+                time_ms, (message,) = decode_frame(recorded_frame.frame)
+                sent = join_frame(time_ms, [encode_message(message, recorded_frame.level)])
+                self.assertEqual(sent, recorded_frame.frame)
 
     def test_each_level_below_the_newest_has_recorded_frames(self):
-        levels = {kept.level for kept in recorded()}
+        levels = {recorded_frame.level for recorded_frame in recorded()}
         self.assertEqual(levels, set(range(NEWEST)))
 
 
--- a/tests/peers/test_levels.py
+++ b/tests/peers/test_levels.py
@@ -20,7 +20,14 @@
 from railsail.peers import hub as hub_module
 from railsail.peers.codec import decode_frame, encode_message, join_frame
 from railsail.peers.hub import PeerHub
-from railsail.peers.levels import NEWEST, OLDEST, PROOFS, QUARANTINE, negotiated, shown
+from railsail.peers.levels import (
+    NEWEST,
+    OLDEST,
+    PROOFS,
+    QUARANTINE,
+    inferred_level,
+    negotiated_level,
+)
 from railsail.peers.link import Identity
 from railsail.peers.messages import (
     Heartbeat,
@@ -46,7 +53,7 @@
     """Let hubs start and dial as builds below level 2, which do not negotiate a subprotocol."""
     with (
         mock.patch.object(hub_module, "SUBPROTOCOLS", None),
-        mock.patch.object(hub_module, "choose", None),
+        mock.patch.object(hub_module, "select_subprotocol", None),
     ):
         yield
 
@@ -57,10 +64,10 @@
 
 class ArrayTests(unittest.TestCase):
     def test_heartbeat_has_the_fields_of_the_level(self):
-        beat = Heartbeat(3, 1, 2, True, 77)
-        self.assertEqual(sent(beat, OLDEST), [1, 3, 1, 2, True])
-        self.assertEqual(sent(beat, QUARANTINE), [1, 3, 1, 2, True, 77])
-        self.assertEqual(sent(beat, NEWEST), [1, 3, 1, 2, True, 77])
+        heartbeat = Heartbeat(3, 1, 2, True, 77)
+        self.assertEqual(sent(heartbeat, OLDEST), [1, 3, 1, 2, True])
+        self.assertEqual(sent(heartbeat, QUARANTINE), [1, 3, 1, 2, True, 77])
+        self.assertEqual(sent(heartbeat, NEWEST), [1, 3, 1, 2, True, 77])
 
     def test_ticket_has_the_fields_of_the_level(self):
         for level in (OLDEST, QUARANTINE):
@@ -96,14 +103,14 @@
 
 class LevelTests(unittest.TestCase):
     def test_subprotocol_names_the_level(self):
-        self.assertEqual(negotiated(None), OLDEST)
-        self.assertEqual(negotiated(f"railsail.{NEWEST}"), NEWEST)
+        self.assertEqual(negotiated_level(None), OLDEST)
+        self.assertEqual(negotiated_level(f"railsail.{NEWEST}"), NEWEST)
 
     def test_level_of_a_peer_without_subprotocol_follows_from_what_it_sends(self):
-        self.assertEqual(shown([5, [1, 3, 1, 2, False]]), OLDEST)
-        self.assertEqual(shown([5, [1, 3, 1, 2, False, 0]]), QUARANTINE)
-        self.assertEqual(shown([5, [19], [6, []]]), QUARANTINE)
-        self.assertEqual(shown([5, [], 7, ["x"]]), OLDEST)
+        self.assertEqual(inferred_level([5, [1, 3, 1, 2, False]]), OLDEST)
+        self.assertEqual(inferred_level([5, [1, 3, 1, 2, False, 0]]), QUARANTINE)
+        self.assertEqual(inferred_level([5, [19], [6, []]]), QUARANTINE)
+        self.assertEqual(inferred_level([5, [], 7, ["x"]]), OLDEST)
 
 
 class LinkTests(unittest.IsolatedAsyncioTestCase):
@@ -154,22 +161,22 @@
 
     async def test_level_of_an_older_peer_rises_with_what_it_sends(self):
         dialling, accepting = await self.linked(True, False)
-        got = []
-        dialling.handle(QuarantineNews, lambda node, message: got.append(message))
-        dialling.handle(Heartbeat, lambda node, message: got.append(message))
+        received = []
+        dialling.handle(QuarantineNews, lambda node, message: received.append(message))
+        dialling.handle(Heartbeat, lambda node, message: received.append(message))
         accepting.send(dialling.own.node, QuarantineNews([]))
         accepting.send(dialling.own.node, Heartbeat(1, 2, 3))
         link = accepting._links[dialling.own.node][0]
         dialling._links[accepting.own.node][0].level = QUARANTINE
         dialling.send(accepting.own.node, Heartbeat(1, 2, 3))
         async with asyncio.timeout(30.0):
-            while link.level < QUARANTINE or not got:
+            while link.level < QUARANTINE or not received:
                 await asyncio.sleep(0.01)
-            self.assertEqual(got, [Heartbeat(1, 2, 3)])
+            self.assertEqual(received, [Heartbeat(1, 2, 3)])
             accepting.send(dialling.own.node, QuarantineNews([]))
-            while len(got) < 2:
+            while len(received) < 2:
                 await asyncio.sleep(0.01)
-        self.assertEqual(got[1], QuarantineNews([]))
+        self.assertEqual(received[1], QuarantineNews([]))
 
 
 if __name__ == "__main__":
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -146,19 +146,19 @@
     async def test_messages_arrive_in_order(self):
         first, second = await self.hub("s" * 20), await self.hub("s" * 20)
         await self.link(first, second)
-        got = []
+        received = []
         done = asyncio.get_running_loop().create_future()
 
-        def take(node: str, message: Granted) -> None:
-            got.append(message.number)
+        def receive(node: str, message: Granted) -> None:
+            received.append(message.number)
             if message.number == 499:
                 done.set_result(None)
 
-        second.handle(Granted, take)
+        second.handle(Granted, receive)
         for number in range(500):
             self.assertTrue(first.send(second.own.node, Granted(number, 1, "r", 0)))
         await done
-        self.assertEqual(got, list(range(500)))
+        self.assertEqual(received, list(range(500)))
 
     async def test_unused_links_are_closed_except_those_to_kept_nodes(self):
         first, second = await self.hub("s" * 20), await self.hub("s" * 20)
