--- a/railsail/peers/base.py
+++ b/railsail/peers/base.py
@@ -6,6 +6,8 @@
 
 import msgspec
 
+# Peers of another version are refused. Compatible changes of the messages raise the level instead
+# (see ``railsail.peers.levels``).
 PROTOCOL_VERSION = 1
 
 Text = Annotated[str, msgspec.Meta(max_length=256)]
--- a/railsail/peers/hub.py
+++ b/railsail/peers/hub.py
@@ -1,4 +1,4 @@
-"""All links of one daemon: accepts and dials peers, and passes messages to their handlers."""
+"""The links of one daemon to its peers, accepted or dialled, and the handlers of their messages."""
 
 import asyncio
 import contextlib
@@ -60,9 +60,13 @@
         self._up_listeners: list[Callable[[Identity], None]] = []
         self._down_listeners: list[Callable[[str], None]] = []
         self._links: dict[str, list[Link]] = {}
+        # By node: when its last message arrived, and when a link to it was last used, in seconds of
+        # the monotonic clock.
         self._received_at: dict[str, float] = {}
         self._used_at: dict[str, float] = {}
         self._dialling: dict[str, asyncio.Task] = {}
+        # By node, after a failed attempt to dial it: the backoff in seconds, and when it may be
+        # dialled again.
         self._dial_backoff: dict[str, float] = {}
         self._next_dial_at: dict[str, float] = {}
         self._tasks = TaskSet()
@@ -270,5 +274,5 @@
         try:
             handler(node, message)
         except Exception:
-            # One bad message must not end the link, which all other messages need too.
+            # One bad message must not end the link, which other messages need too.
             get_logger().exception("handler failed", peer=node, kind=type(message).__name__)
--- a/railsail/peers/levels.py
+++ b/railsail/peers/levels.py
@@ -30,7 +30,7 @@
 # level 0 as an array: its number, configuration, members, upstreams, wants_reply.
 _HEARTBEAT = 1
 _QUARANTINE_NEWS = 6
-_OLDEST_HEARTBEAT = 5
+_OLDEST_HEARTBEAT_LENGTH = 5
 _SUBPROTOCOL_PREFIX = "railsail."
 # The negotiated levels by name, the highest first.
 SUBPROTOCOLS = [f"{_SUBPROTOCOL_PREFIX}{level}" for level in range(NEWEST, QUARANTINE, -1)]
@@ -61,7 +61,9 @@
     if not isinstance(item, list) or not item:
         return False
     # A build of level 1 sends a heartbeat with all of its fields, which are one more.
-    return item[0] == _QUARANTINE_NEWS or (item[0] == _HEARTBEAT and len(item) > _OLDEST_HEARTBEAT)
+    return item[0] == _QUARANTINE_NEWS or (
+        item[0] == _HEARTBEAT and len(item) > _OLDEST_HEARTBEAT_LENGTH
+    )
 
 
 def to_array(message: Message, level: int) -> list[object]:
--- a/railsail/peers/link.py
+++ b/railsail/peers/link.py
@@ -67,7 +67,7 @@
     await socket.send(encode_message(Challenge(PROTOCOL_VERSION, nonce)))
     join = decode_handshake(await _receive(socket))
     if not isinstance(join, Join) or join.version != PROTOCOL_VERSION:
-        raise PeerRefused("the handshake is not of this version")
+        raise PeerRefused("unexpected message or protocol version in the handshake")
     expected = auth.handshake_proof(secret, "join", nonce, join.nonce, join.node, join.start_id)
     if not auth.equal_proofs(expected, join.proof):
         raise PeerRefused(f"{join.node} does not know the peer secret")
@@ -83,7 +83,7 @@
     """
     challenge = decode_handshake(await _receive(socket))
     if not isinstance(challenge, Challenge) or challenge.version != PROTOCOL_VERSION:
-        raise PeerRefused("the handshake is not of this version")
+        raise PeerRefused("unexpected message or protocol version in the handshake")
     nonce = auth.new_nonce()
     proof = auth.handshake_proof(secret, "join", challenge.nonce, nonce, own.node, own.start_id)
     join = Join(PROTOCOL_VERSION, own.node, own.start_id, nonce, proof)
--- a/railsail/peers/messages.py
+++ b/railsail/peers/messages.py
@@ -94,13 +94,13 @@
 class ProofNews(Message, frozen=True, tag=7):
     """Send proofs that the sender has all changes of the store; see ``railsail.store.proofs``.
 
-    ``sent`` is the time of sending in milliseconds of the sender's monotonic clock, and
+    ``sent_at`` is the time of sending in milliseconds of the sender's monotonic clock, and
     ``configuration`` the version of its active configuration.
     """
 
     SINCE_LEVEL: ClassVar[int] = PROOFS
 
-    sent: Natural
+    sent_at: Natural
     configuration: Natural
     proofs: Annotated[list[ProofRecord], msgspec.Meta(max_length=32)]
 
--- a/railsail/store/calls.py
+++ b/railsail/store/calls.py
@@ -15,6 +15,7 @@
 NOT_FOUND = 404
 CONFLICT = 409
 GONE = 410
+# The status that Tornado gives to a call without a response.
 _NO_RESPONSE = 599
 # Longest time for which a ``Retry-After`` of the store is obeyed. The store may recover before the
 # time that it named, and a change must be in force on all nodes within three seconds.
@@ -22,7 +23,7 @@
 
 
 class StoreCalls:
-    """Make HTTP calls, each with a ``timeout`` in seconds and a bound on its response size."""
+    """An HTTP client that makes each call once, with a ``timeout`` in seconds."""
 
     def __init__(self, metrics: Metrics, timeout: float, max_response_bytes: int) -> None:
         self._metrics = metrics
@@ -82,8 +83,9 @@
         self._backoff_until[endpoint] = max(self._backoff_until.get(endpoint, 0.0), until)
 
     async def _fetch(self, request: HTTPRequest) -> HTTPResponse:
-        # Tornado logs an error if a fetch fails after it was cancelled. The fetch is therefore
-        # shielded: it runs to its end if the caller is cancelled.
+        # Tornado logs an error if a fetch fails after its future was cancelled. The fetch is
+        # therefore shielded, and runs to its end if the caller is cancelled. The callback retrieves
+        # its exception, which asyncio would log otherwise.
         future = asyncio.ensure_future(self._client.fetch(request, raise_error=False))
         future.add_done_callback(lambda finished: finished.cancelled() or finished.exception())
         return await asyncio.shield(future)
--- a/railsail/store/claims.py
+++ b/railsail/store/claims.py
@@ -31,7 +31,10 @@
 
 
 class ClaimResult(enum.IntEnum):
-    """The result of a claim or of its release."""
+    """The result of a claim or of its release.
+
+    ``HELD`` means that another claim holds the key.
+    """
 
     CLAIMED = 0
     HELD = 1
@@ -91,9 +94,9 @@
 
 
 class ClaimShard:
-    """Write the claims of one shard to its journal, in batches.
+    """The claims of one shard, which are written to its journal in batches.
 
-    Claims are kept for at least ``keep_seconds``.
+    They are kept for at least ``keep_seconds``.
     """
 
     def __init__(
@@ -106,6 +109,7 @@
         self._head: Head | None = None
         # By the number of an archived part that was read: the time of its last record.
         self._part_end_times: dict[int, float] = {}
+        # By key: the last record of the journal, as its time and claim.
         self._index: dict[bytes, tuple[float, Claim]] = {}
         self._pending: list[_Pending] = []
         self._writing: asyncio.Task | None = None
--- a/railsail/store/freshness.py
+++ b/railsail/store/freshness.py
@@ -13,7 +13,7 @@
 class Proof(msgspec.Struct, frozen=True):
     """Proof that a node has all changes of ``kind`` up to the store's ``version``.
 
-    That was the newest version at ``at``, in seconds of the monotonic clock.
+    That version was the store's newest one at ``at``, in seconds of the monotonic clock.
     """
 
     kind: str
@@ -34,7 +34,7 @@
         self._listeners.append(listener)
 
     def now(self) -> float:
-        """Return the time, by the clock of proofs."""
+        """Return the current time by the clock that proofs use, in seconds."""
         return self._monotonic()
 
     def record_own(self, proof: Proof) -> None:
--- a/railsail/store/proofs.py
+++ b/railsail/store/proofs.py
@@ -1,9 +1,9 @@
 """Exchange of proofs between peers, which shows all nodes that some node reads the store.
 
 Proofs are forwarded from neighbour to neighbour on the same links as changes, and after them. A
-node that receives a proof has therefore received all changes that its sender had. A new link is the
-exception, since what was sent before is missing there. For the configuration this is detected by
-its version, which each message names.
+node that receives a proof has therefore received all changes that its sender had. The exception is
+a new link, on which changes that were sent before do not arrive. For the configuration this is
+detected by its version, which each message with proofs names.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 
 
 class ProofExchange:
-    """Send the newest proofs to neighbours, and record those that they send.
+    """The exchange of the newest proofs with the neighbours of this node.
 
     ``max_wait`` returns the maximum wait of a watch of a kind, in seconds.
     ``configuration_version`` returns the version of the active configuration, and
@@ -85,7 +85,7 @@
 
         A link that was cut delivers late what was sent before the cut.
         """
-        difference = self._freshness.now() - update.sent / 1000
+        difference = self._freshness.now() - update.sent_at / 1000
         minimum = min(difference, self._min_clock_difference.get(node, difference))
         self._min_clock_difference[node] = minimum
         return difference - minimum
--- a/railsail/store/standby.py
+++ b/railsail/store/standby.py
@@ -34,7 +34,7 @@
 
 
 class Standby:
-    """Decide when one node reads some kinds.
+    """The decision when one node reads some kinds in place of the nodes that watch.
 
     ``max_wait`` is the maximum wait of a watch of these kinds in seconds, and ``fleet_size``
     returns the number of members.
--- a/railsail/store/watcher.py
+++ b/railsail/store/watcher.py
@@ -52,7 +52,7 @@
 
 
 class StoreWatcher:
-    """Reads the kinds that are followed, and calls their listeners.
+    """The reader of all kinds that this node follows, which calls their listeners.
 
     ``is_watcher`` returns True if this node is one of the few that watch, and ``fleet_size``
     returns the number of members. A watch waits ``watch_seconds`` at most.
