--- a/railsail/peers/messages.py
+++ b/railsail/peers/messages.py
@@ -120,7 +120,8 @@
     ticket may wait for ``patience`` milliseconds. If it is refused, its caller is expected to retry
     within ``returns_within`` milliseconds, with a request of the same ``fingerprint``. Its entry
     may not send it to the replicas ``excluded``. ``route`` is the fingerprint of its route, 0 if
-    there is none.
+    there is none. For the other fields see ``railsail.scheduling.tickets.Ticket``; ``rank`` is in
+    thousandths, ``waited`` and ``objective`` are in milliseconds.
     """
 
     FIELD_COUNTS: ClassVar[Mapping[int, int]] = {QUARANTINE: 18, PROOFS: 19}
--- a/railsail/store/watcher.py
+++ b/railsail/store/watcher.py
@@ -24,7 +24,8 @@
 
 LIST_INTERVAL_SECONDS = 60.0
 STANDBY_LIST_INTERVAL_SECONDS = 600.0
-# How often a node that does not watch checks whether it should. The check makes no call.
+# Bounds of the interval at which a node that does not watch checks whether it should start to read.
+# The check makes no call.
 MAX_CHECK_INTERVAL_SECONDS = 0.5
 MIN_CHECK_INTERVAL_SECONDS = 0.01
 # Maximum wait of the first watch after a node started to read, which so learns at once whether
--- a/tests/store/test_claims.py
+++ b/tests/store/test_claims.py
@@ -24,11 +24,11 @@
         self.puts = 0
 
     async def get(self, kind, name):
-        await self._turn()
+        await self._maybe_fail()
         return self.objects.get((kind, name))
 
     async def put(self, kind, name, value, expected):
-        await self._turn()
+        await self._maybe_fail()
         stored = self.objects.get((kind, name))
         if expected != (stored.version if stored else 0):
             raise StoreConflict(name)
@@ -40,10 +40,10 @@
         return self.version
 
     async def delete(self, kind, name, expected):
-        await self._turn()
+        await self._maybe_fail()
         self.objects.pop((kind, name), None)
 
-    async def _turn(self):
+    async def _maybe_fail(self):
         await asyncio.sleep(0)
         if self.rng.random() < self.fail:
             raise StoreUnavailable("down")
@@ -91,13 +91,13 @@
         # Shows that the tests above can fail.
         store = MemoryStore(1)
 
-        async def careless(kind, name, value, expected):
+        async def unconditional_put(kind, name, value, expected):
             await asyncio.sleep(0)
             store.version += 1
             store.objects[(kind, name)] = StoredObject(kind, name, store.version, value)
             return store.version
 
-        store.put = careless
+        store.put = unconditional_put
         with self.assertRaises(AssertionError):
             await self.race(store, keys=150)
 
@@ -117,9 +117,9 @@
 
     async def test_new_batcher_reads_archived_claims(self):
         store = MemoryStore(1)
-        first = self.shard(store)
+        writer = self.shard(store)
         for number in range(200):
-            await first.make(claim(f"k{number}", "n0"))
+            await writer.make(claim(f"k{number}", "n0"))
         answer = await self.shard(store).make(claim("k3", "n1"))
         self.assertIs(answer.result, ClaimResult.HELD)
 
--- a/tests/store/test_watcher.py
+++ b/tests/store/test_watcher.py
@@ -18,7 +18,7 @@
 from railsail.store.watcher import BATCH_SECONDS, StoreWatcher
 
 KIND = "upstream"
-GROUP = 20
+GROUP_SIZE = 20
 
 
 class GroupStore:
@@ -48,37 +48,37 @@
         return WatchResult(events[-1].version, events)
 
 
-def watching(
+def make_watcher(
     store: GroupStore,
-    watches: Callable[[], bool],
+    is_watcher: Callable[[], bool],
     seconds: float,
     freshness: Freshness | None = None,
 ) -> StoreWatcher:
     """Return a watcher of ``store`` in a fleet of nine nodes; watches wait ``seconds`` at most."""
     freshness = freshness or Freshness(steady_seconds)
     events = EventLog("n", Clock())
-    return StoreWatcher(store, watches, lambda: 9, seconds, freshness, events, random.Random(1))
+    return StoreWatcher(store, is_watcher, lambda: 9, seconds, freshness, events, random.Random(1))
 
 
-class GroupTests(unittest.IsolatedAsyncioTestCase):
+class ChangeGroupTests(unittest.IsolatedAsyncioTestCase):
     async def test_group_of_changes_takes_few_calls_and_none_is_lost(self):
         store = GroupStore()
         seen: list[int] = []
-        watcher = watching(store, lambda: True, 30.0)
+        watcher = make_watcher(store, lambda: True, 30.0)
         watcher.follow(KIND, lambda listing: None, lambda event: seen.append(event.version))
         task = asyncio.ensure_future(watcher.run())
         while not store.watches:
             await asyncio.sleep(0)
-        for version in range(1, GROUP + 1):
+        for version in range(1, GROUP_SIZE + 1):
             store.change(version)
             # Without the delay between watches, each change would end a watch of its own.
             for _ in range(10):
                 await asyncio.sleep(0)
-        while len(seen) < GROUP:
+        while len(seen) < GROUP_SIZE:
             await asyncio.sleep(BATCH_SECONDS / 10)
         task.cancel()
-        self.assertEqual(seen, list(range(1, GROUP + 1)))
-        self.assertLess(store.watches, GROUP / 2)
+        self.assertEqual(seen, list(range(1, GROUP_SIZE + 1)))
+        self.assertLess(store.watches, GROUP_SIZE / 2)
 
 
 class ListingTests(unittest.IsolatedAsyncioTestCase):
@@ -86,9 +86,9 @@
 
     async def test_node_that_stops_watching_lists_as_rarely_as_the_others(self):
         store = GroupStore()
-        watches = True
+        is_watcher = True
         listings = []
-        watcher = watching(store, lambda: watches, 0.05)
+        watcher = make_watcher(store, lambda: is_watcher, 0.05)
         watcher.follow(KIND, listings.append, lambda event: None)
         with (
             mock.patch.object(watcher_module, "LIST_INTERVAL_SECONDS", 1.0),
@@ -98,7 +98,7 @@
             task = asyncio.ensure_future(watcher.run())
             while not store.watches:
                 await asyncio.sleep(0)
-            watches = False
+            is_watcher = False
             store.change(1)
             await asyncio.sleep(2.0)
             task.cancel()
@@ -115,13 +115,13 @@
         store = GroupStore()
         seen: list[int] = []
 
-        def take(event: WatchEvent) -> None:
+        def on_event(event: WatchEvent) -> None:
             if event.version == 1:
                 raise LookupError("an object that the listener cannot handle")
             seen.append(event.version)
 
-        watcher = watching(store, lambda: True, 30.0)
-        watcher.follow(KIND, lambda listing: None, take)
+        watcher = make_watcher(store, lambda: True, 30.0)
+        watcher.follow(KIND, lambda listing: None, on_event)
         task = asyncio.ensure_future(watcher.run())
         store.change(1)
         store.change(2)
@@ -135,26 +135,26 @@
         self.assertEqual(seen, [2, 3])
 
 
-class OthersTests(unittest.IsolatedAsyncioTestCase):
+class NonWatcherTests(unittest.IsolatedAsyncioTestCase):
     """A node that does not watch lists once, also if it chose itself to watch at first."""
 
     async def test_node_that_learns_of_other_members_does_not_watch_or_list_again(self):
         store = GroupStore()
         lists: list[Listing] = []
-        watches = [True]
+        is_watcher = [True]
         with mock.patch.object(watcher_module, "MEMBER_DISCOVERY_SECONDS", 0.05):
-            watcher = watching(store, lambda: watches[0], 2.0)
+            watcher = make_watcher(store, lambda: is_watcher[0], 2.0)
             watcher.follow(KIND, lists.append, lambda event: None)
             task = asyncio.ensure_future(watcher.run())
             while not lists:
                 await asyncio.sleep(0)
-            watches[0] = False
+            is_watcher[0] = False
             await asyncio.sleep(0.5)
             task.cancel()
         self.assertEqual((len(lists), store.watches), (1, 0))
 
 
-class SilentStore(GroupStore):
+class FailingStore(GroupStore):
     """A store that records the versions that it is watched from, and refuses watches while down."""
 
     def __init__(self) -> None:
@@ -179,27 +179,27 @@
         return WatchResult(since, events)
 
 
-class UntoldTests(unittest.IsolatedAsyncioTestCase):
-    """A store that records the versions it is watched from, and refuses watches while down."""
+class StandbyReadTests(unittest.IsolatedAsyncioTestCase):
+    """A node that leaves watching to others reads the store if their proofs do not arrive."""
 
     WATCH_SECONDS = 0.2
     # Long enough that no proof becomes too old during a test, also on a slow machine.
     LONG_WATCH_SECONDS = 300.0
 
     async def asyncSetUp(self) -> None:
-        self.hold(mock.patch.object(watcher_module, "MEMBER_DISCOVERY_SECONDS", 0.0))
-        self.hold(mock.patch.object(standby_module, "INITIAL_BACKOFF_SECONDS", 0.01))
+        self.start_patch(mock.patch.object(watcher_module, "MEMBER_DISCOVERY_SECONDS", 0.0))
+        self.start_patch(mock.patch.object(standby_module, "INITIAL_BACKOFF_SECONDS", 0.01))
 
     def start(self, watch_seconds: float) -> None:
-        self.store = SilentStore()
+        self.store = FailingStore()
         self.freshness = Freshness(steady_seconds)
-        watcher = watching(self.store, lambda: False, watch_seconds, self.freshness)
+        watcher = make_watcher(self.store, lambda: False, watch_seconds, self.freshness)
         self.seen: list[WatchEvent] = []
         watcher.follow(KIND, lambda listing: None, self.seen.append)
         task = asyncio.ensure_future(watcher.run())
         self.addCleanup(task.cancel)
 
-    def hold(self, patch) -> None:
+    def start_patch(self, patch) -> None:
         patch.start()
         self.addCleanup(patch.stop)
 
@@ -224,7 +224,9 @@
     async def test_deletion_of_objects_that_expired_during_an_outage_is_ignored(self):
         """The objects are listed instead, once their writers have written them again."""
         self.start(self.WATCH_SECONDS)
-        self.hold(mock.patch.object(outage_module, "OBJECT_EXPIRY_SECONDS", self.WATCH_SECONDS))
+        self.start_patch(
+            mock.patch.object(outage_module, "OBJECT_EXPIRY_SECONDS", self.WATCH_SECONDS)
+        )
         self.store.events = (WatchEvent(KIND, "r1", 5, None),)
         self.store.down = True
         await self.until(lambda: self.store.since)
