--- a/railsail/store/standby.py
+++ b/railsail/store/standby.py
@@ -25,7 +25,7 @@
 MAX_READING_SHARE = 5.0
 
 # Maximum age of the newest proof while this node or one of its peers can read the store: nodes with
-# an older proof start to read, and a call takes a moment.
+# an older proof start to read, and their first call takes a moment.
 PROVED_SHARE = 1.1
 
 # Bounds of the backoff after failed calls.
