--- a/railsail/admin/__init__.py
+++ b/railsail/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP interface for operators."""
+"""The operators' HTTP interface."""
--- a/railsail/admin/app.py
+++ b/railsail/admin/app.py
@@ -23,7 +23,7 @@
 
 
 class _Handler(RequestHandler):
-    """The base of all handlers: JSON in and out, and a bearer secret."""
+    """Base class of the handlers: JSON bodies, and authentication by a bearer secret."""
 
     open_to_all = False
 
@@ -31,7 +31,7 @@
         self.node = node
 
     def check_xsrf_cookie(self) -> None:
-        """Do nothing: operators are known by a bearer secret, not by cookies."""
+        """Do nothing: operators authenticate by a bearer secret, not by cookies."""
 
     def prepare(self) -> None:
         if self.open_to_all:
@@ -187,7 +187,7 @@
 
 
 def read_proposal(body: dict[str, object], version: int, findings: list[Finding]) -> Proposal:
-    """Return the change that ``body`` asks for; add what is wrong to ``findings``."""
+    """Return the change that ``body`` proposes, and add its faults to ``findings``."""
     base = body.get("base", version)
     if not isinstance(base, int) or isinstance(base, bool) or base < 0:
         findings.append(error("railsail.E015", "must be a whole number", "base"))
@@ -222,7 +222,7 @@
 
 
 def application(node: Operated) -> Application:
-    """Return the tornado application of ``node``'s operators' interface."""
+    """Return the tornado application that serves the operators' interface of ``node``."""
     share = {"node": node}
     rules = [
         (r"/live", _Live, share),
--- a/railsail/admin/status.py
+++ b/railsail/admin/status.py
@@ -1,4 +1,4 @@
-"""What operators are told of one daemon, as plain data."""
+"""The status of one daemon for operators, as plain data."""
 
 from collections.abc import Mapping
 from typing import Protocol
@@ -21,7 +21,7 @@
 
 
 class Operated(Protocol):
-    """What the operators' interface needs of a daemon; ``railsail.node.Node`` has it."""
+    """The part of ``railsail.node.Node`` that the operators' interface uses."""
 
     settings: Settings
     start_id: int
@@ -41,14 +41,14 @@
     parts: Mapping[str, Part]
 
     def not_ready(self) -> list[str]:
-        """Return the reasons why the balancer must send no callers."""
+        """Return the reasons why the balancer must not send callers; empty if ready."""
 
     def begin_drain(self, cause: str) -> None:
-        """Begin a planned stop."""
+        """Start a planned stop."""
 
 
 def status(node: Operated) -> dict[str, object]:
-    """Return state, version, members, replicas and cells of ``node``."""
+    """Return the state, configuration version, members, replicas and cells of ``node``."""
     return {
         "node": node.settings.node_id,
         "start_id": node.start_id,
--- a/railsail/daemon.py
+++ b/railsail/daemon.py
@@ -6,7 +6,7 @@
 def main() -> None:
     """Run the daemon."""
     with lean_imports():
-        # Imported only now, since it imports the libraries whose parts are skipped.
+        # Imported here, since it imports the libraries whose unused modules are skipped.
         from railsail.process import run
 
     run()
--- a/railsail/node.py
+++ b/railsail/node.py
@@ -1,4 +1,4 @@
-"""One daemon: its parts, how they are connected, and how it starts and stops."""
+"""A daemon: its parts, how they are connected, and how it starts and stops."""
 
 import asyncio
 import contextlib
@@ -84,15 +84,16 @@
 NATIVE_INTERFACE = "native"
 FIRST_LOOK_SECONDS = 3.0
 TICK_SECONDS = 0.5
-# Evacuations are rare, and may take longer to be known than changes of replicas and routes: their
-# watches last so many times as long.
+# Evacuations are rare, and may reach the daemons later than changes of replicas and routes. Their
+# watches last this many times as long.
 EVACUATION_WATCHES = 2
 DRAIN_POLL_SECONDS = 0.05
-# A stopping node lets its peers take over before it goes on to wait for its requests.
+# A stopping node waits for its peers to take over its cells before it waits for its requests.
 HAND_OVER_SECONDS = 0.5
 MOST_HEADER_BYTES = 32 << 10
-# Connections that may wait to be accepted; the system drops what comes beyond, and callers then
-# wait a second or more before they try again. A burst of callers brings several hundred at once.
+# The listen backlog: connections that may wait to be accepted. The system drops further ones, and
+# their callers wait a second or more before they retry. A burst of callers opens several hundred
+# connections at once.
 MOST_UNACCEPTED = 1024
 
 
@@ -107,7 +108,8 @@
         self.settings = settings
         self.clock = clock or Clock()
         self.rng = rng or random.Random(secrets.randbits(64))
-        # Ids have a generator of their own, so that a session with a seed has the same ids always.
+        # Request ids have a generator of their own, so that runs with the same seed have the same
+        # ids.
         self._id_rng = random.Random(self.rng.getrandbits(64))
         self.lifecycle = Lifecycle()
         self.metrics = Metrics()
@@ -297,7 +299,8 @@
         self.front: RouteFront | None = None
         self.forwarder: Forwarder | None = None
         self.connections: ConnectionPool | None = None
-        # The servers of callers, and of requests that other nodes hand on.
+        # The servers for callers and for requests that other nodes forward; empty with the native
+        # interface.
         self.clients: list[ClientServer] = []
         if settings.caller_interface != NATIVE_INTERFACE:
             self._build_routes()
@@ -370,7 +373,7 @@
 
     @property
     def start_id(self) -> int:
-        """Return what tells this process from earlier ones at the same address."""
+        """Return the number that distinguishes this process from earlier ones at its address."""
         return self.hub.own.start_id
 
     def _catalog(self) -> Catalog:
@@ -380,8 +383,10 @@
         return [pool.name for pool in self._catalog().of_kind(Pool)]
 
     def _watches_store(self) -> bool:
-        # Builds that know no eras tell changes with versions that lose against those of this build,
-        # so that where such a peer may be among the few that watch, this node watches as well.
+        # Only a few nodes watch the store, and send its changes to the others. Builds without store
+        # generations send versions that sort before those of this build, so that their changes
+        # would be ignored here. While such a peer may be one of the watching nodes, this node
+        # watches the store itself.
         return self.view.watches_store() or (
             self.watcher.era > 0 and self.hub.has_peers_below(ERAS)
         )
@@ -402,7 +407,7 @@
         return f"req-{self._id_rng.getrandbits(64):016x}"
 
     def _all_dispatchers(self) -> set[str]:
-        """Return the nodes that dispatch cells of any pool."""
+        """Return the nodes that are dispatchers of a cell of any pool."""
         cells = [cell for pool in self._pools() for cell in self.cells.cells(pool)]
         return {self.cells.dispatcher(cell) for cell in cells}
 
@@ -432,13 +437,16 @@
             self.hub.send(node, self.carrier.news_since(request.configuration))
 
     def _paused(self, seconds: float) -> None:
-        self.events.emit(Kind.STATE, "the process stood still", paused_ms=round(seconds * 1000))
+        self.events.emit(Kind.STATE, "the process was paused", paused_ms=round(seconds * 1000))
 
     def _state_changed(self, state: State) -> None:
         self.events.emit(Kind.STATE, state=state)
 
     async def start(self) -> None:
-        """Open the ports, and become ready when there is a configuration."""
+        """Open the ports, start the parts, and become ready once the store has been tried.
+
+        A store that doesn't answer delays this by at most ``FIRST_LOOK_SECONDS``.
+        """
         await self.hub.start()
         self._listen(self.settings.admin_port, admin_app.application(self))
         self._listen_to_callers()
@@ -462,7 +470,7 @@
         self.membership.change_own(forward_port=port)
 
     def _listen(self, port: int, application) -> int:
-        """Serve ``application`` at ``port``, 0 for a free one, and return the port."""
+        """Serve ``application`` at ``port``, or at a free port if it is 0; return the port."""
         server = HTTPServer(
             application,
             max_body_size=self.settings.max_body_bytes,
@@ -480,13 +488,13 @@
         await self.lag.every(TICK_SECONDS, self._tick)
 
     def _tick(self) -> None:
-        # What can be reached changes without any message; the cells follow twice a second.
+        # Reachability changes without a message, so that the cells are recomputed with each tick.
         self.cells.forget()
         self.tickets.replan()
         self.tickets.tick()
 
     def not_ready(self) -> list[str]:
-        """Return the reasons why the balancer must send no callers here; none if it may."""
+        """Return the reasons why the balancer must not send callers here; empty if ready."""
         reasons = []
         if self.lifecycle.state is not State.READY:
             reasons.append(f"state is {self.lifecycle.state}")
@@ -503,7 +511,7 @@
         return any(self.membership.reachable(node) for node in peers)
 
     def reload(self, settings: Settings) -> None:
-        """Take new seeds from ``settings``; what else has changed waits for a restart."""
+        """Add the seeds of ``settings``; other changes take effect after a restart."""
         changed = [
             field.name
             for field in fields(settings)
@@ -514,19 +522,20 @@
         get_logger().info("settings reloaded", changed=changed, after_restart=later)
 
     def begin_drain(self, cause: str) -> None:
-        """Begin a planned stop; the process then ends by itself."""
+        """Start a planned stop, at whose end the process exits."""
         get_logger().info("drain asked for", cause=cause)
         self._draining.set()
 
     async def run_until_drained(self) -> None:
-        """Wait for a planned stop to be asked for, and carry it out."""
+        """Wait until a planned stop is requested, and carry it out."""
         await self._draining.wait()
         await self.drain()
 
     async def drain(self) -> None:
-        """Stop without cutting a request: not ready, roles handed over, requests ended.
+        """Prepare a stop that cuts no requests.
 
-        Requests that still run after ``drain_seconds`` are cut, with their outcome unknown.
+        Become not ready, transfer the cells to other nodes, and wait for the running requests.
+        Requests that still run after ``drain_seconds`` will be cut, with an unknown outcome.
         """
         self.lifecycle.advance(State.DRAINING)
         for clients in self.clients:
@@ -537,7 +546,7 @@
         self.tickets.replan()
         loop = asyncio.get_running_loop()
         ends = loop.time() + self.settings.drain_seconds
-        # The balancer sends callers until it has seen that this node is not ready.
+        # The balancer keeps sending callers until it notices that this node isn't ready.
         await asyncio.sleep(max(self.settings.leave_seconds, HAND_OVER_SECONDS))
         for clients in self.clients:
             clients.close_idle()
@@ -546,16 +555,17 @@
 
     @property
     def requests(self) -> int:
-        """Return how many requests run here, or were handed on and are not answered yet.
+        """Return the number of requests that this node has received and not answered yet.
 
-        A stopping node waits for them, also for those that were read and are not admitted yet.
+        If routes are served, these include forwarded requests and requests that aren't admitted
+        yet. A stopping node waits for all of them.
         """
         if self.clients:
             return sum(clients.busy for clients in self.clients)
         return self.admission.total
 
     async def stop(self) -> None:
-        """Close everything, after claims of requests that were not run are given back."""
+        """Close everything, but first wait up to a second for releases of claims in progress."""
         self.lifecycle.advance(State.STOPPED)
         for server in self._servers:
             server.stop()
@@ -563,7 +573,7 @@
         await self.abort()
 
     async def abort(self) -> None:
-        """Close everything at once; peers are told nothing."""
+        """Close everything at once, without notifying peers."""
         for server in self._servers:
             server.stop()
         for task in self._tasks:
--- a/railsail/process.py
+++ b/railsail/process.py
@@ -1,4 +1,4 @@
-"""The process of a daemon: settings, signals, exit codes."""
+"""The daemon's process: settings, signals and exit codes."""
 
 import asyncio
 import os
@@ -20,7 +20,7 @@
 
 
 def run() -> None:
-    """Read the settings, and run until a planned stop has ended; then exit."""
+    """Read the settings, run until a planned stop is complete, and exit."""
     try:
         parsed = parse(sys.argv[1:], os.environ)
     except ImproperlyConfigured as problem:
@@ -63,7 +63,7 @@
 
     def on_signal(number: signal.Signals) -> None:
         if asked:
-            # Whoever signals twice does not want to wait.
+            # A second signal skips the rest of the drain.
             cut.set()
         asked.append(number)
         node.begin_drain(number.name)
@@ -74,7 +74,7 @@
 
 
 def reload(node: Node, arguments: Sequence[str], environment: Mapping[str, str]) -> None:
-    """Read the settings anew; what is wrong with them is logged, and the old ones stay."""
+    """Reload the settings; if they have findings, log these and keep the old settings."""
     try:
         node.reload(parse(arguments, environment).settings)
     except ImproperlyConfigured as problem:
