--- a/railsail/conf/__init__.py
+++ b/railsail/conf/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of a daemon, read from flags and environment variables."""
+"""The settings of a daemon, read from flags, environment variables and a file."""
--- a/railsail/conf/settings.py
+++ b/railsail/conf/settings.py
@@ -1,7 +1,7 @@
-"""The settings of a daemon: their definitions, and how they are read.
+"""The settings of a daemon: their definitions and how they are read.
 
-Each setting is one ``Option``. The reference page ``docs/ref/settings.md`` is made from these
-definitions, so that it cannot fall behind them.
+Each setting is an ``Option``. The reference page ``docs/ref/settings.md`` is generated from these
+definitions, so that it is always up to date.
 """
 
 from collections.abc import Mapping, Sequence
@@ -34,7 +34,10 @@
 
 @dataclass(frozen=True)
 class Option:
-    """One setting: its ``name``, how its text is converted, its default and its help."""
+    """A setting: its name, the converter of its text, its help text and its default.
+
+    A setting without a default is required.
+    """
 
     name: str
     converter: Converter
@@ -43,147 +46,188 @@
 
     @property
     def flag(self) -> str:
-        """Return the flag, as in ``--peer-port``."""
+        """Return the flag, such as ``--peer-port``."""
         return "--" + self.name.replace("_", "-")
 
     @property
     def variable(self) -> str:
-        """Return the environment variable, as in ``RAILSAIL_PEER_PORT``."""
+        """Return the environment variable, such as ``RAILSAIL_PEER_PORT``."""
         return ENVIRONMENT_PREFIX + self.name.upper()
 
 
 OPTIONS = (
-    Option("node_ip", IPAddress(), "IP number at which this node is reached.", "127.0.0.1"),
+    Option("node_ip", IPAddress(), "IP address at which this node is reached.", "127.0.0.1"),
     Option("caller_port", Port(), "TCP port for callers.", "8080"),
     Option("admin_port", Port(), "TCP port for operators and metrics.", "8081"),
     Option("peer_port", Port(), "TCP port for links from other daemons.", "8082"),
     Option(
         "forward_port",
         Number(0, 65_535),
-        "TCP port for requests that other daemons hand on; 0 takes a free one.",
+        "TCP port for requests that other daemons forward; 0 takes a free one.",
+        "0",
+    ),
+    Option(
+        "listen_port",
+        Number(0, 65_535),
+        "TCP port to listen on for peers, if the peer port is mapped to another one; 0 for the "
+        "peer port itself.",
         "0",
     ),
-    Option("listen_port", Number(0, 65_535), "Port to listen on for peers if it is mapped.", "0"),
     Option("failure_domain", Name(), "Failure domain of this node."),
     Option(
         "region",
         Name(),
-        "Region of this node, where domain-regions does not name that of its failure domain.",
+        "Region of this node, unless domain-regions has one for its failure domain.",
         "default",
     ),
     Option("store", EndpointList(minimum=1), "Endpoints ip:port of the platform's object API."),
     Option("store_kind", Name(), "Name of the store client plug-in.", "http"),
-    Option("watch_seconds", Decimal(0.1, 300), "Longest wait of a watch on the store.", "25"),
+    Option("watch_seconds", Decimal(0.1, 300), "Maximum length of a watch on the store.", "25"),
     Option(
         "node_list",
         Choice("store", "seeds"),
-        "Where nodes are listed: in the store as well, or among the seeds only.",
+        "Where this node finds its peers: in the store and among the seeds, or among the seeds "
+        "only.",
         "store",
     ),
-    Option("seeds", EndpointList(), "Peer endpoints to try while the node list is unknown.", ""),
+    Option("seeds", EndpointList(), "Peer endpoints to try before the node list is known.", ""),
     Option(
         "network",
         Choice("open", "closed"),
-        "Whether others than daemons, callers and operators can reach the ports of this node; on a "
-        "closed network the secrets may be left out.",
+        "Whether anyone besides daemons, callers and operators can reach the ports of this node; "
+        "on a closed network the secrets may be left out.",
         "open",
     ),
     Option(
         "peer_secret",
         Optional(Secret()),
-        "Secret that all daemons of the fleet share; without one links are not authenticated.",
+        "Secret shared by all daemons of the fleet; without it, links are not authenticated.",
         "",
     ),
     Option(
         "admin_secret",
         Optional(Secret()),
-        "Bearer secret of operators; without one, only health and metrics are served.",
+        "Bearer secret of operators; without it, only health checks and metrics are served.",
         "",
     ),
-    Option("plugins", Modules(), "Modules that are imported for their plug-ins.", ""),
+    Option("plugins", Modules(), "Modules to import for their plug-ins.", ""),
     Option(
         "caller_interface",
         Name(),
-        "What callers speak: `native`, or the name of a plug-in that serves routes.",
+        "The protocol of callers: `native`, or the name of a plug-in that serves routes.",
         "native",
     ),
-    Option("retry_ratio", Decimal(0, 10), "Repeats allowed for each request of a pool.", "0.1"),
+    Option("retry_ratio", Decimal(0, 10), "Retries allowed per request of a pool.", "0.1"),
+    Option(
+        "retry_slack",
+        Decimal(0, 1_000_000),
+        "Retries allowed in addition to the ratio, for the whole fleet.",
+        "10",
+    ),
     Option(
-        "retry_slack", Decimal(0, 1_000_000), "Repeats allowed beyond, by the whole fleet.", "10"
+        "retry_window_seconds", Decimal(0.1, 3600), "Window over which retries are limited.", "10"
     ),
-    Option("retry_window_seconds", Decimal(0.1, 3600), "Window of the repeats allowed.", "10"),
     Option(
         "cold_over",
         Decimal(0, 1000),
-        "Calls that a cold replica may get in a second, as a multiple of those that it bears.",
+        "Calls per second to a cold replica, as a multiple of those that it can sustain.",
         "1",
     ),
-    Option("cold_slack", Decimal(0, 1_000_000), "Calls that it may get beyond.", "0"),
+    Option(
+        "cold_slack",
+        Decimal(0, 1_000_000),
+        "Calls per second that a cold replica may get in addition to cold-over.",
+        "0",
+    ),
     Option(
         "expose_share",
         Decimal(0, 1),
         "Part of a service's calls that the new version of a rollout may get before its deadline; "
-        "0 leaves rollouts alone.",
+        "0 turns the coordination of rollouts off.",
+        "0",
+    ),
+    Option(
+        "expose_slack",
+        Decimal(0, 1_000_000),
+        "Calls that the new version may get in addition to expose-share.",
         "0",
     ),
-    Option("expose_slack", Decimal(0, 1_000_000), "Calls that it may get beyond.", "0"),
     Option(
         "rollback_ms",
         Number(1, 3_600_000),
-        "Milliseconds after which a new version that is known to be bad gets no calls any more.",
+        "Time in milliseconds until a new version that was found to be bad gets no more calls.",
         "5000",
     ),
     Option(
         "domain_regions",
         NameMap(),
-        "The region of each failure domain, of nodes and of replicas; with several regions each"
-        " dispatches its own replicas.",
+        "The region of each failure domain of nodes and replicas; if there are several regions, "
+        "each dispatches its own replicas.",
         "",
     ),
-    Option("max_body_bytes", Number(1024, 64 << 20), "Largest request body.", str(4 << 20)),
+    Option("max_body_bytes", Number(1024, 64 << 20), "Maximum request body.", str(4 << 20)),
     Option(
         "open_files",
         Number(0, 100_000_000),
-        "Files and connections that this process may have open; 0 asks the system.",
+        "Maximum number of open files and connections of this process; 0 takes the system's limit.",
         "0",
     ),
     Option(
         "keep_connections_seconds",
         Decimal(0, 300),
-        "For how long connections to replicas of routes are kept while idle, where replicas say "
-        "nothing shorter; 0 opens one for each request.",
+        "How long idle connections to replicas of routes are kept, unless a replica announces a "
+        "shorter time; 0 opens a connection for each request.",
         "0",
     ),
-    Option("queue_per_workspace", Number(1, 100_000), "Waiting requests a workspace here.", "256"),
-    Option("queue_total", Number(1, 100_000), "Waiting requests of all workspaces here.", "1024"),
-    Option("cell_replicas", Number(1, 10_000), "Most replicas that one dispatcher serves.", "16"),
-    Option("drain_seconds", Decimal(0, 86_400), "Longest wait for requests at a stop.", "120"),
-    Option("leave_seconds", Decimal(0, 600), "Time that the balancer has to notice a stop.", "2"),
+    Option(
+        "queue_per_workspace",
+        Number(1, 100_000),
+        "Maximum number of requests of one workspace in flight at this node.",
+        "256",
+    ),
+    Option(
+        "queue_total",
+        Number(1, 100_000),
+        "Maximum number of requests of all workspaces in flight at this node.",
+        "1024",
+    ),
+    Option("cell_replicas", Number(1, 10_000), "Maximum number of replicas of a cell.", "16"),
+    Option("drain_seconds", Decimal(0, 86_400), "Maximum wait for requests at a stop.", "120"),
+    Option(
+        "leave_seconds", Decimal(0, 600), "Time for the balancer to notice that a node stops.", "2"
+    ),
     Option("claim_seconds", Number(60, 604_800), "How long a claimed key is kept.", "3600"),
     Option(
         "scheduling",
         Choice("fleet", "cells", "local"),
-        "Fair over the fleet; the others are baselines: fair in each cell, or at each daemon.",
+        "Scope of fairness: the whole fleet. The others are baselines: each cell, or each daemon.",
         "fleet",
     ),
     Option(
         "fair_window_seconds",
         Decimal(0, 3600),
-        "Workspaces get the same over windows of this length; 0 saves nothing up for idle ones.",
+        "Window over which workspaces get their fair shares; with 0, idle ones earn no credit.",
         "0",
     ),
-    Option("affinity", Choice("prefix", "none"), "Prefer the replica that saw a prefix.", "prefix"),
-    Option("log_level", Choice("debug", "info", "warning", "error"), "Least level logged.", "info"),
+    Option(
+        "affinity",
+        Choice("prefix", "none"),
+        "Whether to prefer the replica that has cached the prompt prefix of a request.",
+        "prefix",
+    ),
+    Option(
+        "log_level", Choice("debug", "info", "warning", "error"), "Minimum level logged.", "info"
+    ),
     Option(
         "log_lines_per_second",
         Number(1, 100_000),
-        "Most log lines a second; ordinary ones may take half of them.",
+        "Maximum log lines per second; ordinary lines may use half of them.",
         "200",
     ),
     Option(
         "log_requests_per_second",
         Decimal(0, 100_000),
-        "How many requests a second are logged whole, whatever becomes of them.",
+        "Requests per second that are logged with all events, even if they go well.",
         "10",
     ),
 )
@@ -242,22 +286,22 @@
         return f"{self.node_ip}:{self.peer_port}"
 
     def __repr__(self) -> str:
-        # Settings end up in tracebacks and logs, where secrets must not be.
+        # Tracebacks and logs contain representations of settings, and must not contain secrets.
         return f"<Settings {self.node_id}>"
 
 
 @dataclass(frozen=True)
 class Parsed:
-    """What the command line asked for: the settings, or only their checks."""
+    """The settings, and whether the command line only asks to check them."""
 
     settings: Settings
     check_only: bool
 
 
 def parse(arguments: Sequence[str], environment: Mapping[str, str]) -> Parsed:
-    """Return the settings from flags, environment variables and a file; earlier ones go first.
+    """Return the settings from flags, environment variables and a file, in order of precedence.
 
-    Raise ``ImproperlyConfigured`` with every finding, each with the flag and variable it is about.
+    Raise ``ImproperlyConfigured`` with all findings, each with its flag and variable.
     """
     try:
         namespace, unknown = _parser().parse_known_args(
@@ -276,11 +320,11 @@
 
 
 class _ParserError(Exception):
-    """The arguments or the settings file cannot be read."""
+    """The arguments or the settings file can't be parsed."""
 
 
 class _Parser(configargparse.ArgumentParser):
-    """A parser that leaves it to its caller to end the process."""
+    """A parser that raises an exception on errors instead of exiting."""
 
     def error(self, message: str) -> NoReturn:
         raise _ParserError(message)
@@ -293,7 +337,7 @@
         "--settings-file",
         is_config_file=True,
         env_var=ENVIRONMENT_PREFIX + "SETTINGS_FILE",
-        help="File of lines `name = value`; flags and variables go before it.",
+        help="File of lines `name = value`; flags and variables take precedence over it.",
     )
     for option in OPTIONS:
         parser.add_argument(
@@ -311,7 +355,7 @@
 
 
 def _unknown(word: str) -> Finding:
-    # The word may be a misspelt secret, so that only the part before "=" is shown.
+    # The argument may be a misspelt secret, so only the part before "=" is shown.
     return error("railsail.E001", "unknown argument", word.split("=")[0], "see railsaild --help")
 
 
--- a/railsail/conf/values.py
+++ b/railsail/conf/values.py
@@ -9,12 +9,13 @@
 
 _NAME = re.compile(r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?")
 _SHORTEST_SECRET = 16
-# A node calls the same replicas and peers again and again.
+# The number of parsed endpoints in the cache. A node repeatedly parses those of the same replicas
+# and peers.
 MOST_ENDPOINTS_KEPT = 4096
 
 
 class Endpoint(msgspec.Struct, frozen=True):
-    """A TCP endpoint by IP number."""
+    """A TCP endpoint: an IP address and a port."""
 
     ip: str
     port: int
@@ -25,27 +26,30 @@
 
 
 class Converter(Protocol):
-    """Convert the text of a setting; raise ``ValueError`` with what is wrong."""
+    """Converter from the text of a setting to its value.
+
+    ``allowed`` describes the valid texts. The text of a ``secret`` is never shown.
+    """
 
     allowed: str
     secret: bool
 
     def convert(self, text: str) -> object:
-        """Return the value of ``text``."""
+        """Return the value of ``text``; raise ``ValueError`` if it isn't valid."""
 
 
 class IPAddress:
-    """An IPv4 or IPv6 number."""
+    """An IPv4 or IPv6 address."""
 
-    allowed = "an IP number, such as 10.0.0.7"
+    allowed = "an IP address, such as 10.0.0.7"
     secret = False
 
     def convert(self, text: str) -> str:
-        """Return the number in its usual form."""
+        """Return the address in its canonical form."""
         try:
             return str(ipaddress.ip_address(text))
         except ValueError:
-            raise ValueError("is not an IP number") from None
+            raise ValueError("is not an IP address") from None
 
 
 class Number:
@@ -69,7 +73,7 @@
 
 
 class Port(Number):
-    """A TCP port; of an endpoint ``ip:port`` its port counts."""
+    """A TCP port, which may also be given as an endpoint ``ip:port``."""
 
     def __init__(self) -> None:
         super().__init__(1, 65_535)
@@ -100,9 +104,9 @@
 
 
 class Name:
-    """A name of small letters, digits and dashes."""
+    """A name of lowercase letters, digits and hyphens, with no hyphen at the start or end."""
 
-    allowed = "1 to 63 small letters, digits and dashes"
+    allowed = "1 to 63 lowercase letters, digits and hyphens"
     secret = False
 
     def convert(self, text: str) -> str:
@@ -124,12 +128,12 @@
     def convert(self, text: str) -> str:
         """Return the word."""
         if text not in self.words:
-            raise ValueError("is not a known word")
+            raise ValueError("is not an allowed value")
         return text
 
 
 class Secret:
-    """A secret, which no message ever shows."""
+    """A secret, which no message shows."""
 
     allowed = f"at least {_SHORTEST_SECRET} characters"
     secret = True
@@ -142,15 +146,15 @@
 
 
 class Optional:
-    """Nothing, or what another converter allows."""
+    """An optional value: an empty text, or what another converter allows."""
 
     def __init__(self, converter: Converter) -> None:
         self._converter = converter
-        self.allowed = f"nothing, or {converter.allowed}"
+        self.allowed = f"empty, or {converter.allowed}"
         self.secret = converter.secret
 
     def convert(self, text: str) -> object:
-        """Return the value, an empty text for nothing."""
+        """Return the value, or an empty text."""
         return self._converter.convert(text) if text else ""
 
 
@@ -170,13 +174,13 @@
 
 
 class NameMap:
-    """Names of one thing by names of another, ``name=name``, separated by commas."""
+    """A map of names to names: ``name=name``, separated by commas."""
 
     allowed = "name=name, separated by commas, such as hall-1=north,hall-2=north"
     secret = False
 
     def convert(self, text: str) -> dict[str, str]:
-        """Return the names."""
+        """Return the map."""
         words = [word.strip() for word in text.split(",") if word.strip()]
         pairs = [word.partition("=") for word in words]
         for name, _, meant in pairs:
