--- a/railsail/cli/account.py
+++ b/railsail/cli/account.py
@@ -1,7 +1,7 @@
-"""Where requests were lost or late, by route, workspace, node or second, as daemons' logs tell it.
+"""Counts of served, late, refused and lost requests, from the logs of daemons.
 
-Logs hold a sample of the requests that went well, so that shares of all requests come from logs of
-daemons whose ``log_requests_per_second`` is above what they serve.
+The logs contain only a sample of the requests that went well. Ratios of all requests need logs of
+daemons whose ``log_requests_per_second`` is higher than the rate that they serve.
 """
 
 import enum
@@ -18,7 +18,7 @@
 
 
 class Grouping(enum.StrEnum):
-    """What the rows of an account are made by."""
+    """The property of requests by which the rows are grouped."""
 
     ROUTE = "route"
     WORKSPACE = "workspace"
@@ -28,30 +28,30 @@
 
 @dataclass
 class Request:
-    """What the logs tell of one request; the lines are those of its daemon, by kind."""
+    """The log lines that one daemon wrote about a request, by kind of event."""
 
     lines: dict[str, LogLine] = field(default_factory=dict)
 
     def fact(self, kind: Kind, name: str) -> object:
-        """Return a fact of the line of ``kind``, ``None`` where there is none."""
+        """Return the fact ``name`` of the line of ``kind``, or ``None`` if there is none."""
         line = self.lines.get(kind)
         return line.facts.get(name) if line is not None else None
 
     @property
     def outcome(self) -> str:
-        """Return the word of its outcome, empty where its caller left or it has no end."""
+        """Return the outcome as logged; empty if the caller disconnected or there is no end."""
         return str(self.fact(Kind.ENDED, "outcome") or "")
 
     @property
     def late(self) -> bool:
-        """Say whether its answer began after its objective."""
+        """Return True if the first byte of the answer came later than its objective."""
         objective = self.fact(Kind.RECEIVED, "objective_ms")
         first = self.fact(Kind.ENDED, "first_ms")
         return bool(objective and first) and int(first) > int(objective)
 
     @property
     def returned(self) -> bool:
-        """Say whether its caller had probably been refused before."""
+        """Return True if this is probably the retry of a refused request."""
         return any(self.fact(kind, "returned") for kind in (Kind.EXPIRED, Kind.RECEIVED))
 
 
@@ -63,7 +63,7 @@
     requests: list[Request] = field(default_factory=list)
 
     def cells(self) -> dict[str, object]:
-        """Return the row as a table shows it; times are in milliseconds."""
+        """Return the columns of the row; times are in milliseconds."""
         found = self.requests
         served = [r for r in found if r.outcome == _COMPLETED]
         refused = [r for r in found if r.outcome == _NOT_RUN]
@@ -88,7 +88,7 @@
 
 
 def make_account(lines: Iterable[LogLine], grouping: Grouping) -> list[Row]:
-    """Return the rows by ``grouping``, the largest first; seconds in order of time."""
+    """Return the rows by ``grouping``: those with most requests first, or seconds by time."""
     requests: dict[tuple[str, str], Request] = {}
     for line in lines:
         if line.request:
@@ -105,8 +105,8 @@
 
 
 def plot_account(rows: list[Row], file: Path) -> None:
-    """Draw served, late and refused requests of ``rows`` as bars."""
-    # Operators who want no plots need not install the library.
+    """Write a bar chart of the outcomes in ``rows`` to ``file``, with late requests as points."""
+    # Imported here, since matplotlib is needed for plots only.
     import matplotlib
 
     matplotlib.use("Agg")
--- a/railsail/cli/client.py
+++ b/railsail/cli/client.py
@@ -1,4 +1,4 @@
-"""Calls to the operators' interface of daemons."""
+"""The client of the daemons' operators' interface."""
 
 import json
 from dataclasses import dataclass
@@ -10,14 +10,17 @@
 
 @dataclass(frozen=True)
 class Reply:
-    """The reply of a daemon; ``status`` is 0 if there was none, and ``body`` then says why."""
+    """The reply of a daemon.
+
+    If there was none, ``status`` is 0 and ``body["error"]`` has the reason.
+    """
 
     status: int
     body: dict[str, object]
 
 
 class AdminClient:
-    """Speak to the operators' interface at ``ip:port``."""
+    """Client of the operators' interface at ``endpoint``, an ``ip:port``."""
 
     def __init__(self, endpoint: str, secret: str) -> None:
         self.endpoint = endpoint
--- a/railsail/cli/explain.py
+++ b/railsail/cli/explain.py
@@ -1,4 +1,4 @@
-"""What became of one request, as the logs of all daemons tell it."""
+"""Explains the outcome of one request from the logs of all daemons."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 from railsail.core.events import Kind, describe_facts
 from railsail.core.outcomes import Reason
 
-# What a daemon believed is told from so long before the request came.
+# How long before the request a daemon's state events are still shown.
 BELIEFS_SECONDS = 5.0
 _BELIEFS = frozenset(
     {Kind.MEMBER, Kind.UPSTREAM, Kind.CONFIGURATION, Kind.STORE, Kind.STATE, Kind.TOOK_OVER}
@@ -17,7 +17,11 @@
 
 @dataclass(frozen=True)
 class RequestTrace:
-    """The lines that tell of a request, in order; its cause in a sentence; what the logs lack."""
+    """The log lines about a request, in order, and what they show.
+
+    ``cause`` is why the request ended as it did, in a few sentences. ``left_out`` says which lines
+    the logs lack.
+    """
 
     lines: list[LogLine]
     cause: str
@@ -25,7 +29,11 @@
 
 
 def trace_request(request: str, lines: Iterable[LogLine]) -> RequestTrace:
-    """Return all that ``lines`` tell of ``request``, and of what its daemons believed then."""
+    """Return the trace of ``request``.
+
+    Besides the lines of the request itself, it has the lines about its tickets, and the state
+    events of the nodes involved from ``BELIEFS_SECONDS`` before the request until its end.
+    """
     known = list(lines)
     own = [line for line in known if line.request == request]
     if not own:
@@ -46,7 +54,10 @@
 
 
 def explain_cause(own: list[LogLine], told: list[LogLine]) -> str:
-    """Return in a sentence why the request ended as it did."""
+    """Return why the request ended as it did, in a few sentences.
+
+    ``own`` are the lines of the request, ``told`` those about its tickets.
+    """
     ends = [line for line in own if line.event == Kind.ENDED]
     if not ends:
         return "it has no end here: its daemon was killed meanwhile, or it still runs"
@@ -88,7 +99,7 @@
 
 
 def line_row(line: LogLine) -> dict[str, object]:
-    """Return ``line`` as a row of a table."""
+    """Return ``line`` as a row of the table."""
     return {
         "time": show_stamp(line.stamp),
         "node": line.node,
--- a/railsail/cli/files.py
+++ b/railsail/cli/files.py
@@ -1,4 +1,4 @@
-"""Read objects from JSON files, each a list of objects or one object."""
+"""Reading of objects from JSON files, each of which holds one object or a list of objects."""
 
 import json
 from pathlib import Path
@@ -7,7 +7,10 @@
 
 
 def read_objects(paths: list[str], findings: list[Finding]) -> list[dict[str, object]]:
-    """Return the objects of all files; a folder stands for its ``*.json`` files."""
+    """Return the objects of all files, and add faults to ``findings``.
+
+    A folder stands for its ``*.json`` files.
+    """
     objects = []
     for path in _files(paths, findings):
         objects += _read_file(path, findings)
--- a/railsail/cli/loglines.py
+++ b/railsail/cli/loglines.py
@@ -1,4 +1,4 @@
-"""Lines of daemons' logs, as log collectors give them."""
+"""Parsing of the log lines of daemons, as log collectors deliver them."""
 
 import fileinput
 from collections.abc import Iterator
@@ -11,7 +11,7 @@
 
 
 class LogLine(msgspec.Struct, frozen=True):
-    """One line of a log; ``facts`` are its keys besides those that every line has."""
+    """One log line; ``facts`` holds the keys beyond those that every line has."""
 
     event: str
     node: str
@@ -21,12 +21,12 @@
 
     @property
     def seconds(self) -> float:
-        """Return when it happened, in seconds since the Unix epoch."""
+        """Return the time of the event, in seconds since the Unix epoch."""
         return stamp_seconds(self.stamp)
 
 
 def read_lines(files: list[str]) -> Iterator[LogLine]:
-    """Yield the events in ``files``, or on standard input; other lines are passed over."""
+    """Yield the events in ``files``, or on standard input, and skip all other lines."""
     with fileinput.input(files or ["-"], encoding="utf-8", errors="replace") as texts:
         for text in texts:
             line = parse_line(text)
@@ -35,7 +35,10 @@
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Return the line in ``text``, which may begin with other words, or ``None``."""
+    """Return the event in ``text``, or ``None`` if there is none.
+
+    Log collectors may put other words before the JSON object.
+    """
     try:
         found = msgspec.json.decode(text[text.index("{") :], type=dict[str, object])
         facts = {name: value for name, value in found.items() if name not in _NOT_FACTS}
--- a/railsail/cli/main.py
+++ b/railsail/cli/main.py
@@ -53,8 +53,8 @@
 class Railsail:
     """Operate a railsail fleet.
 
-    Flags of all commands: --admin is the ip:port of any daemon's operators' interface
-    (RAILSAIL_ADMIN), --output is table or json. The secret comes from RAILSAIL_ADMIN_SECRET.
+    Flags of all commands: --admin is the ip:port of any daemon's operators' interface (default:
+    RAILSAIL_ADMIN), --output is table or json. The secret is read from RAILSAIL_ADMIN_SECRET.
     """
 
     def __init__(self, admin: str = "", output: str = "table") -> None:
@@ -65,7 +65,7 @@
         self.quarantine = QuarantineCommands(self)
 
     def check(self, *files: str) -> None:
-        """Check the objects in FILES (JSON, or folders of it) without a daemon."""
+        """Check the objects in FILES (JSON files or folders of them) without a daemon."""
         findings: list[Finding] = []
         resources = []
         for raw in read_objects(list(files), findings):
@@ -90,7 +90,7 @@
         self._change([{"kind": kind, "name": name, "delete": True}], dry_run=False)
 
     def get(self, kind: str = "", name: str = "") -> None:
-        """Show the objects in force, of KIND and NAME if given."""
+        """Show the objects in force, limited to KIND and NAME if given."""
         body = self._call("GET", "/v1/objects").body
         rows = [
             item
@@ -112,14 +112,14 @@
         show([row for row in rows if row], ("kind", "name", "change"), self._output)
 
     def status(self) -> None:
-        """Show every daemon that the asked one knows, with its state and version."""
+        """Show the state and version of all daemons that the daemon at --admin lists as members."""
         replies = asyncio.run(self._ask_all("/v1/status"))
         rows = [_status_row(endpoint, reply) for endpoint, reply in replies]
         columns = ("node", "state", "version", "requests", "store_reachable", "not_ready")
         show(rows, columns, self._output)
 
     def timeline(self, request: str = "", limit: int = 200) -> None:
-        """Show the joined time line of all daemons, of one --request if given."""
+        """Show the merged time lines of all daemons, or only the events of --request."""
         path = f"/v1/events?request={request}&limit={limit}"
         replies = asyncio.run(self._ask_all(path))
         logs = [[Event(**event) for event in reply.body.get("events", [])] for _, reply in replies]
@@ -130,9 +130,9 @@
             complain("no events from " + ", ".join(silent))
 
     def explain(self, request: str, *files: str) -> None:
-        """Tell from the logs of all daemons in FILES, or on standard input, what became of REQUEST.
+        """Explain the outcome of REQUEST from the logs of all daemons in FILES or standard input.
 
-        Lines may bear whatever a log collector puts before the JSON object.
+        Each line may start with whatever a log collector puts before the JSON object.
         """
         trace = trace_request(str(request), read_lines([str(file) for file in files]))
         if not trace.lines:
@@ -142,10 +142,11 @@
         complain(trace.cause)
 
     def account(self, *files: str, by: str = Grouping.ROUTE, plot: str = "") -> None:
-        """Count from logs in FILES what was served, late, refused and lost, by route.
+        """Count the served, late, refused and lost requests in the logs in FILES.
 
-        --by is route, workspace, node or second; --plot names a PNG file to draw the rows into.
-        Daemons log a sample of what goes well, unless --log-requests-per-second is raised.
+        --by groups them by route (default), workspace, node or second; --plot names a PNG file for
+        a bar chart. Daemons log only a sample of the requests that go well, unless their
+        --log-requests-per-second is raised.
         """
         if by not in set(Grouping):
             _fail(EXIT_USE, f"--by is one of {', '.join(Grouping)}, given was {by!r}")
@@ -157,12 +158,12 @@
             plot_account(rows, Path(plot))
 
     def drain(self) -> None:
-        """Ask the daemon at --admin to stop without cutting a request."""
+        """Request the daemon at --admin to drain, and so to stop without cutting requests."""
         reply = self._call("POST", "/v1/drain")
         print(reply.body["state"])
 
     def key(self) -> None:
-        """Make a bearer key for a workspace, and the hash that goes into its object."""
+        """Generate a bearer key for a workspace, and the hash for the workspace's object."""
         key = "rs-" + secrets.token_urlsafe(24)
         show([{"key": key, "key_hash": hash_key(key)}], ("key", "key_hash"), self._output)
 
@@ -180,7 +181,7 @@
         print(f"{word} {reply.body['version']}")
 
     def rollouts(self) -> None:
-        """Show the rollouts of services, and how the coordinator of each decides."""
+        """Show the rollouts of services, as reported by the coordinator of each."""
         replies = asyncio.run(self._ask_all("/v1/rollouts"))
         show(_rollout_rows(replies), ROLLOUT_COLUMNS, self._output)
 
@@ -212,7 +213,7 @@
 
 
 def _rollout_rows(replies: list[tuple[str, Reply]]) -> list[dict[str, object]]:
-    """Return a row for each service, of the daemon that knows most: its coordinator."""
+    """Return a row for each service, from the daemon with the most columns: its coordinator."""
     rows: dict[str, dict[str, object]] = {}
     for _, reply in replies:
         for row in reply.body.get("rollouts", []) if reply.status == 200 else []:
@@ -222,13 +223,13 @@
 
 
 class ConfigCommands:
-    """Look at the configuration in force."""
+    """Inspect the configuration in force."""
 
     def __init__(self, tool: Railsail) -> None:
         self._tool = tool
 
     def status(self) -> None:
-        """Say which version is in force at every daemon; exit code 6 if they differ."""
+        """Show the version in force at each daemon; the exit code is 6 if they differ."""
         replies = asyncio.run(self._tool._ask_all("/v1/status"))
         rows = [_status_row(endpoint, reply) for endpoint, reply in replies]
         show(rows, ("node", "version"), self._tool._output)
@@ -239,19 +240,19 @@
 
 
 class QuarantineCommands:
-    """Look at requests under which replicas ended, and let them run again."""
+    """Inspect requests during which replicas crashed, and allow them to run again."""
 
     def __init__(self, tool: Railsail) -> None:
         self._tool = tool
 
     def list(self) -> None:
-        """Show the requests under which replicas ended, and for how long each is held back."""
+        """Show the requests during which replicas crashed, and how long each is held back."""
         body = self._tool._call("GET", "/v1/quarantine").body
         rows = [{**row, "replicas": " ".join(row["replicas"])} for row in body["requests"]]
         show(rows, ("request", "ends", "held_seconds", "replicas"), self._tool._output)
 
     def lift(self, request: str) -> None:
-        """Let REQUEST, a fingerprint as the list shows it, run again at all daemons."""
+        """Allow REQUEST, a fingerprint from the list, to run again at all daemons."""
         reply = self._tool._call("DELETE", f"/v1/quarantine/{request}")
         print(reply.body["state"])
 
@@ -287,7 +288,7 @@
 
 
 def commands_help() -> str:
-    """Return the help of the whole tool: what it is, and a line a command."""
+    """Return the help text of the tool, with one line for each command."""
     lines = [inspect.cleandoc(Railsail.__doc__), "", "Commands:"]
     for prefix, group in _GROUPS:
         for name, command in inspect.getmembers(group, inspect.isfunction):
@@ -303,7 +304,7 @@
     if sys.argv[1:] in ([], ["--help"], ["-h"], ["help"]):
         print(commands_help())
         return
-    # Without this, fire opens a pager for help, which waits for a key.
+    # By default, fire shows help in a pager, which waits for a key.
     os.environ.setdefault("PAGER", "cat")
     fire.Fire(Railsail, name="railsail")
 
--- a/railsail/cli/output.py
+++ b/railsail/cli/output.py
@@ -1,4 +1,4 @@
-"""Show results as a table or as JSON."""
+"""Output of results as a table or as JSON."""
 
 import json
 import sys
@@ -8,7 +8,7 @@
 
 
 def show(rows: Sequence[dict[str, object]], columns: Sequence[str], output: str) -> None:
-    """Print ``rows``: as a table with ``columns``, or whole as JSON."""
+    """Print ``rows`` as a table with ``columns``, or as JSON with all keys (``output="json"``)."""
     if output == "json":
         print(json.dumps(list(rows), indent=2))
         return
