--- a/railsail/standins/__init__.py
+++ b/railsail/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins of the platform and of upstreams, for tests, benchmarks and the demonstration."""
+"""Stand-ins for the platform and upstreams, used by tests, benchmarks and the demonstration."""
--- a/railsail/standins/batching.py
+++ b/railsail/standins/batching.py
@@ -1,4 +1,4 @@
-"""How the stand-in of a model engine works: queue, slots, prefix cache and the log of its runs."""
+"""The model engine stand-in without its HTTP interface: queue, slots, prefix cache and run log."""
 
 import asyncio
 import heapq
@@ -13,9 +13,11 @@
 
 @dataclass(frozen=True)
 class EngineSettings:
-    """Speeds in tokens a second; ``chunk`` tokens are sent in one event.
+    """The capacity and speed of an engine.
 
-    ``cached_prefixes`` prompts' beginnings are kept, whose prefill costs no time.
+    Rates are in tokens per second, and each event of a stream has ``chunk`` tokens. The cache holds
+    ``cached_prefixes`` prompt prefixes; prefill takes no time if the prefix is cached. ``load_lag``
+    is the minimum age in seconds at which the load report is renewed.
     """
 
     slots: int = 8
@@ -30,11 +32,14 @@
 class Faults:
     """The faults in force.
 
-    ``cut_after`` closes each stream once after so many events, ``cross`` labels every answer with
-    another id, ``duplicate`` sends each event twice, ``fail`` answers 500. ``says_leaving`` says in
-    the answers to calls that the engine leaves, while it serves on, ``load_says_leaving`` in the
-    head of those to load questions; with ``rest`` it turns ``rest_share`` of the calls away and
-    asks for so many seconds of rest.
+    - ``leaving`` refuses all calls, and reports this in the load report.
+    - ``cut_after`` closes each stream once, after this many events.
+    - ``cross`` labels each answer with another request's id.
+    - ``duplicate`` sends each event twice.
+    - ``fail`` answers with status 500.
+    - ``says_leaving`` sets the header ``X-Leaving`` of answers, except those to load queries, while
+      the engine continues to serve; ``load_says_leaving`` sets it in the latter only.
+    - ``rest`` is a ``Retry-After`` value: the engine refuses ``rest_share`` of the calls with it.
     """
 
     leaving: bool = False
@@ -50,7 +55,7 @@
 
 @dataclass
 class Run:
-    """One run of a request, for the log; times are in seconds since the Unix epoch."""
+    """One run of a request, as logged; times are in seconds since the Unix epoch."""
 
     request: str
     workspace: str
@@ -72,7 +77,7 @@
 
 
 class Engine:
-    """One engine: its queue, its slots, its prefix cache and its log."""
+    """An engine: its queue, slots, prefix cache and log."""
 
     def __init__(self, name: str, settings: EngineSettings) -> None:
         self.name = name
@@ -82,7 +87,7 @@
         self.log: list[Run] = []
         self.refused = 0
         self.asked = 0
-        # When it crashed, in seconds since the Unix epoch.
+        # The time of the crash in seconds since the Unix epoch, or 0.
         self.crashed_at = 0.0
         self.on_crash: Callable[[], None] = lambda: None
         self._queue: list[tuple[int, int, Run]] = []
@@ -93,7 +98,7 @@
         self._report = {"at": 0.0, "running": 0, "waiting": 0}
 
     def submit(self, run: Run, prefix: int) -> None:
-        """Queue ``run``."""
+        """Queue ``run``; ``prefix`` is the hash of its prompt prefix, or 0 for a short prompt."""
         self.runs[run.request] = run
         self.log.append(run)
         self._sequence += 1
@@ -102,7 +107,7 @@
         self._start_next()
 
     def crash(self) -> None:
-        """End as a killed process does: the port is dead, and so are all connections."""
+        """Stop like a killed process: close the port and all connections."""
         self.crashed_at = time.time()
         self.on_crash()
 
@@ -159,18 +164,18 @@
         return f"id: {len(run.events)}\ndata: {json.dumps(body)}\n\n".encode()
 
     def usage(self, run: Run) -> dict[str, int]:
-        """Return the usage so far."""
+        """Return the token usage of ``run`` so far."""
         total = run.prompt_tokens + run.produced
         return {"completion_tokens": run.produced, "total_tokens": total}
 
     def turns_away(self) -> bool:
-        """Say whether the next call is turned away, evenly by the share in force."""
+        """Return True if the next call is to be refused; refusals are evenly spaced."""
         share = self.faults.rest_share if self.faults.rest else 0.0
         self.asked += 1
         return int(self.asked * share) > int((self.asked - 1) * share)
 
     def load(self) -> dict[str, object]:
-        """Return the load report, which lags."""
+        """Return the load report, whose counts may be up to ``load_lag`` seconds old."""
         now = time.time()
         if now - self._report["at"] >= self.settings.load_lag:
             self._report = {"at": now, "running": self._running, "waiting": len(self._queue)}
--- a/railsail/standins/demo.py
+++ b/railsail/standins/demo.py
@@ -1,6 +1,6 @@
 """The demonstration: three daemons serve one request, and its time line is shown.
 
-Everything runs in this process, on loopback, and ends by itself.
+Everything runs in this process, on loopback, and exits when it is done.
 """
 
 import asyncio
--- a/railsail/standins/engine.py
+++ b/railsail/standins/engine.py
@@ -1,8 +1,8 @@
-"""A stand-in of a model engine: it batches continuously, honours priorities, resumes and cancels.
+"""A stand-in for a model engine, with continuous batching, priorities, resuming and cancelling.
 
-A request's output length is in ``metadata.output_tokens``, which the router does not look at; one
-with ``metadata.crash`` ends the engine. The log of all runs is at ``GET /standin/log``; ``PUT
-/standin/faults`` sets ``Faults``.
+``metadata.output_tokens`` of a request, which the router ignores, is the length of its output. A
+request with ``metadata.crash`` crashes the engine. ``GET /standin/log`` returns the log of all
+runs, and ``PUT /standin/faults`` sets ``Faults``.
 """
 
 import json
@@ -32,7 +32,7 @@
         pass
 
     def set_default_headers(self) -> None:
-        # Called before ``initialize`` too, when no engine is known.
+        # Tornado also calls this before ``initialize``, when there is no engine yet.
         engine = getattr(self, "engine", None)
         if engine is not None and self.says_leaving(engine.faults):
             self.set_header("X-Leaving", "true")
@@ -184,7 +184,7 @@
 def serve_engine(
     name: str, ip: str, port: int, settings: EngineSettings
 ) -> tuple[Engine, HTTPServer]:
-    """Serve an engine at ``ip:port``; return it and its server."""
+    """Serve an engine at ``ip:port``, and return the engine and its server."""
     engine = Engine(name, settings)
     routes = [
         (r"/v1/(?:chat/)?completions", _Completions),
--- a/railsail/standins/fleet.py
+++ b/railsail/standins/fleet.py
@@ -1,6 +1,6 @@
-"""A whole small fleet in one process: a store, upstreams and daemons on loopback ports.
+"""A small fleet in one process: a store, upstreams and daemons on loopback ports.
 
-For the demonstration and for tests. Benchmarks start daemons as processes of their own.
+It is used by the demonstration and by tests. Benchmarks start each daemon in its own process.
 """
 
 import json
@@ -24,7 +24,7 @@
 
 
 def free_ports(count: int, ip: str = LOOPBACK) -> list[int]:
-    """Return ``count`` TCP ports that are free now."""
+    """Return ``count`` TCP ports that are currently free."""
     sockets = [socket.socket() for _ in range(count)]
     try:
         for each in sockets:
@@ -36,7 +36,10 @@
 
 
 def node_settings(ports: list[int], store: str, domain: str, **more: str) -> Settings:
-    """Return the settings of a daemon with caller, admin and peer ``ports``."""
+    """Return the settings of a daemon with ``ports`` for callers, operators and peers.
+
+    ``more`` overrides single settings.
+    """
     values = {
         "caller-port": str(ports[0]),
         "admin-port": str(ports[1]),
@@ -54,7 +57,7 @@
 
 @dataclass
 class StandinFleet:
-    """The parts that were started; ``stop`` ends them all."""
+    """The running parts of a fleet; ``stop`` stops them all."""
 
     rng: random.Random
     store: StoreState
@@ -66,7 +69,7 @@
 
     @classmethod
     def start(cls, seed: int) -> "StandinFleet":
-        """Start a fleet that has only a store."""
+        """Start a fleet that consists of a store only."""
         rng = random.Random(seed)
         port = free_ports(1)[0]
         state, server = serve_store(LOOPBACK, port, rng)
@@ -75,7 +78,7 @@
     def add_engine(
         self, name: str, pool: str, settings: EngineSettings, domain: str = ""
     ) -> Engine:
-        """Start an engine, and list it."""
+        """Start an engine, and list it in the store."""
         port = free_ports(1)[0]
         engine, server = serve_engine(name, LOOPBACK, port, settings)
         self.engines[name] = engine
@@ -83,7 +86,7 @@
         return engine
 
     def add_service(self, name: str, pool: str, domain: str = "") -> Service:
-        """Start a service replica, and list it."""
+        """Start a service replica, and list it in the store."""
         port = free_ports(1)[0]
         service, server = serve_service(name, LOOPBACK, port)
         self.services[name] = service
@@ -98,7 +101,7 @@
         self.store.put("upstream", name, {**value, "failure_domain": domain})
 
     def configure(self, objects: list[dict]) -> None:
-        """Store ``objects`` as version 1, as an operator's first change would."""
+        """Store ``objects`` as configuration version 1, like an operator's first change."""
         operations = [
             {"kind": item["kind"], "name": item["name"], "value": item} for item in objects
         ]
@@ -112,7 +115,7 @@
         self.store.put("configuration", "head", {"version": 1, "base": 0, "changes": [change]})
 
     async def add_node(self, domain: str = "a", **more: str) -> Node:
-        """Start a daemon, and list it."""
+        """Start a daemon, and list it in the store."""
         settings = node_settings(free_ports(3), self.store_endpoint, domain, **more)
         self.store.put("node", settings.node_id, {"state": "live"})
         node = Node(settings, rng=random.Random(self.rng.getrandbits(64)))
@@ -121,12 +124,12 @@
         return node
 
     async def kill(self, node: Node) -> None:
-        """End a daemon as a crash would: nothing is told to anyone."""
+        """Stop a daemon like a crash, without notifying anyone."""
         self.nodes.remove(node)
         await node.abort()
 
     async def restart(self, node: Node) -> Node:
-        """Start a daemon that was killed again, empty, with the settings that it had."""
+        """Restart a killed daemon with its old settings and no state."""
         again = Node(node.settings, rng=random.Random(self.rng.getrandbits(64)))
         self.nodes.append(again)
         await again.start()
@@ -142,7 +145,7 @@
 
 
 def load_objects(folder: Path) -> list[dict]:
-    """Return the objects of all JSON files of ``folder``."""
+    """Return the objects of all JSON files in ``folder``."""
     objects = []
     for path in sorted(folder.glob("*.json")):
         objects += json.loads(path.read_text())
--- a/railsail/standins/host.py
+++ b/railsail/standins/host.py
@@ -1,7 +1,8 @@
-"""Host stand-ins in a process of their own.
+"""Serve stand-ins in a process of their own.
 
-The one argument is a JSON list of parts, each ``{"part": "store" | "engine" | "service", "name":
-..., "ip": ..., "port": ...}``; an engine may have ``"settings"`` with fields of ``EngineSettings``.
+The only argument is a JSON list of parts, each ``{"part": "store" | "engine" | "service", "name":
+..., "ip": ..., "port": ...}``. An engine may also have ``"settings"`` with the fields of
+``EngineSettings``, and a store the ``"seed"`` of its random faults.
 """
 
 import asyncio
@@ -17,7 +18,7 @@
 
 
 def serve_part(part: dict) -> None:
-    """Serve one part."""
+    """Start to serve one part."""
     if part["part"] == "store":
         serve_store(part["ip"], part["port"], random.Random(part.get("seed", 1)))
     elif part["part"] == "engine":
--- a/railsail/standins/listening.py
+++ b/railsail/standins/listening.py
@@ -1,4 +1,4 @@
-"""Serve the handlers of a stand-in."""
+"""The HTTP server of a stand-in."""
 
 from tornado.httpserver import HTTPServer
 from tornado.web import Application, RequestHandler
@@ -7,7 +7,7 @@
 
 
 def listen(routes: Routes, shared: dict[str, object], ip: str, port: int) -> HTTPServer:
-    """Serve ``routes`` at ``ip:port``; each handler is initialized with ``shared``."""
+    """Serve ``routes`` at ``ip:port``, with ``shared`` as the arguments of each ``initialize``."""
     rules = [(pattern, handler, shared) for pattern, handler in routes]
     server = HTTPServer(Application(rules, log_function=lambda handler: None))
     server.listen(port, ip)
--- a/railsail/standins/service.py
+++ b/railsail/standins/service.py
@@ -1,7 +1,7 @@
-"""A stand-in of a plain service: it answers after a while, and logs what it ran.
+"""A stand-in for a plain service, which answers each call after a delay and logs it.
 
-``PUT /standin/faults`` sets ``Faults``; the log is at ``GET /standin/log``. The time that a call
-takes is in the header-free query argument ``seconds``.
+The query argument ``seconds`` of a call is the delay. ``GET /standin/log`` returns the log, and
+``PUT /standin/faults`` sets ``Faults``.
 """
 
 import asyncio
@@ -17,7 +17,11 @@
 
 @dataclass
 class Faults:
-    """The faults in force: ``close`` runs a call and closes without an answer."""
+    """The faults in force.
+
+    ``leaving`` refuses all calls. ``close`` runs a call, and closes the connection without an
+    answer. ``fail`` answers with status 500, and ``cross`` with another request's id.
+    """
 
     leaving: bool = False
     close: bool = False
@@ -26,7 +30,7 @@
 
 
 class Service:
-    """One service replica."""
+    """A replica of a service."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -91,7 +95,7 @@
 
 
 def serve_service(name: str, ip: str, port: int) -> tuple[Service, HTTPServer]:
-    """Serve a service at ``ip:port``; return it and its server."""
+    """Serve a service replica at ``ip:port``, and return it and its server."""
     service = Service(name)
     routes = [
         (r"/standin/log", _Log),
--- a/railsail/standins/store.py
+++ b/railsail/standins/store.py
@@ -1,7 +1,7 @@
-"""A stand-in of the platform's object API, in memory, with faults that can be switched on.
+"""An in-memory stand-in for the platform's object API, with faults that can be injected.
 
-Faults are set by ``PUT /standin/faults`` with ``{"down": bool, "delay": seconds, "lose_replies":
-share, "drop_watches": share}``. Calls are counted at ``GET /standin/calls``.
+``PUT /standin/faults`` sets ``Faults``, as ``{"down": bool, "delay": seconds, "lose_replies":
+share, "drop_watches": share}``. ``GET /standin/calls`` returns the number of calls by operation.
 """
 
 import asyncio
@@ -20,7 +20,11 @@
 
 @dataclass
 class Faults:
-    """The faults in force: ``delay`` in seconds, the others as shares from 0 to 1."""
+    """The faults in force.
+
+    ``down`` fails all calls, and ``delay`` delays them by this many seconds. ``lose_replies`` is
+    the probability that a reply is lost, ``drop_watches`` that a watch loses its first event.
+    """
 
     down: bool = False
     delay: float = 0.0
@@ -30,7 +34,7 @@
 
 @dataclass
 class StoreState:
-    """All objects, and the newest changes for watches."""
+    """All objects, and the latest changes for watches."""
 
     rng: random.Random
     version: int = 0
@@ -41,7 +45,7 @@
     changed: asyncio.Condition = field(default_factory=asyncio.Condition)
 
     def put(self, kind: str, name: str, value: dict) -> int:
-        """Write an object without a condition, and return its version."""
+        """Write an object unconditionally, and return its version."""
         self.version += 1
         item = {"kind": kind, "name": name, "version": self.version, "value": value}
         self.objects[(kind, name)] = item
@@ -59,7 +63,7 @@
         del self.history[:-MOST_HISTORY]
 
     async def wake(self) -> None:
-        """Wake the watches."""
+        """Wake the waiting watches."""
         async with self.changed:
             self.changed.notify_all()
 
@@ -81,7 +85,7 @@
 
     def reply(self, body: dict) -> None:
         if self.state.rng.random() < self.state.faults.lose_replies:
-            # The change took effect, and whoever asked for it does not hear so.
+            # The change has taken effect, but the client doesn't receive the reply.
             self.request.connection.stream.close()
             return
         self.finish(json.dumps(body))
@@ -186,7 +190,7 @@
 
 
 def serve_store(ip: str, port: int, rng: random.Random) -> tuple[StoreState, HTTPServer]:
-    """Serve an empty store at ``ip:port``; return its state and its server."""
+    """Serve an empty store at ``ip:port``, and return its state and its server."""
     state = StoreState(rng)
     routes = [
         (r"/v1/objects/([^/]+)", _List),
