--- a/tests/core/test_clock.py
+++ b/tests/core/test_clock.py
@@ -1,7 +1,7 @@
-"""Clocks of a machine that is suspended: the steady clock of the system stands still meanwhile.
+"""Clocks and timers have to include the time for which a machine was suspended.
 
-A daemon that counted by it believed for seconds too long what it had heard: that peers live, that
-deadlines have not passed, that a request may still wait.
+``CLOCK_MONOTONIC`` doesn't. A daemon that used it believed for seconds too long that its peers were
+alive, that deadlines hadn't passed and that requests could still wait.
 """
 
 import asyncio
@@ -14,7 +14,7 @@
 
 
 class SuspendedMachine:
-    """Give times of a machine that was suspended for ``seconds`` so far."""
+    """Replaces ``time.clock_gettime``, as on a machine that was suspended for ``seconds``."""
 
     def __init__(self) -> None:
         self.seconds = 0.0
@@ -32,13 +32,13 @@
         patch.start()
         self.addCleanup(patch.stop)
 
-    def test_clock_counts_the_time_of_a_suspension(self):
+    def test_clock_includes_suspended_time(self):
         clock = Clock()
         before = clock.monotonic()
         self.machine.seconds = 5.0
         self.assertGreaterEqual(clock.monotonic() - before, 5.0)
 
-    def test_timer_that_was_due_meanwhile_comes_at_once(self):
+    def test_timer_that_became_due_during_a_suspension_fires_at_once(self):
         with asyncio.Runner(loop_factory=SteadyEventLoop) as runner:
             waited = runner.run(self.sleep_through_a_suspension(60.0))
         self.assertLess(waited, 10.0)
@@ -48,7 +48,7 @@
         sleeping = asyncio.ensure_future(asyncio.sleep(seconds))
         await asyncio.sleep(0)
         self.machine.seconds = seconds
-        # A loop that waits for its next timer wakes up for another one that is due sooner.
+        # The loop has computed its wait for the timer above; this shorter one wakes it up.
         await asyncio.sleep(0.01)
         await sleeping
         return time.perf_counter() - begun
@@ -56,7 +56,7 @@
 
 class ResolverTests(unittest.TestCase):
     def resolve(self, host: str) -> tuple[list[str], bool]:
-        """Return the IP numbers of ``host``, and whether a thread asked for them."""
+        """Return the IP addresses of ``host``, and whether a thread resolved them."""
         with asyncio.Runner(loop_factory=SteadyEventLoop) as runner:
             loop = runner.get_loop()
             with mock.patch.object(
@@ -65,11 +65,11 @@
                 found = runner.run(loop.getaddrinfo(host, 80, type=socket.SOCK_STREAM))
         return [address[0] for *_, address in found], threads.called
 
-    def test_ip_number_is_not_asked_for_in_a_thread(self):
+    def test_ip_address_is_resolved_without_a_thread(self):
         self.assertEqual(self.resolve("127.0.0.1"), (["127.0.0.1"], False))
         self.assertEqual(self.resolve("::1"), (["::1"], False))
 
-    def test_name_is(self):
+    def test_host_name_is_resolved_in_a_thread(self):
         numbers, in_thread = self.resolve("localhost")
         self.assertTrue(in_thread)
         self.assertTrue({"127.0.0.1", "::1"} & set(numbers))
--- a/tests/core/test_collectors.py
+++ b/tests/core/test_collectors.py
@@ -1,4 +1,4 @@
-"""What is recorded is read as the library's own collectors tell it."""
+"""The buffering collectors return the same values as those of the library."""
 
 import unittest
 
@@ -12,7 +12,7 @@
 
 
 def use(kinds) -> bytes:
-    """Record values in collectors of ``kinds``, scraped halfway, and return the last scrape."""
+    """Record values in collectors of the module ``kinds``, and return the last of three scrapes."""
     registry = Registry()
     counter = kinds.Counter("c", "Counts.", registry=registry)
     gauge = kinds.Gauge("g", "Levels.", registry=registry)
@@ -42,7 +42,7 @@
         self.counter = collectors.Counter("c", "Counts.", registry=self.registry)
         self.gauge = collectors.Gauge("g", "Levels.", registry=self.registry)
 
-    def test_scrape_is_that_of_the_library(self):
+    def test_scrape_is_the_same_as_that_of_the_library(self):
         self.assertEqual(use(collectors).decode(), use(aioprometheus).decode())
 
     def test_value_can_be_read_between_scrapes(self):
@@ -52,7 +52,7 @@
             self.assertEqual(self.counter.get({"kind": "a"}), count)
             self.assertEqual(self.gauge.get({"kind": "a"}), count)
 
-    def test_counter_cannot_decrease(self):
+    def test_counter_refuses_negative_values(self):
         with self.assertRaises(ValueError):
             self.counter.add({"kind": "a"}, -1)
         with self.assertRaises(KeyError):
--- a/tests/core/test_fingerprints.py
+++ b/tests/core/test_fingerprints.py
@@ -6,10 +6,10 @@
 
 
 class FingerprintTests(unittest.TestCase):
-    def test_repeat_has_the_same_one(self):
+    def test_repeat_has_the_same_fingerprint(self):
         self.assertEqual(request_fingerprint(HEAD, b"x"), request_fingerprint(list(HEAD), b"x"))
 
-    def test_each_part_tells_requests_apart(self):
+    def test_requests_that_differ_in_one_part_have_different_fingerprints(self):
         known = {request_fingerprint(HEAD, b"x"), request_fingerprint(HEAD, b"y")}
         for index in range(len(HEAD)):
             other = [word + "z" if at == index else word for at, word in enumerate(HEAD)]
@@ -18,12 +18,12 @@
         known.add(request_fingerprint((*HEAD, "x"), b""))
         self.assertEqual(len(known), 2 + len(HEAD) + 2)
 
-    def test_it_fits_into_messages_and_is_never_zero(self):
+    def test_fingerprint_fits_into_messages_and_is_never_zero(self):
         for number in range(200):
             value = request_fingerprint(HEAD, b"%d" % number)
             self.assertTrue(0 < value < 1 << FINGERPRINT_BITS)
 
-    def test_its_name_has_a_fixed_length(self):
+    def test_name_has_a_fixed_length(self):
         self.assertEqual(fingerprint_name(10), "000000000000000a")
 
 
--- a/tests/core/test_lean.py
+++ b/tests/core/test_lean.py
@@ -1,4 +1,4 @@
-"""A daemon's process does not hold what it never uses."""
+"""A daemon's process doesn't load the modules of its libraries that it never uses."""
 
 import subprocess
 import sys
@@ -41,12 +41,12 @@
 
 
 class LeanTests(unittest.TestCase):
-    def test_unused_parts_stay_out_and_policies_work(self):
+    def test_unused_modules_are_not_loaded_and_policies_work(self):
         done = run(_PROGRAM)
         expected = ("[] [] True True", 0)
         self.assertEqual((done.stdout.strip(), done.returncode), expected, done.stderr)
 
-    def test_what_was_kept_out_can_be_imported_later(self):
+    def test_skipped_modules_can_be_imported_later(self):
         done = run(_LATER)
         self.assertEqual((done.stdout.strip(), done.returncode), ("True True", 0), done.stderr)
 
--- a/tests/core/test_logs.py
+++ b/tests/core/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines: their budget, their writer, and which requests are told."""
+"""Log lines: their budget, their writer, and the choice of the requests that are logged."""
 
 import json
 import os
@@ -19,18 +19,18 @@
 
 
 class BudgetTests(unittest.TestCase):
-    def test_ordinary_lines_leave_half_to_trouble(self):
+    def test_ordinary_lines_get_half_of_the_budget(self):
         budget = LineBudget(100, 0.0)
         ordinary = sum(budget.allow(0.0, True) for _ in range(100))
         trouble = sum(budget.allow(0.0, False) for _ in range(100))
         self.assertEqual((ordinary, trouble), (50, 50))
 
-    def test_budget_is_renewed_each_second_and_not_saved_up(self):
+    def test_budget_is_refilled_each_second_and_does_not_accumulate(self):
         budget = LineBudget(10, 0.0)
         self.assertEqual(sum(budget.allow(0.0, False) for _ in range(20)), 10)
         self.assertEqual(sum(budget.allow(60.0, False) for _ in range(20)), 10)
 
-    def test_what_was_left_out_is_told_with_the_next_line(self):
+    def test_next_line_reports_the_number_of_dropped_lines(self):
         now = [0.0]
         left_out = DroppedLines()
         step = BudgetProcessor(1, left_out, lambda: now[0])
@@ -56,7 +56,7 @@
     def tearDown(self):
         self.file.close()
 
-    def test_full_pipe_drops_lines_and_never_waits(self):
+    def test_full_pipe_drops_lines_without_blocking(self):
         line = "x" * 1000 + "\n"
         for _ in range(1000):
             self.writer.write(line)
@@ -74,14 +74,14 @@
         except BlockingIOError:
             return b""
 
-    def test_reader_that_is_gone_ends_nothing(self):
+    def test_closed_pipe_drops_lines_without_an_error(self):
         read, write = os.pipe()
         os.close(read)
         with os.fdopen(write, "w") as file:
             LineWriter(file, self.left_out).write("x\n")
         self.assertEqual(self.left_out.pipe_full, 1)
 
-    def test_line_that_is_too_long_for_a_pipe_stays_a_line_of_json(self):
+    def test_line_that_is_too_long_for_a_pipe_is_replaced_by_a_json_line(self):
         self.writer.write(json.dumps({"event": "x" * (MOST_LINE_BYTES * 4)}) + "\n")
         got = os.read(self.read, 1 << 16)
         self.assertLess(len(got), MOST_LINE_BYTES)
@@ -97,7 +97,7 @@
     def start(self, per_second: float) -> None:
         log = DecisionLog(self.clock, per_second, self._write)
         if not per_second:
-            # The share is set after the first second.
+            # The sampling ratio is set after the first second.
             log._sampling.request(self.clock.monotonic())
             self.clock.advance(1.0)
             log._sampling.request(self.clock.monotonic())
@@ -111,24 +111,24 @@
         self.events.emit(Kind.SENT, request=name)
         self.events.emit(Kind.ENDED, request=name, **end)
 
-    def test_sampled_request_is_told_whole_as_ordinary(self):
+    def test_all_events_of_a_sampled_request_are_written_as_ordinary(self):
         self.start(10.0)
         self.run_request("a")
         kinds = [("a", "received", True), ("a", "sent", True), ("a", "ended", True)]
         self.assertEqual(self.lines, kinds)
 
-    def test_request_that_goes_well_and_is_not_sampled_is_not_told(self):
+    def test_request_that_goes_well_and_is_not_sampled_is_not_written(self):
         self.start(0.0)
         self.run_request("a")
         self.assertEqual(self.lines, [])
 
-    def test_request_that_fails_is_told_whole_and_in_order(self):
+    def test_all_events_of_a_failed_request_are_written_in_order(self):
         self.start(0.0)
         self.run_request("a", notable=True)
         kinds = [("a", "received", False), ("a", "sent", False), ("a", "ended", False)]
         self.assertEqual(self.lines, kinds)
 
-    def test_after_a_retry_the_rest_is_told_even_if_it_goes_well(self):
+    def test_all_events_after_a_retry_are_written_even_if_the_request_goes_well(self):
         self.start(0.0)
         self.events.emit(Kind.RECEIVED, request="a")
         self.events.emit(Kind.RETRIED, request="a")
@@ -138,12 +138,12 @@
             [kind for _, kind, _ in self.lines], ["received", "retried", "sent", "ended"]
         )
 
-    def test_changes_of_belief_are_always_told(self):
+    def test_events_without_a_request_are_always_written(self):
         self.start(0.0)
         self.events.emit(Kind.MEMBER, member="x", state="dead")
         self.assertEqual(self.lines, [("", "member", False)])
 
-    def test_what_is_held_back_is_bounded(self):
+    def test_number_of_buffered_requests_is_bounded(self):
         self.start(0.0)
         log = DecisionLog(self.clock, 0.0, self._write)
         log._sampling._share = 0.0
--- a/tests/core/test_looplag.py
+++ b/tests/core/test_looplag.py
@@ -1,4 +1,4 @@
-"""How the lag of the event loop is told from its samples."""
+"""The lag of the event loop, and calls that are made with its samples."""
 
 import asyncio
 import itertools
@@ -27,15 +27,15 @@
         for sample in samples:
             self.lag.take(sample)
 
-    def test_new_one_is_not_late(self):
+    def test_loop_is_not_late_before_the_first_sample(self):
         self.assertFalse(self.lag.late)
         self.assertEqual(self.lag.late_for(), 0.0)
 
-    def test_one_long_turn_is_no_overload(self):
+    def test_single_long_turn_is_not_late(self):
         self.take(1.0)
         self.assertFalse(self.lag.late)
 
-    def test_several_late_samples_are(self):
+    def test_several_late_samples_are_late(self):
         self.take(*[MORE] * SAMPLES)
         self.assertTrue(self.lag.late)
 
@@ -44,7 +44,7 @@
         self.assertTrue(self.lag.busy)
         self.assertFalse(self.lag.late)
 
-    def test_time_counts_from_the_first_late_moment_to_the_first_that_is_not(self):
+    def test_late_time_starts_when_the_loop_becomes_late_and_ends_when_it_is_not(self):
         self.take(*[MORE] * SAMPLES)
         self.now += 2.0
         self.take(MORE)
@@ -70,7 +70,7 @@
         return self.taken[-1]
 
     async def stand_still(self) -> float:
-        """Keep the loop busy when a sample is due and in the turn after, and return the sample."""
+        """Block the loop when a sample is due and in the turn after it, and return the sample."""
         loop = asyncio.get_running_loop()
         await self.next_sample()
 
@@ -79,16 +79,16 @@
 
         def until_due() -> None:
             time.sleep(2 * STEP_SECONDS)
-            # The sample is due by now; this runs in the turn in which its timer comes.
+            # The sample is due by now. The call below runs in the turn in which its timer fires.
             loop.call_soon(end_turn)
 
         loop.call_soon(until_due)
         return await self.next_sample()
 
-    async def test_lag_holds_the_turn_of_its_timer_and_what_that_made_ready(self):
+    async def test_lag_includes_callbacks_that_became_ready_with_the_timer(self):
         task = asyncio.ensure_future(self.lag.run())
-        # A busy machine may take the processor away just before the loop is kept busy, so that the
-        # sample is due too early; hardly so each time.
+        # A busy machine may preempt the process just before the loop is blocked, so that the sample
+        # is taken too early. That is unlikely to happen three times.
         taken = [await self.stand_still() for _ in range(3)]
         self.assertGreaterEqual(max(taken), STEP_SECONDS + 2 * MORE)
         task.cancel()
@@ -98,7 +98,7 @@
         await asyncio.sleep(2 * STEP_SECONDS)
         self.assertEqual(len(self.taken), count)
 
-    async def test_failure_ends_it_and_is_told(self):
+    async def test_failure_ends_the_sampling_and_is_raised(self):
         def fail(seconds: float) -> None:
             raise LookupError
 
@@ -120,7 +120,7 @@
         if len(self.called_at) == 3:
             self.third.set()
 
-    async def test_calls_about_every_so_many_seconds_until_cancelled(self):
+    async def test_call_is_repeated_at_the_interval_until_cancelled(self):
         seconds = 3 * STEP_SECONDS
         begun = time.monotonic()
         task = asyncio.ensure_future(self.lag.every(seconds, self.note))
@@ -134,7 +134,7 @@
         await asyncio.sleep(2 * seconds)
         self.assertEqual(len(self.called_at), 3)
 
-    async def test_failure_of_one_ends_it_alone_and_is_told(self):
+    async def test_failure_ends_only_the_call_that_failed_and_is_raised(self):
         do = mock.Mock(side_effect=LookupError)
         other = asyncio.ensure_future(self.lag.every(STEP_SECONDS, self.note))
         self.addCleanup(other.cancel)
@@ -145,7 +145,7 @@
 
 
 class PeriodicCallTests(unittest.IsolatedAsyncioTestCase):
-    async def test_is_made_at_the_nearest_sample_and_once_for_all_that_was_due(self):
+    async def test_call_is_made_at_the_nearest_sample_and_missed_calls_are_not_repeated(self):
         do = mock.Mock()
         call = PeriodicCall(3 * STEP_SECONDS, do, 100.0)
         made = []
--- a/tests/core/test_pauses.py
+++ b/tests/core/test_pauses.py
@@ -17,7 +17,7 @@
         self.assertEqual(self.told, [PAUSE_SECONDS + 3.0])
         self.assertEqual(self.pauses.ended_at, 100.0)
 
-    def test_load_is_none(self):
+    def test_late_samples_under_load_are_no_pauses(self):
         for _ in range(SAMPLES):
             self.lag.take(PAUSE_SECONDS / 2)
         self.assertEqual(self.told, [])
--- a/tests/core/test_tasks.py
+++ b/tests/core/test_tasks.py
@@ -1,4 +1,4 @@
-"""Parts of a daemon that run for as long as it does."""
+"""Parts that run as long as the daemon does."""
 
 import asyncio
 import unittest
@@ -9,7 +9,7 @@
 
 
 class KeepRunningTests(unittest.IsolatedAsyncioTestCase):
-    """A part that failed once was gone for good, and nothing said so."""
+    """Guards against a part that fails once, never runs again, and isn't reported."""
 
     async def asyncSetUp(self) -> None:
         self.runs = 0
@@ -21,11 +21,11 @@
     async def part(self) -> None:
         self.runs += 1
         if self.runs == 1:
-            raise LookupError("an input that no test thought of")
+            raise LookupError("unexpected input")
         self.again.set()
         await asyncio.sleep(3600)
 
-    async def test_part_that_fails_runs_again_and_is_told_of(self):
+    async def test_failed_part_is_logged_and_restarted(self):
         with mock.patch.object(tasks, "get_logger") as logger:
             task = asyncio.ensure_future(keep_running(self.part, "watcher"))
             await asyncio.wait_for(self.again.wait(), 10.0)
