--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -1,4 +1,7 @@
-"""Run all tests, and close with a line that counts them."""
+"""Run all tests, and print their counts at the end.
+
+The exit status is 1 if a test fails that isn't listed in ``KNOWN-RED.txt``.
+"""
 
 import sys
 import unittest
@@ -9,7 +12,7 @@
 
 
 def known_red() -> set[str]:
-    """Return the ids of tests that are known to fail, by the first word of each line."""
+    """Return the ids of tests that are known to fail: the first word of each line of the list."""
     if not KNOWN_RED.exists():
         return set()
     lines = KNOWN_RED.read_text().splitlines()
--- a/tests/cli/test_account.py
+++ b/tests/cli/test_account.py
@@ -1,4 +1,4 @@
-"""The account of where requests were lost, made from log lines."""
+"""The counts of served, late, refused and lost requests, from log lines."""
 
 import tempfile
 import unittest
@@ -10,7 +10,7 @@
 
 
 def request(number: int, at_ms: int, route: str, outcome: str, **facts: object) -> list[str]:
-    """Return the lines of one request that came ``at_ms`` with an objective of 300 ms."""
+    """Return the log lines of a request received at ``at_ms`` with an objective of 300 ms."""
     name = f"r-{number}"
     received = {"route": route, "workspace": "one", "objective_ms": 300}
     received["returned"] = facts.pop("returned", 0)
@@ -51,20 +51,20 @@
         tags = rows["tags"]
         self.assertEqual((tags["unknown"], tags["left"]), (1, 1))
 
-    def test_seconds_are_in_order(self):
+    def test_seconds_are_sorted_by_time(self):
         rows = list(self.rows(Grouping.SECOND).values())
         self.assertEqual([row["received"] for row in rows], [2, 4])
 
-    def test_workspaces_and_nodes(self):
+    def test_rows_can_be_workspaces_or_nodes(self):
         self.assertEqual(list(self.rows(Grouping.WORKSPACE)), ["one", "two"])
         self.assertEqual(list(self.rows(Grouping.NODE)), ["a"])
 
-    def test_same_id_at_two_nodes_is_two_attempts(self):
+    def test_same_id_at_two_nodes_counts_as_two_requests(self):
         lines = [text("received", node, 0, request="r-1", route="x") for node in "ab"]
         rows = make_account([parse_line(line) for line in lines], Grouping.ROUTE)
         self.assertEqual(len(rows[0].requests), 2)
 
-    def test_quantiles(self):
+    def test_row_has_quantiles_of_times(self):
         drafts = self.rows(Grouping.ROUTE)["drafts"]
         self.assertEqual((drafts["first p50"], drafts["wait p90"]), (100, 5))
         self.assertEqual(set(drafts), set(COLUMNS))
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -1,4 +1,4 @@
-"""The command-line tool against a small fleet, by its functions and exit codes."""
+"""The command-line tool with a small fleet: the methods of its commands, and the exit codes."""
 
 import asyncio
 import contextlib
@@ -28,12 +28,12 @@
                 code = stop.code
         return code, out.getvalue() + err.getvalue()
 
-    def test_examples_are_in_order(self):
+    def test_examples_have_no_findings(self):
         for name in ("association", "cedarline"):
             code, text = self.run_check(str(EXAMPLES / name))
             self.assertEqual(code, 0, text)
 
-    def test_findings_of_all_files_come_together(self):
+    def test_findings_of_all_files_are_reported_together(self):
         with tempfile.TemporaryDirectory() as folder:
             first, second = Path(folder) / "a.json", Path(folder) / "b.json"
             first.write_text('[{"kind": "policy", "name": "p", "rank": "1 +"}]')
@@ -57,7 +57,10 @@
 
 class FleetCommandTests(FleetTestCase):
     async def run_tool(self, *words: str, output: str = "json") -> tuple[int, str]:
-        """Run one command in a thread, as a process of its own would, and return code and text."""
+        """Run a command in a thread, and return its exit code and output.
+
+        Like a process of its own, it doesn't run in the event loop of the fleet.
+        """
         admin = f"127.0.0.1:{self.fleet.nodes[0].settings.admin_port}"
 
         def run() -> tuple[int, str]:
@@ -90,23 +93,23 @@
         _, text = await self.run_tool("get", "priorityclass", "gold")
         self.assertEqual(json.loads(text)[0]["weight"], 9.0)
 
-    async def test_deleting_what_is_in_use_gives_findings(self):
+    async def test_deleting_an_object_in_use_gives_findings(self):
         code, text = await self.run_tool("delete", "policy", "plain")
         self.assertEqual(code, 3)
         self.assertIn("E020", text)
 
-    async def test_time_line_joins_all_daemons(self):
+    async def test_time_line_has_events_of_all_daemons(self):
         await self.complete(self.fleet.nodes[1])
         _, text = await self.run_tool("timeline")
         nodes = {event["node"] for event in json.loads(text)}
         self.assertEqual(len(nodes), 3)
 
-    async def test_wrong_secret_is_told(self):
+    async def test_wrong_secret_gives_an_exit_code(self):
         with mock.patch.object(Railsail, "__init__", _with_wrong_secret):
             code, _ = await self.run_tool("get")
         self.assertEqual(code, 5)
 
-    async def test_drain_of_one_daemon_under_load_cuts_nothing(self):
+    async def test_drain_of_one_daemon_under_load_cuts_no_requests(self):
         calls = [asyncio.ensure_future(self.complete(n, 400)) for n in self.fleet.nodes]
         await self.until(lambda: all(node.admission.total for node in self.fleet.nodes))
         drained = asyncio.ensure_future(self.fleet.nodes[0].run_until_drained())
--- a/tests/cli/test_explain.py
+++ b/tests/cli/test_explain.py
@@ -1,4 +1,4 @@
-"""What logs tell of a request."""
+"""The trace of a request from the logs, and the explanation of its outcome."""
 
 import json
 import unittest
@@ -10,7 +10,7 @@
 
 
 def text(event: str, node: str, at_ms: int, **facts: object) -> str:
-    """Return a line as a log collector may give it."""
+    """Return a log line as a log collector may deliver it."""
     return f"12.345 {node}: " + json.dumps(
         {"event": event, "node": node, "stamp": STAMP + (at_ms << 16), **facts}
     )
@@ -21,7 +21,7 @@
         parsed = [parse_line(line) for line in lines]
         return trace_request("r-1", [line for line in parsed if line is not None])
 
-    def test_request_that_is_held_back_names_the_replicas_that_ended(self):
+    def test_quarantined_request_names_the_replicas_that_ended(self):
         story = self.tell(
             text("received", "a", 0, request="r-1", fingerprint="0f"),
             text("quarantined", "a", 1, request="r-1", replicas="i-1 i-2 i-3", held_ms=119000),
@@ -74,7 +74,7 @@
         )
         self.assertIn("12 tickets waited, and 2 of 3 replicas served", story.cause)
 
-    def test_lost_answer_names_the_replica_and_why_nothing_was_repeated(self):
+    def test_lost_answer_is_explained_with_the_reason_for_no_retry(self):
         story = self.tell(
             text("received", "a", 0, request="r-1"),
             text("sent", "a", 1, request="r-1", replica="i-1"),
@@ -92,16 +92,16 @@
         self.assertIn("the connection broke", story.cause)
         self.assertIn("since it may not be repeated", story.cause)
 
-    def test_request_without_an_end_is_told_so(self):
+    def test_request_without_an_end_is_explained_as_such(self):
         story = self.tell(text("received", "a", 0, request="r-1"))
         self.assertIn("no end here", story.cause)
 
-    def test_lines_that_are_no_events_are_passed_over(self):
+    def test_lines_that_are_not_events_are_skipped(self):
         for line in ("", "Traceback", "{", "[1]", '{"event": "x"}', '{"a": {}}'):
             with self.subTest(line=line):
                 self.assertIsNone(parse_line(line))
 
-    def test_what_is_missing_is_told_with_a_count(self):
+    def test_dropped_lines_are_reported_with_their_count(self):
         story = self.tell(text("member", "a", 0, lines_left_out=7))
         self.assertEqual(story.lines, [])
         self.assertIn("7 lines were left out", story.left_out)
--- a/tests/conf/test_settings.py
+++ b/tests/conf/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: every finding with its place, all together, and no secret shown."""
+"""Settings: all findings are reported together with their places, and secrets are never shown."""
 
 import unittest
 
@@ -12,7 +12,7 @@
     "RAILSAIL_ADMIN_SECRET": "an-admin-secret-of-some-length",
 }
 
-# Each bad value with the finding that it must give.
+# Settings with an invalid value, and the id of the finding that it gives.
 BAD = [
     ("NODE_IP", "localhost", "E003"),
     ("NODE_IP", "10.0.0.300", "E003"),
@@ -43,23 +43,23 @@
             parse(arguments, environment)
         return caught.exception.findings
 
-    def test_good_settings(self):
+    def test_valid_settings_are_parsed(self):
         settings = parse([], GOOD).settings
         self.assertEqual(settings.node_id, "127.0.0.1:8082")
         self.assertEqual([str(e) for e in settings.store], ["10.0.0.1:7000", "10.0.0.2:7000"])
 
-    def test_flag_goes_before_variable(self):
+    def test_flag_takes_precedence_over_variable(self):
         settings = parse(["--failure-domain=mustamae"], GOOD).settings
         self.assertEqual(settings.failure_domain, "mustamae")
 
-    def test_bounds_and_times_may_have_fractions(self):
-        # A deployment's share of a bound need not be a whole number.
+    def test_limits_and_times_may_have_fractions(self):
+        # A deployment's part of a limit may have a fraction.
         for name in ("RETRY_SLACK", "DRAIN_SECONDS", "LEAVE_SECONDS", "WATCH_SECONDS"):
             with self.subTest(name=name):
                 settings = parse([], {**GOOD, f"RAILSAIL_{name}": "37.5"}).settings
                 self.assertEqual(getattr(settings, name.lower()), 37.5)
 
-    def test_each_bad_value_gives_its_finding_and_place(self):
+    def test_each_invalid_value_gives_its_finding_and_place(self):
         for name, value, finding_id in BAD:
             with self.subTest(name=name, value=value):
                 findings = self.findings([], {**GOOD, f"RAILSAIL_{name}": value})
@@ -68,7 +68,7 @@
                     self.assertIn(f"RAILSAIL_{name}", findings[0].place)
                     self.assertTrue(findings[0].hint)
 
-    def test_all_findings_come_together(self):
+    def test_all_findings_are_reported_together(self):
         findings = self.findings(["--prot=1"], {"RAILSAIL_CALLER_PORT": "x"})
         places = " ".join(finding.place for finding in findings)
         for word in ("--prot", "--caller-port", "--store", "--peer-secret", "--failure-domain"):
@@ -81,7 +81,7 @@
         self.assertNotIn("tiny", str(caught.exception))
         self.assertNotIn("secret-of", repr(parse([], GOOD).settings))
 
-    def test_every_option_is_a_field_with_help(self):
+    def test_every_option_has_a_help_sentence(self):
         for option in OPTIONS:
             self.assertTrue(option.help.endswith("."), option.name)
 
--- a/tests/forgetting.py
+++ b/tests/forgetting.py
@@ -1,4 +1,7 @@
-"""Servers that forget idle connections, and reset what is sent on them next."""
+"""Servers that drop connections silently, and reset them when the next bytes arrive.
+
+They imitate servers, or firewalls, that forget idle connections.
+"""
 
 import asyncio
 import socket
@@ -11,14 +14,17 @@
 
 
 def reset(transport: asyncio.Transport) -> None:
-    """Close a connection with a reset."""
+    """Close a connection with a TCP reset."""
     connection = transport.get_extra_info("socket")
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_AT_CLOSE)
     transport.abort()
 
 
 class _Forgetting(asyncio.StreamReaderProtocol):
-    """Reset at once, before any task of the loop goes on, so that no test depends on its load."""
+    """A protocol that resets forgotten connections as soon as data arrives.
+
+    It does so before any task of the event loop runs, so that the tests don't depend on its load.
+    """
 
     def __init__(self, serve: Serve, forgotten: Callable[[asyncio.Transport], bool]) -> None:
         super().__init__(asyncio.StreamReader(), serve)
@@ -39,6 +45,9 @@
 async def start_forgetting_server(
     serve: Serve, ip: str, forgotten: Callable[[asyncio.Transport], bool]
 ) -> asyncio.Server:
-    """Serve connections by ``serve`` at a free port, until ``forgotten`` says that of one."""
+    """Start a server at a free port of ``ip`` that handles connections with ``serve``.
+
+    Data on a connection for which ``forgotten`` returns True is answered with a reset.
+    """
     loop = asyncio.get_running_loop()
     return await loop.create_server(lambda: _Forgetting(serve, forgotten), ip, 0)
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""Pages that are made from the code are current, and pages name only what exists."""
+"""Generated pages are up to date, findings and metrics are documented, and links aren't broken."""
 
 import re
 import unittest
@@ -34,7 +34,7 @@
         self.assertTrue(names)
         self.assertEqual({name for name in names if name not in page}, set())
 
-    def test_links_between_pages_lead_somewhere(self):
+    def test_links_between_pages_are_not_broken(self):
         broken = []
         for page in [ROOT / "README.md", *DOCS.rglob("*.md")]:
             for target in re.findall(r"\]\(([^)#:]+)", page.read_text()):
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -1,4 +1,4 @@
-"""The operators' page: its log lines are what daemons write, and explain what the page says."""
+"""The operators' page shows log lines as daemons write them, and the output of ``explain``."""
 
 import re
 import unittest
@@ -9,7 +9,7 @@
 from railsail.core.events import Kind
 
 PAGE = (Path(__file__).parents[1] / "docs" / "OPERATIONS.md").read_text()
-# A command, the lines that it reads, and what it says of them.
+# A command, the log lines that it reads, and its output.
 EXAMPLE = re.compile(r"```\n\$ railsail explain (\S+) .*?\n(.*?)```\n\n```\n(.*?)```", re.DOTALL)
 PROCESS_EVENTS = {"start", "stop", "settings reloaded", "drain asked for"}
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The process: what SIGHUP does to the settings, and what it logs from start to stop."""
+"""The daemon's process: reloading the settings by SIGHUP, and the log from start to stop."""
 
 import asyncio
 import json
@@ -41,18 +41,18 @@
         self.path.write_text("".join(f"{name} = {value}\n" for name, value in lines.items()))
         reload(self.node, ["--settings-file", str(self.path)], {})
 
-    def test_new_settings_are_handed_over(self):
+    def test_new_settings_are_passed_to_the_node(self):
         self.reload(seeds="127.0.0.1:7002,127.0.0.1:7003")
         (settings,) = self.node.reloaded
         self.assertEqual([seed.port for seed in settings.seeds], [7002, 7003])
 
-    def test_bad_settings_change_nothing(self):
+    def test_invalid_settings_change_nothing(self):
         self.reload(seeds="nowhere")
         self.path.unlink()
         reload(self.node, ["--settings-file", str(self.path)], {})
         self.assertEqual(self.node.reloaded, [])
 
-    def test_file_goes_after_flags_and_variables(self):
+    def test_flags_and_variables_take_precedence_over_the_file(self):
         self.path.write_text("region = file\nfailure-domain = file\nstore = 127.0.0.1:1\n")
         arguments = ["--settings-file", str(self.path), "--network=closed", "--region=flag"]
         settings = parse(arguments, {"RAILSAIL_FAILURE_DOMAIN": "variable"}).settings
@@ -64,8 +64,8 @@
         self.assertEqual(self.node.reloaded, [])
 
 
-class LoggedTests(unittest.IsolatedAsyncioTestCase):
-    async def test_each_line_is_json_and_start_reload_and_stop_are_told(self):
+class LogTests(unittest.IsolatedAsyncioTestCase):
+    async def test_each_line_is_json_and_start_reload_and_stop_are_logged(self):
         ports = free_ports(4)
         names = ("caller-port", "admin-port", "peer-port")
         flags = [f"--{name}={port}" for name, port in zip(names, ports, strict=False)]
