--- a/railsail/core/collectors.py
+++ b/railsail/core/collectors.py
@@ -11,68 +11,68 @@
 _Key = tuple[tuple[str, str], ...]
 
 
-class _HandedOverWhenRead:
+class _BufferedCollector:
     """Mixin for counters and gauges that flushes buffered values before they are read."""
 
     def get_value(self, labels: Labels) -> float:
         """Return the value of a series; raise ``KeyError`` if there is none."""
-        self._hand_over()
+        self._flush()
         return super().get_value(labels)
 
     def get_all(self) -> list[tuple[Labels, float]]:
         """Return the labels and the value of each series."""
-        self._hand_over()
+        self._flush()
         return super().get_all()
 
-    def _hand_over(self) -> None:
+    def _flush(self) -> None:
         raise NotImplementedError
 
 
-class Counter(_HandedOverWhenRead, aioprometheus.Counter):
+class Counter(_BufferedCollector, aioprometheus.Counter):
     """A counter that buffers the sums added since the last read."""
 
     def __init__(self, *arguments, **options) -> None:
         super().__init__(*arguments, **options)
-        self._added: dict[_Key, float] = {}
+        self._unflushed: dict[_Key, float] = {}
 
     def add(self, labels: Labels, value: float) -> None:
         """Add ``value``; raise ``ValueError`` if it is negative."""
         key = tuple(labels.items())
-        added = self._added.get(key)
-        if added is None:
+        pending = self._unflushed.get(key)
+        if pending is None:
             self._check_labels(labels)
-            added = 0
+            pending = 0
         if value < 0:
             raise ValueError("Counters can't decrease")
-        self._added[key] = added + value
+        self._unflushed[key] = pending + value
 
-    def _hand_over(self) -> None:
-        added, self._added = self._added, {}
-        for key, value in added.items():
+    def _flush(self) -> None:
+        unflushed, self._unflushed = self._unflushed, {}
+        for key, value in unflushed.items():
             super().add(dict(key), value)
 
 
-class Gauge(_HandedOverWhenRead, aioprometheus.Gauge):
+class Gauge(_BufferedCollector, aioprometheus.Gauge):
     """A gauge that buffers the values set since the last read."""
 
     def __init__(self, *arguments, **options) -> None:
         super().__init__(*arguments, **options)
-        self._set: dict[_Key, float] = {}
+        self._unflushed: dict[_Key, float] = {}
 
     def set(self, labels: Labels, value: float) -> None:
         """Set the gauge."""
         key = tuple(labels.items())
-        if key not in self._set:
+        if key not in self._unflushed:
             self._check_labels(labels)
         else:
             # Move the key to the end: if a series is set under several label orders, the last value
             # set has to win.
-            del self._set[key]
-        self._set[key] = value
+            del self._unflushed[key]
+        self._unflushed[key] = value
 
-    def _hand_over(self) -> None:
-        given, self._set = self._set, {}
-        for key, value in given.items():
+    def _flush(self) -> None:
+        unflushed, self._unflushed = self._unflushed, {}
+        for key, value in unflushed.items():
             self.set_value(dict(key), value)
 
 
