--- a/railsail/core/decisions.py
+++ b/railsail/core/decisions.py
@@ -16,31 +16,31 @@
 
 # The number of requests whose events are buffered at the same time. Beyond it, the oldest request's
 # events are dropped.
-MOST_HELD_BACK = 4096
-_HASHES = 1 << 32
+MAX_BUFFERED_REQUESTS = 4096
+_HASH_RANGE = 1 << 32
 
 
-class Sampling:
+class RequestSampler:
     """Sample about ``per_second`` requests a second, with all of their events or none."""
 
     def __init__(self, per_second: float, now: float) -> None:
         self._per_second = per_second
-        self._share = 1.0
-        self._begun = now
-        self._seen = 0
+        self._ratio = 1.0
+        self._window_started_at = now
+        self._window_requests = 0
 
-    def request(self, now: float) -> None:
+    def count_request(self, now: float) -> None:
         """Count a new request at ``now``, in seconds, and adjust the ratio once a second."""
-        self._seen += 1
-        elapsed = now - self._begun
+        self._window_requests += 1
+        elapsed = now - self._window_started_at
         if elapsed >= 1.0:
-            self._share = min(1.0, self._per_second * elapsed / self._seen)
-            self._begun = now
-            self._seen = 0
+            self._ratio = min(1.0, self._per_second * elapsed / self._window_requests)
+            self._window_started_at = now
+            self._window_requests = 0
 
-    def chosen(self, request: str) -> bool:
+    def includes(self, request: str) -> bool:
         """Return True if ``request`` belongs to the sample."""
-        return zlib.crc32(request.encode()) < self._share * _HASHES
+        return zlib.crc32(request.encode()) < self._ratio * _HASH_RANGE
 
 
 def line_fields(event: Event) -> dict[str, Fact]:
@@ -74,46 +74,46 @@
     ) -> None:
         self._clock = clock
         self._write = write
-        self._sampling = Sampling(per_second, clock.monotonic())
+        self._sampler = RequestSampler(per_second, clock.monotonic())
         # The buffered events by request; ``None`` if all further events are written directly.
-        self._held_back: dict[str, list[Event] | None] = {}
+        self._buffered: dict[str, list[Event] | None] = {}
 
-    def take(self, event: Event) -> None:
+    def handle(self, event: Event) -> None:
         """Write ``event`` now, or buffer it."""
         if not event.request:
             self._write(event, False)
             return
         if event.kind is Kind.RECEIVED:
-            self._begin(event.request)
+            self._start_request(event.request)
         if event.notable:
-            self._write_held_back(event.request, ordinary=False)
+            self._write_buffered(event.request, ordinary=False)
             self._write(event, False)
-            if event.request in self._held_back:
-                self._held_back[event.request] = None
+            if event.request in self._buffered:
+                self._buffered[event.request] = None
         else:
-            self._hold_back(event)
+            self._buffer_or_write(event)
         if event.kind is Kind.ENDED:
-            self._end(event.request)
+            self._end_request(event.request)
 
-    def _hold_back(self, event: Event) -> None:
-        held_back = self._held_back.get(event.request)
-        if held_back is None:
+    def _buffer_or_write(self, event: Event) -> None:
+        buffered = self._buffered.get(event.request)
+        if buffered is None:
             # The request had a notable event, or it started at another daemon.
             self._write(event, True)
         else:
-            held_back.append(event)
+            buffered.append(event)
 
-    def _end(self, request: str) -> None:
-        if self._sampling.chosen(request):
-            self._write_held_back(request, ordinary=True)
-        self._held_back.pop(request, None)
+    def _end_request(self, request: str) -> None:
+        if self._sampler.includes(request):
+            self._write_buffered(request, ordinary=True)
+        self._buffered.pop(request, None)
 
-    def _write_held_back(self, request: str, ordinary: bool) -> None:
-        for event in self._held_back.get(request) or ():
+    def _write_buffered(self, request: str, ordinary: bool) -> None:
+        for event in self._buffered.get(request) or ():
             self._write(event, ordinary)
 
-    def _begin(self, request: str) -> None:
-        self._sampling.request(self._clock.monotonic())
-        self._held_back[request] = []
-        if len(self._held_back) > MOST_HELD_BACK:
-            del self._held_back[next(iter(self._held_back))]
+    def _start_request(self, request: str) -> None:
+        self._sampler.count_request(self._clock.monotonic())
+        self._buffered[request] = []
+        if len(self._buffered) > MAX_BUFFERED_REQUESTS:
+            del self._buffered[next(iter(self._buffered))]
--- a/railsail/process.py
+++ b/railsail/process.py
@@ -38,7 +38,7 @@
 async def _run(settings: Settings, left_out: DroppedLines) -> int:
     node = Node(settings)
     decisions = DecisionLog(node.clock, settings.log_requests_per_second)
-    node.events.on_emit(decisions.take)
+    node.events.on_emit(decisions.handle)
     node.metrics.count_left_out_lines(left_out)
     get_logger().info("start", start_id=node.start_id, version=railsail.__version__)
     cut = asyncio.Event()
--- a/tests/core/test_logs.py
+++ b/tests/core/test_logs.py
@@ -7,7 +7,7 @@
 import structlog
 
 from railsail.core.clock import ManualClock
-from railsail.core.decisions import MOST_HELD_BACK, DecisionLog, Sampling
+from railsail.core.decisions import MAX_BUFFERED_REQUESTS, DecisionLog, RequestSampler
 from railsail.core.events import EventLog, Kind
 from railsail.core.logs import (
     MOST_LINE_BYTES,
@@ -98,10 +98,10 @@
         log = DecisionLog(self.clock, per_second, self._write)
         if not per_second:
             # The sampling ratio is set after the first second.
-            log._sampling.request(self.clock.monotonic())
+            log._sampler.count_request(self.clock.monotonic())
             self.clock.advance(1.0)
-            log._sampling.request(self.clock.monotonic())
-        self.events.on_emit(log.take)
+            log._sampler.count_request(self.clock.monotonic())
+        self.events.on_emit(log.handle)
 
     def _write(self, event, ordinary):
         self.lines.append((event.request, str(event.kind), ordinary))
@@ -146,22 +146,22 @@
     def test_number_of_buffered_requests_is_bounded(self):
         self.start(0.0)
         log = DecisionLog(self.clock, 0.0, self._write)
-        log._sampling._share = 0.0
-        for number in range(MOST_HELD_BACK + 10):
-            log.take(EventLog("n", self.clock).emit(Kind.RECEIVED, request=f"r{number}"))
-        self.assertEqual(len(log._held_back), MOST_HELD_BACK)
+        log._sampler._ratio = 0.0
+        for number in range(MAX_BUFFERED_REQUESTS + 10):
+            log.handle(EventLog("n", self.clock).emit(Kind.RECEIVED, request=f"r{number}"))
+        self.assertEqual(len(log._buffered), MAX_BUFFERED_REQUESTS)
 
     def test_all_daemons_choose_the_same_requests(self):
-        samplings = [Sampling(5.0, 0.0), Sampling(5.0, 0.0)]
-        for sampling in samplings:
+        samplers = [RequestSampler(5.0, 0.0), RequestSampler(5.0, 0.0)]
+        for sampler in samplers:
             for _ in range(100):
-                sampling.request(0.0)
-            sampling.request(1.0)
+                sampler.count_request(0.0)
+            sampler.count_request(1.0)
         names = [f"r{number}" for number in range(1000)]
-        chosen = [{name for name in names if sampling.chosen(name)} for sampling in samplings]
-        self.assertEqual(chosen[0], chosen[1])
-        self.assertGreater(len(chosen[0]), 0)
-        self.assertLess(len(chosen[0]), 150)
+        samples = [{name for name in names if sampler.includes(name)} for sampler in samplers]
+        self.assertEqual(samples[0], samples[1])
+        self.assertGreater(len(samples[0]), 0)
+        self.assertLess(len(samples[0]), 150)
 
 
 if __name__ == "__main__":
--- a/tests/platform/test_explain.py
+++ b/tests/platform/test_explain.py
@@ -20,7 +20,7 @@
         # No request is told unless it has to be.
         decisions = DecisionLog(node.clock, 0.0, self._write)
         decisions._sampling._share = 0.0
-        node.events.on_emit(decisions.take)
+        node.events.on_emit(decisions.handle)
         return node
 
     def _write(self, event, ordinary):
