--- a/railsail/cli/main.py
+++ b/railsail/cli/main.py
@@ -18,7 +18,7 @@
 from railsail.cli.output import complain, show, show_stamp
 from railsail.conf.settings import ENVIRONMENT_PREFIX
 from railsail.core.checks import Finding, render
-from railsail.core.events import Event, join
+from railsail.core.events import Event, merge_logs
 from railsail.objects.catalog import Catalog, Operation, hash_key
 from railsail.objects.checks import check_catalog
 from railsail.objects.parse import parse_resource, to_plain
@@ -124,7 +124,7 @@
         replies = asyncio.run(self._ask_all(path))
         logs = [[Event(**event) for event in reply.body.get("events", [])] for _, reply in replies]
         silent = [endpoint for endpoint, reply in replies if reply.status != 200]
-        rows = [_event_row(event) for event in join(logs)[-limit:]]
+        rows = [_event_row(event) for event in merge_logs(logs)[-limit:]]
         show(rows, ("time", "node", "kind", "request", "workspace", "detail"), self._output)
         if silent:
             complain("no events from " + ", ".join(silent))
--- a/railsail/core/events.py
+++ b/railsail/core/events.py
@@ -111,8 +111,8 @@
 
         If ``request`` is given, return only the events of that request.
         """
-        chosen = [event for event in self._ring if _matches(event, request, since)]
-        return chosen[-limit:]
+        selected = [event for event in self._ring if _matches(event, request, since)]
+        return selected[-limit:]
 
     def __iter__(self) -> Iterator[Event]:
         return iter(self._ring)
@@ -124,7 +124,7 @@
     return not request or event.request == request
 
 
-def join(logs: list[list[Event]]) -> list[Event]:
+def merge_logs(logs: list[list[Event]]) -> list[Event]:
     """Merge the events of several processes into one time line, ordered by stamp."""
     merged = [event for log in logs for event in log]
     return sorted(merged, key=lambda event: (event.stamp, event.node))
--- a/railsail/core/fingerprints.py
+++ b/railsail/core/fingerprints.py
@@ -14,7 +14,7 @@
 FINGERPRINT_BITS = 62
 _DIGEST_BYTES = 8
 # The number of routes whose fingerprints are cached.
-MOST_ROUTES = 4096
+MAX_CACHED_ROUTES = 4096
 
 
 def request_fingerprint(head: Iterable[str], body: bytes) -> int:
@@ -29,7 +29,7 @@
     return _to_fingerprint(digest.digest())
 
 
-@lru_cache(maxsize=MOST_ROUTES)
+@lru_cache(maxsize=MAX_CACHED_ROUTES)
 def route_fingerprint(name: str) -> int:
     """Return the fingerprint of the route ``name``, which is never 0."""
     return _to_fingerprint(
--- a/railsail/core/logs.py
+++ b/railsail/core/logs.py
@@ -23,11 +23,11 @@
 
 DEFAULT_LINES_PER_SECOND = 200
 # A writable pipe accepts this many bytes without blocking (POSIX, PIPE_BUF on Linux).
-MOST_LINE_BYTES = 4096
-MOST_EXCERPT = 1000
+MAX_LINE_BYTES = 4096
+MAX_EXCERPT_CHARACTERS = 1000
 # Part of the budget that is reserved for lines that aren't ordinary, such as those of failures.
 RESERVED_SHARE = 0.5
-_NOW = structlog.processors.TimeStamper(fmt="iso")
+_TIMESTAMPER = structlog.processors.TimeStamper(fmt="iso")
 
 
 @dataclass
@@ -36,7 +36,7 @@
 
     over_budget: int = 0
     pipe_full: int = 0
-    untold: int = 0
+    unreported: int = 0
 
 
 class LineBudget:
@@ -45,12 +45,14 @@
     def __init__(self, per_second: float, now: float) -> None:
         self._per_second = per_second
         self._tokens = per_second
-        self._at = now
+        self._refilled_at = now
 
     def allow(self, now: float, ordinary: bool) -> bool:
         """Return True if a line may be written at ``now``, in seconds, and take its token."""
-        self._tokens = min(self._per_second, self._tokens + (now - self._at) * self._per_second)
-        self._at = now
+        self._tokens = min(
+            self._per_second, self._tokens + (now - self._refilled_at) * self._per_second
+        )
+        self._refilled_at = now
         reserved = RESERVED_SHARE * self._per_second if ordinary else 0.0
         if self._tokens < 1.0 + reserved:
             return False
@@ -61,9 +63,9 @@
 class LineWriter:
     """A file object for structlog that drops a line if writing it would block."""
 
-    def __init__(self, file: TextIO, left_out: DroppedLines) -> None:
+    def __init__(self, file: TextIO, dropped: DroppedLines) -> None:
         self._file = file
-        self._left_out = left_out
+        self._dropped = dropped
         self._poll = select.poll()
         self._descriptor: int | None = None
         # An in-memory file has no descriptor, and never blocks.
@@ -77,14 +79,16 @@
         Instead of a line that is too long, write the event ``line too long`` with its start.
         """
         data = line.encode()
-        if len(data) > MOST_LINE_BYTES:
-            line = _encode({"event": "line too long", "begins": line[:MOST_EXCERPT]}) + "\n"
+        if len(data) > MAX_LINE_BYTES:
+            line = (
+                _encode({"event": "line too long", "begins": line[:MAX_EXCERPT_CHARACTERS]}) + "\n"
+            )
             data = line.encode()
         if self._descriptor is None:
             self._file.write(line)
         elif not self._poll.poll(0) or not self._write(data):
-            self._left_out.pipe_full += 1
-            self._left_out.untold += 1
+            self._dropped.pipe_full += 1
+            self._dropped.unreported += 1
 
     def _write(self, data: bytes) -> bool:
         try:
@@ -102,10 +106,10 @@
     """A structlog processor that drops lines over the budget, ``ordinary`` lines first."""
 
     def __init__(
-        self, per_second: float, left_out: DroppedLines, clock: Callable[[], float] = steady_seconds
+        self, per_second: float, dropped: DroppedLines, clock: Callable[[], float] = steady_seconds
     ) -> None:
         self._budget = LineBudget(per_second, clock())
-        self._left_out = left_out
+        self._dropped = dropped
         self._clock = clock
 
     def __call__(
@@ -114,12 +118,12 @@
         """Return ``line``, or raise ``DropEvent``."""
         ordinary = bool(line.pop("ordinary", False))
         if not self._budget.allow(self._clock(), ordinary):
-            self._left_out.over_budget += 1
-            self._left_out.untold += 1
+            self._dropped.over_budget += 1
+            self._dropped.unreported += 1
             raise structlog.DropEvent
-        if self._left_out.untold:
-            line["lines_left_out"] = self._left_out.untold
-            self._left_out.untold = 0
+        if self._dropped.unreported:
+            line["lines_left_out"] = self._dropped.unreported
+            self._dropped.unreported = 0
         return line
 
 
@@ -130,10 +134,10 @@
 
     ``level`` is the name of a level of the standard library's ``logging``.
     """
-    left_out = DroppedLines()
+    dropped = DroppedLines()
     structlog.configure(
         processors=[
-            BudgetProcessor(lines_per_second, left_out),
+            BudgetProcessor(lines_per_second, dropped),
             structlog.contextvars.merge_contextvars,
             structlog.processors.add_log_level,
             _add_timestamp,
@@ -141,13 +145,13 @@
             structlog.processors.JSONRenderer(serializer=_encode),
         ],
         wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, level.upper())),
-        logger_factory=structlog.WriteLoggerFactory(file=LineWriter(sys.stdout, left_out)),
+        logger_factory=structlog.WriteLoggerFactory(file=LineWriter(sys.stdout, dropped)),
         cache_logger_on_first_use=True,
     )
     structlog.contextvars.bind_contextvars(node=node)
     # A logger that has been used keeps its old configuration.
     get_logger.cache_clear()
-    return left_out
+    return dropped
 
 
 @functools.cache
@@ -159,7 +163,7 @@
 def _add_timestamp(
     logger: object, method: str, line: MutableMapping[str, object]
 ) -> MutableMapping[str, object]:
-    return line if "timestamp" in line else _NOW(logger, method, line)
+    return line if "timestamp" in line else _TIMESTAMPER(logger, method, line)
 
 
 def _encode(line: object, **options: object) -> str:
--- a/railsail/core/metrics.py
+++ b/railsail/core/metrics.py
@@ -14,7 +14,7 @@
 
     def __init__(self) -> None:
         self.registry = Registry()
-        self._left_out = DroppedLines()
+        self._dropped_lines = DroppedLines()
         self.requests = self._counter("railsail_requests_total", "Requests by pool and outcome.")
         self.forwarded = self._counter(
             "railsail_forwarded_total",
@@ -31,7 +31,7 @@
             "railsail_stage_seconds",
             "Seconds that routed requests took, by route, outcome and stage.",
         )
-        self.lines_left_out = self._gauge(
+        self.dropped_log_lines = self._gauge(
             "railsail_log_lines_left_out", "Log lines dropped since the start, by reason."
         )
         self.queued = self._gauge("railsail_waiting_tickets", "Waiting tickets, by cell.")
@@ -107,12 +107,12 @@
     def _histogram(self, name: str, doc: str) -> Histogram:
         return Histogram(name, doc, registry=self.registry, buckets=_LATENCY_BUCKETS)
 
-    def count_left_out_lines(self, left_out: DroppedLines) -> None:
-        """Report the counts of ``left_out`` in the metrics from now on."""
-        self._left_out = left_out
+    def report_dropped_lines(self, dropped: DroppedLines) -> None:
+        """Report the counts of ``dropped`` in the metrics from now on."""
+        self._dropped_lines = dropped
 
     def render(self, accept: list[str]) -> tuple[bytes, dict[str, str]]:
         """Return the body and headers of a scrape that accepts the formats in ``accept``."""
-        self.lines_left_out.set({"reason": "over-budget"}, self._left_out.over_budget)
-        self.lines_left_out.set({"reason": "pipe-full"}, self._left_out.pipe_full)
+        self.dropped_log_lines.set({"reason": "over-budget"}, self._dropped_lines.over_budget)
+        self.dropped_log_lines.set({"reason": "pipe-full"}, self._dropped_lines.pipe_full)
         return render(self.registry, accept)
--- a/railsail/process.py
+++ b/railsail/process.py
@@ -30,16 +30,16 @@
         print("the settings are in order")
         sys.exit(EXIT_OK)
     settings = parsed.settings
-    left_out = configure_logs(settings.log_level, settings.node_id, settings.log_lines_per_second)
+    dropped = configure_logs(settings.log_level, settings.node_id, settings.log_lines_per_second)
     with asyncio.Runner(loop_factory=SteadyEventLoop) as runner:
-        sys.exit(runner.run(_run(settings, left_out)))
+        sys.exit(runner.run(_run(settings, dropped)))
 
 
-async def _run(settings: Settings, left_out: DroppedLines) -> int:
+async def _run(settings: Settings, dropped: DroppedLines) -> int:
     node = Node(settings)
     decisions = DecisionLog(node.clock, settings.log_requests_per_second)
     node.events.on_emit(decisions.handle)
-    node.metrics.count_left_out_lines(left_out)
+    node.metrics.report_dropped_lines(dropped)
     get_logger().info("start", start_id=node.start_id, version=railsail.__version__)
     cut = asyncio.Event()
     _listen_to_signals(node, cut)
--- a/railsail/standins/demo.py
+++ b/railsail/standins/demo.py
@@ -11,7 +11,7 @@
 
 from railsail.cli.output import show
 from railsail.core.clock import stamp_seconds
-from railsail.core.events import join
+from railsail.core.events import merge_logs
 from railsail.core.logs import configure_logs
 from railsail.standins.batching import EngineSettings
 from railsail.standins.fleet import StandinFleet, load_objects
@@ -72,7 +72,7 @@
 
 def _show_time_line(fleet: StandinFleet, request: str) -> None:
     logs = [node.events.select(request) for node in fleet.nodes]
-    story = join(logs)
+    story = merge_logs(logs)
     begun = stamp_seconds(story[0].stamp)
     rows = []
     for event in story:
--- a/tests/core/test_logs.py
+++ b/tests/core/test_logs.py
@@ -10,7 +10,7 @@
 from railsail.core.decisions import MAX_BUFFERED_REQUESTS, DecisionLog, RequestSampler
 from railsail.core.events import EventLog, Kind
 from railsail.core.logs import (
-    MOST_LINE_BYTES,
+    MAX_LINE_BYTES,
     BudgetProcessor,
     DroppedLines,
     LineBudget,
@@ -32,8 +32,8 @@
 
     def test_next_line_reports_the_number_of_dropped_lines(self):
         now = [0.0]
-        left_out = DroppedLines()
-        step = BudgetProcessor(1, left_out, lambda: now[0])
+        dropped = DroppedLines()
+        step = BudgetProcessor(1, dropped, lambda: now[0])
         step(None, "info", {"event": "a"})
         for _ in range(3):
             with self.assertRaises(structlog.DropEvent):
@@ -42,7 +42,7 @@
         self.assertEqual(step(None, "info", {"event": "c"})["lines_left_out"], 3)
         now[0] = 2.0
         self.assertNotIn("lines_left_out", step(None, "info", {"event": "d"}))
-        self.assertEqual(left_out.over_budget, 3)
+        self.assertEqual(dropped.over_budget, 3)
 
 
 class WriterTests(unittest.TestCase):
@@ -50,8 +50,8 @@
         self.read, self.write = os.pipe()
         self.addCleanup(os.close, self.read)
         self.file = os.fdopen(self.write, "w")
-        self.left_out = DroppedLines()
-        self.writer = LineWriter(self.file, self.left_out)
+        self.dropped = DroppedLines()
+        self.writer = LineWriter(self.file, self.dropped)
 
     def tearDown(self):
         self.file.close()
@@ -60,15 +60,15 @@
         line = "x" * 1000 + "\n"
         for _ in range(1000):
             self.writer.write(line)
-        self.assertGreater(self.left_out.pipe_full, 0)
-        written = 1000 - self.left_out.pipe_full
+        self.assertGreater(self.dropped.pipe_full, 0)
+        written = 1000 - self.dropped.pipe_full
         os.set_blocking(self.read, False)
         got = b""
-        while chunk := self._take():
+        while chunk := self._read_available():
             got += chunk
         self.assertEqual(got, (line * written).encode())
 
-    def _take(self) -> bytes:
+    def _read_available(self) -> bytes:
         try:
             return os.read(self.read, 1 << 16)
         except BlockingIOError:
@@ -78,13 +78,13 @@
         read, write = os.pipe()
         os.close(read)
         with os.fdopen(write, "w") as file:
-            LineWriter(file, self.left_out).write("x\n")
-        self.assertEqual(self.left_out.pipe_full, 1)
+            LineWriter(file, self.dropped).write("x\n")
+        self.assertEqual(self.dropped.pipe_full, 1)
 
     def test_line_that_is_too_long_for_a_pipe_is_replaced_by_a_json_line(self):
-        self.writer.write(json.dumps({"event": "x" * (MOST_LINE_BYTES * 4)}) + "\n")
+        self.writer.write(json.dumps({"event": "x" * (MAX_LINE_BYTES * 4)}) + "\n")
         got = os.read(self.read, 1 << 16)
-        self.assertLess(len(got), MOST_LINE_BYTES)
+        self.assertLess(len(got), MAX_LINE_BYTES)
         self.assertEqual(json.loads(got)["event"], "line too long")
 
 
