--- a/railsail/daemon.py
+++ b/railsail/daemon.py
@@ -1,6 +1,6 @@
 """The entry point of the daemon ``railsaild``."""
 
-from railsail.core.lean import lean_imports
+from railsail.core.imports import lean_imports
 
 
 def main() -> None:
--- a/tests/core/test_lean.py
+++ b/tests/core/test_imports.py
@@ -7,7 +7,7 @@
 _PROGRAM = """
 import gc
 import sys
-from railsail.core.lean import lean_imports
+from railsail.core.imports import lean_imports
 with lean_imports():
     import railsail.process
 import railsail.platform
@@ -26,7 +26,7 @@
 print(held, check_program("rank", "1 + 1", "p"), gc.isenabled(), gc.get_freeze_count() > 0)
 """
 _LATER = """
-from railsail.core.lean import lean_imports
+from railsail.core.imports import lean_imports
 with lean_imports():
     import railsail.process
 import importlib.metadata
