--- a/railsail/core/imports.py
+++ b/railsail/core/imports.py
@@ -20,7 +20,7 @@
 
 
 @contextlib.contextmanager
-def lean_imports() -> Iterator[None]:
+def without_unused_modules() -> Iterator[None]:
     """Make the unused modules empty or absent while the libraries are imported.
 
     Imports create almost no garbage. The garbage collector is therefore off in the meantime, and
--- a/tests/core/test_imports.py
+++ b/tests/core/test_imports.py
@@ -4,15 +4,15 @@
 import sys
 import unittest
 
-_PROGRAM = """
+_CHECK_LOADED = """
 import gc
 import sys
-from railsail.core.imports import lean_imports
-with lean_imports():
+from railsail.core.imports import without_unused_modules
+with without_unused_modules():
     import railsail.process
 import railsail.platform
 from railsail.policy.programs import check_program
-kept_out = (
+unused = (
     "rich",
     "typer",
     "prompt_toolkit",
@@ -22,12 +22,12 @@
     "curses",
     "typing_extensions",
 )
-held = [name for name in sys.modules if name in kept_out or name.startswith("rich.")]
-print(held, check_program("rank", "1 + 1", "p"), gc.isenabled(), gc.get_freeze_count() > 0)
+loaded = [name for name in sys.modules if name in unused or name.startswith("rich.")]
+print(loaded, check_program("rank", "1 + 1", "p"), gc.isenabled(), gc.get_freeze_count() > 0)
 """
-_LATER = """
-from railsail.core.imports import lean_imports
-with lean_imports():
+_IMPORT_LATER = """
+from railsail.core.imports import without_unused_modules
+with without_unused_modules():
     import railsail.process
 import importlib.metadata
 import multiprocessing
@@ -40,15 +40,17 @@
     return subprocess.run(command, check=False, capture_output=True, text=True)
 
 
-class LeanTests(unittest.TestCase):
+class UnusedModulesTests(unittest.TestCase):
     def test_unused_modules_are_not_loaded_and_policies_work(self):
-        done = run(_PROGRAM)
+        result = run(_CHECK_LOADED)
         expected = ("[] [] True True", 0)
-        self.assertEqual((done.stdout.strip(), done.returncode), expected, done.stderr)
+        self.assertEqual((result.stdout.strip(), result.returncode), expected, result.stderr)
 
     def test_skipped_modules_can_be_imported_later(self):
-        done = run(_LATER)
-        self.assertEqual((done.stdout.strip(), done.returncode), ("True True", 0), done.stderr)
+        result = run(_IMPORT_LATER)
+        self.assertEqual(
+            (result.stdout.strip(), result.returncode), ("True True", 0), result.stderr
+        )
 
 
 if __name__ == "__main__":
