--- a/railsail/core/looplag.py
+++ b/railsail/core/looplag.py
@@ -14,10 +14,10 @@
 
 # Time between samples. It is short compared with the objectives of requests, and sampling takes
 # 0.1% of a core.
-STEP_SECONDS = 0.05
+SAMPLE_INTERVAL_SECONDS = 0.05
 # The lag is the median of this many samples, so that a single long turn of the loop doesn't count
 # as overload.
-SAMPLES = 3
+MEDIAN_SAMPLES = 3
 # A request takes about six turns of the loop before its response starts. With this lag they use up
 # most of an objective of 250 ms.
 LATE_SECONDS = 0.03
@@ -28,21 +28,21 @@
 
 
 class PeriodicCall:
-    """Call ``do`` every ``seconds`` until it raises, which sets the exception of ``failed``."""
+    """Call ``callback`` every ``seconds`` until it raises, which sets the exception of ``failed``."""
 
-    def __init__(self, seconds: float, do: Callable[[], None], now: float) -> None:
+    def __init__(self, seconds: float, callback: Callable[[], None], now: float) -> None:
         self.failed = asyncio.get_running_loop().create_future()
         self._seconds = seconds
-        self._do = do
+        self._callback = callback
         self._due = now + seconds
 
     def run_if_due(self, now: float) -> None:
         """Make the call if its due time is closer to ``now`` than to the next sample."""
-        if self.failed.done() or now < self._due - STEP_SECONDS / 2:
+        if self.failed.done() or now < self._due - SAMPLE_INTERVAL_SECONDS / 2:
             return
         self._due = now + self._seconds
         try:
-            self._do()
+            self._callback()
         except Exception as problem:
             self.failed.set_exception(problem)
 
@@ -57,10 +57,10 @@
     def __init__(self, clock: Callable[[], float], pauses: Pauses | None = None) -> None:
         self._clock = clock
         self._pauses = pauses or Pauses()
-        self._samples: deque[float] = deque([0.0] * SAMPLES, maxlen=SAMPLES)
+        self._samples: deque[float] = deque([0.0] * MEDIAN_SAMPLES, maxlen=MEDIAN_SAMPLES)
         self._late_since = math.inf
         self._listeners: list[Callable[[], None]] = []
-        self._parts: list[PeriodicCall] = []
+        self._periodic_calls: list[PeriodicCall] = []
 
     def on_sample(self, listener: Callable[[], None]) -> None:
         """Call ``listener`` after each sample."""
@@ -85,7 +85,7 @@
         """Return for how many seconds in a row the loop has been late, 0 if it isn't."""
         return max(0.0, self._clock() - self._late_since)
 
-    def take(self, seconds: float) -> None:
+    def record(self, seconds: float) -> None:
         """Record a sample: a timer that fired ``seconds`` late."""
         if seconds >= PAUSE_SECONDS:
             self._pauses.ended(seconds, self._clock())
@@ -97,29 +97,31 @@
         for listener in self._listeners:
             listener()
 
-    async def every(self, seconds: float, do: Callable[[], None]) -> None:
-        """Call ``do`` about every ``seconds`` until cancelled, or until it raises.
+    async def every(self, seconds: float, callback: Callable[[], None]) -> None:
+        """Call ``callback`` about every ``seconds`` until cancelled, or until it raises.
 
         The call is made together with the nearest sample. In an idle daemon, another wake-up of the
         loop would cost more than most of these calls do.
         """
-        part = PeriodicCall(seconds, do, self._clock())
-        self._parts.append(part)
+        call = PeriodicCall(seconds, callback, self._clock())
+        self._periodic_calls.append(call)
         try:
-            await part.failed
+            await call.failed
         finally:
-            self._parts.remove(part)
+            self._periodic_calls.remove(call)
 
     async def run(self) -> None:
         """Take samples and make the periodic calls until cancelled."""
         loop = asyncio.get_running_loop()
         failed = loop.create_future()
 
-        def wait() -> None:
+        def schedule_timer() -> None:
             nonlocal timer
-            timer = loop.call_later(STEP_SECONDS, come_due, self._clock() + STEP_SECONDS)
+            timer = loop.call_later(
+                SAMPLE_INTERVAL_SECONDS, on_timer, self._clock() + SAMPLE_INTERVAL_SECONDS
+            )
 
-        def come_due(due: float) -> None:
+        def on_timer(due: float) -> None:
             # Callbacks that became ready together with the timer run before ``sample``, which makes
             # them part of the lag.
             loop.call_soon(sample, due)
@@ -128,17 +130,17 @@
             if failed.done():
                 return
             try:
-                self.take(self._clock() - due)
+                self.record(self._clock() - due)
             except Exception as problem:
                 failed.set_exception(problem)
                 return
             now = self._clock()
-            for part in self._parts:
-                part.run_if_due(now)
-            wait()
+            for call in self._periodic_calls:
+                call.run_if_due(now)
+            schedule_timer()
 
         timer: asyncio.TimerHandle
-        wait()
+        schedule_timer()
         try:
             await failed
         finally:
--- a/tests/core/test_clock.py
+++ b/tests/core/test_clock.py
@@ -44,14 +44,14 @@
         self.assertLess(waited, 10.0)
 
     async def sleep_through_a_suspension(self, seconds: float) -> float:
-        begun = time.perf_counter()
+        started_at = time.perf_counter()
         sleeping = asyncio.ensure_future(asyncio.sleep(seconds))
         await asyncio.sleep(0)
         self.machine.seconds = seconds
         # The loop has computed its wait for the timer above; this shorter one wakes it up.
         await asyncio.sleep(0.01)
         await sleeping
-        return time.perf_counter() - begun
+        return time.perf_counter() - started_at
 
 
 class ResolverTests(unittest.TestCase):
--- a/tests/core/test_pauses.py
+++ b/tests/core/test_pauses.py
@@ -1,6 +1,6 @@
 import unittest
 
-from railsail.core.looplag import SAMPLES, LoopLag
+from railsail.core.looplag import MEDIAN_SAMPLES, LoopLag
 from railsail.core.pauses import PAUSE_SECONDS, Pauses
 
 
@@ -13,13 +13,13 @@
         self.lag = LoopLag(lambda: self.now, self.pauses)
 
     def test_long_sample_is_a_pause(self):
-        self.lag.take(PAUSE_SECONDS + 3.0)
+        self.lag.record(PAUSE_SECONDS + 3.0)
         self.assertEqual(self.told, [PAUSE_SECONDS + 3.0])
         self.assertEqual(self.pauses.ended_at, 100.0)
 
     def test_late_samples_under_load_are_no_pauses(self):
-        for _ in range(SAMPLES):
-            self.lag.take(PAUSE_SECONDS / 2)
+        for _ in range(MEDIAN_SAMPLES):
+            self.lag.record(PAUSE_SECONDS / 2)
         self.assertEqual(self.told, [])
 
 
--- a/tests/gateway/test_concurrency.py
+++ b/tests/gateway/test_concurrency.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from railsail.core.looplag import STEP_SECONDS, LoopLag
+from railsail.core.looplag import SAMPLE_INTERVAL_SECONDS, LoopLag
 from railsail.gateway.concurrency import (
     INITIAL_FORWARDED_LIMIT,
     INITIAL_LIMIT,
@@ -80,8 +80,10 @@
         lags = []
         for _ in range(200):
             in_flight = min(52, round(limit.limit))
-            backlog = max(0.0, backlog + (in_flight * self.SHARE_PER_REQUEST - 1.0) * STEP_SECONDS)
-            lag.take(self.lag_of(in_flight, backlog))
+            backlog = max(
+                0.0, backlog + (in_flight * self.SHARE_PER_REQUEST - 1.0) * SAMPLE_INTERVAL_SECONDS
+            )
+            lag.record(self.lag_of(in_flight, backlog))
             limit.adjust(is_late(lag), in_flight)
             lags.append(lag.seconds)
         return sum(lags[20:]) / len(lags[20:])
--- a/tests/gateway/test_pace.py
+++ b/tests/gateway/test_pace.py
@@ -7,7 +7,7 @@
 from railsail.core.clock import ManualClock
 from railsail.core.events import EventLog
 from railsail.core.kernel import Kernel
-from railsail.core.looplag import LATE_SECONDS, SAMPLES, LoopLag
+from railsail.core.looplag import LATE_SECONDS, MEDIAN_SAMPLES, LoopLag
 from railsail.core.metrics import Metrics
 from railsail.gateway.admission import MIN_OVERLOAD_REQUESTS, Admission
 from railsail.gateway.pace import LATE_AFTER_SECONDS, OwnPace
@@ -45,8 +45,8 @@
             self.admission.admit("one")
 
     def make_late(self, seconds: float) -> None:
-        for _ in range(SAMPLES):
-            self.lag.take(LATE_SECONDS * 2)
+        for _ in range(MEDIAN_SAMPLES):
+            self.lag.record(LATE_SECONDS * 2)
         self.clock.advance(seconds)
 
     async def reported_after_a_sample(self) -> list[int]:
@@ -73,8 +73,8 @@
         self.make_late(LATE_AFTER_SECONDS * 2)
         self.assertTrue(self.pace.late)
         self.assertEqual((await self.reported_after_a_sample())[-1], UNKNOWN_LEVEL)
-        for _ in range(SAMPLES):
-            self.lag.take(0.0)
+        for _ in range(MEDIAN_SAMPLES):
+            self.lag.record(0.0)
         self.clock.advance(RISE_SECONDS / 2)
         self.assertEqual((await self.reported_after_a_sample())[-1], UNKNOWN_LEVEL)
 
--- a/tests/platform/base.py
+++ b/tests/platform/base.py
@@ -77,7 +77,7 @@
 
     def hold_lag(self, node: Node) -> None:
         """Keep the lag of the test's own loop from ``node``'s limits: it tells of the machine."""
-        node.lag.take = lambda seconds: None
+        node.lag.record = lambda seconds: None
         # What it told before this, while the node started, is forgotten too.
         node.front._offloader._limit.limit = INITIAL_LIMIT
 
--- a/tests/platform/test_late.py
+++ b/tests/platform/test_late.py
@@ -4,7 +4,7 @@
 import unittest
 from unittest import mock
 
-from railsail.core.looplag import LATE_SECONDS, SAMPLES
+from railsail.core.looplag import LATE_SECONDS, MEDIAN_SAMPLES
 from railsail.gateway.admission import MIN_OVERLOAD_REQUESTS
 from railsail.gateway.concurrency import INITIAL_LIMIT
 from railsail.gateway.pace import LATE_AFTER_SECONDS
@@ -27,9 +27,9 @@
 
     def make_late(self, node: Node) -> None:
         """Let the lag of ``node`` stay as if its loop were late, for long enough."""
-        node.lag.take = lambda seconds: None
-        for _ in range(SAMPLES):
-            type(node.lag).take(node.lag, LATE_SECONDS * 2)
+        node.lag.record = lambda seconds: None
+        for _ in range(MEDIAN_SAMPLES):
+            type(node.lag).record(node.lag, LATE_SECONDS * 2)
         node.lag._late_since -= 2 * LATE_AFTER_SECONDS
         for _ in range(SAMPLES_TO_LEAST):
             node.lag._listeners[0]()
@@ -83,7 +83,7 @@
     async def test_crowded_node_that_is_in_time_serves(self):
         node = await self.serve(hanging())
         # The test's own loop may be late where the machine is busy.
-        node.lag.take = lambda seconds: None
+        node.lag.record = lambda seconds: None
         # What it told before this, while the node started, is forgotten too.
         node.front._offloader._limit.limit = INITIAL_LIMIT
         calls = await self.crowd(node)
