--- a/railsail/core/looplag.py
+++ b/railsail/core/looplag.py
@@ -28,7 +28,7 @@
 
 
 class PeriodicCall:
-    """Call ``callback`` every ``seconds`` until it raises, which sets the exception of ``failed``."""
+    """Call ``callback`` every ``seconds`` until it raises; ``failed`` then has its exception."""
 
     def __init__(self, seconds: float, callback: Callable[[], None], now: float) -> None:
         self.failed = asyncio.get_running_loop().create_future()
@@ -88,7 +88,7 @@
     def record(self, seconds: float) -> None:
         """Record a sample: a timer that fired ``seconds`` late."""
         if seconds >= PAUSE_SECONDS:
-            self._pauses.ended(seconds, self._clock())
+            self._pauses.record(seconds, self._clock())
         self._samples.append(max(0.0, seconds))
         if not self.late:
             self._late_since = math.inf
--- a/railsail/core/pauses.py
+++ b/railsail/core/pauses.py
@@ -24,7 +24,7 @@
         """Call ``listener`` at the end of each pause with its length in seconds."""
         self._listeners.append(listener)
 
-    def ended(self, seconds: float, now: float) -> None:
+    def record(self, seconds: float, now: float) -> None:
         """Record that a pause of ``seconds`` ended at ``now``, and call the listeners."""
         self.ended_at = now
         for listener in self._listeners:
--- a/railsail/core/registry.py
+++ b/railsail/core/registry.py
@@ -34,13 +34,13 @@
         It raises ``PluginError`` if the name is taken.
         """
 
-        def enter(plugin: T) -> T:
+        def add(plugin: T) -> T:
             if name in self._plugins:
                 raise PluginError(f"{self.kind} {name!r} is registered twice")
             self._plugins[name] = plugin
             return plugin
 
-        return enter
+        return add
 
     def get(self, name: str) -> T:
         """Return the plug-in ``name``; raise ``PluginError`` if there is none."""
--- a/railsail/core/sockets.py
+++ b/railsail/core/sockets.py
@@ -10,10 +10,10 @@
 
 # A machine that loses power closes no connections. A connection is closed if its peer doesn't
 # acknowledge sent bytes for this long, or doesn't answer keepalive probes while it is idle.
-UNACKNOWLEDGED_MS = 4000
-PROBE_AFTER_SECONDS = 5
-PROBE_EVERY_SECONDS = 1
-MOST_PROBES = 3
+MAX_UNACKNOWLEDGED_MS = 4000
+KEEPALIVE_IDLE_SECONDS = 5
+KEEPALIVE_INTERVAL_SECONDS = 1
+MAX_KEEPALIVE_PROBES = 3
 
 Stream = TypeVar("Stream", bound=IOStream)
 
@@ -29,18 +29,21 @@
         self.refused = refused
 
 
-async def open_stream(ip: str, port: int, seconds: float, kind: type[Stream] = IOStream) -> Stream:
+async def open_stream(
+    ip: str, port: int, timeout_seconds: float, kind: type[Stream] = IOStream
+) -> Stream:
     """Return a new connection of type ``kind``.
 
-    Raise ``CannotConnect`` if it can't be made within ``seconds``. ``ip`` must be an IP address.
-    tornado's own client passes even an address to the resolver in a thread, which takes 1.7 ms.
+    Raise ``CannotConnect`` if it can't be made within ``timeout_seconds``. ``ip`` must be an IP
+    address. tornado's own client passes even an address to the resolver in a thread, which takes
+    1.7 ms.
     """
     family = socket.AF_INET6 if ":" in ip else socket.AF_INET
     connection = socket.socket(family, socket.SOCK_STREAM)
     detect_dead_peer(connection)
     stream = kind(connection)
     try:
-        async with asyncio.timeout(seconds):
+        async with asyncio.timeout(timeout_seconds):
             await stream.connect((ip, port))
     except (OSError, TimeoutError, StreamClosedError) as problem:
         stream.close()
@@ -58,10 +61,10 @@
     """Set the options that close ``connection`` some seconds after its peer has lost power."""
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     options = (
-        ("TCP_USER_TIMEOUT", UNACKNOWLEDGED_MS),
-        ("TCP_KEEPIDLE", PROBE_AFTER_SECONDS),
-        ("TCP_KEEPINTVL", PROBE_EVERY_SECONDS),
-        ("TCP_KEEPCNT", MOST_PROBES),
+        ("TCP_USER_TIMEOUT", MAX_UNACKNOWLEDGED_MS),
+        ("TCP_KEEPIDLE", KEEPALIVE_IDLE_SECONDS),
+        ("TCP_KEEPINTVL", KEEPALIVE_INTERVAL_SECONDS),
+        ("TCP_KEEPCNT", MAX_KEEPALIVE_PROBES),
     )
     for name, value in options:
         # Not every operating system has all options.
--- a/railsail/core/tasks.py
+++ b/railsail/core/tasks.py
@@ -7,7 +7,7 @@
 
 # The delay before a failed part restarts, so that a part that always fails doesn't run in a tight
 # loop.
-RESTART_SECONDS = 1.0
+RESTART_DELAY_SECONDS = 1.0
 
 
 async def keep_running(run: Callable[[], Awaitable[None]], part: str) -> None:
@@ -22,7 +22,7 @@
             return
         except Exception:
             get_logger().exception("a part of this process failed and will restart", part=part)
-            await asyncio.sleep(RESTART_SECONDS)
+            await asyncio.sleep(RESTART_DELAY_SECONDS)
 
 
 class TaskSet:
--- a/tests/core/test_tasks.py
+++ b/tests/core/test_tasks.py
@@ -13,8 +13,8 @@
 
     async def asyncSetUp(self) -> None:
         self.runs = 0
-        self.again = asyncio.Event()
-        patch = mock.patch.object(tasks, "RESTART_SECONDS", 0.01)
+        self.restarted = asyncio.Event()
+        patch = mock.patch.object(tasks, "RESTART_DELAY_SECONDS", 0.01)
         patch.start()
         self.addCleanup(patch.stop)
 
@@ -22,13 +22,13 @@
         self.runs += 1
         if self.runs == 1:
             raise LookupError("unexpected input")
-        self.again.set()
+        self.restarted.set()
         await asyncio.sleep(3600)
 
     async def test_failed_part_is_logged_and_restarted(self):
         with mock.patch.object(tasks, "get_logger") as logger:
             task = asyncio.ensure_future(keep_running(self.part, "watcher"))
-            await asyncio.wait_for(self.again.wait(), 10.0)
+            await asyncio.wait_for(self.restarted.wait(), 10.0)
         self.assertEqual(self.runs, 2)
         logger().exception.assert_called_once()
         task.cancel()
--- a/tests/fleet/test_pauses.py
+++ b/tests/fleet/test_pauses.py
@@ -22,7 +22,7 @@
             node.hub._heard[peer] = now - AWAY_SECONDS
         for peer in membership._monitored_since:
             membership._monitored_since[peer] = now - AWAY_SECONDS
-        node.kernel.pauses.ended(AWAY_SECONDS, now)
+        node.kernel.pauses.record(AWAY_SECONDS, now)
         self.assertTrue(all(membership.reachable(peer) for peer in node.hub.peers()))
         membership._suspect_silent(now)
         states = {member.state for member in membership.table.all()}
@@ -32,7 +32,7 @@
         node, other = self.fleet.nodes[:2]
         asked = []
         other.hub.handle(StateRequest, lambda peer, message: asked.append(peer))
-        node.kernel.pauses.ended(AWAY_SECONDS, node.clock.monotonic())
+        node.kernel.pauses.record(AWAY_SECONDS, node.clock.monotonic())
         await self.until(lambda: asked)
         self.assertEqual(asked[0], node.settings.node_id)
 
