--- a/benchmarks/signs.py
+++ b/benchmarks/signs.py
@@ -68,7 +68,7 @@
                 emit(kind, detail, *rest, **facts)
 
             node.events.emit = noted
-            listener = node.heard.listener
+            listener = node.replica_signals.listener
 
             def listens(replica, read, node=node, listener=listener):
                 on_head = listener(replica, read)
@@ -81,7 +81,7 @@
 
                 return hears
 
-            node.heard.listener = listens
+            node.replica_signals.listener = listens
 
     def late_calls(self, engine: str) -> tuple[int, int]:
         """Return the calls of ``engine`` that came too late after its first one, and all others."""
--- a/railsail/admin/app.py
+++ b/railsail/admin/app.py
@@ -182,7 +182,7 @@
 
 class _Drain(_Handler):
     def post(self) -> None:
-        self.node.begin_drain("operator")
+        self.node.start_drain("operator")
         self.reply({"state": self.node.lifecycle.state}, 202)
 
 
--- a/railsail/admin/status.py
+++ b/railsail/admin/status.py
@@ -43,7 +43,7 @@
     def not_ready(self) -> list[str]:
         """Return the reasons why the balancer must not send callers; empty if ready."""
 
-    def begin_drain(self, cause: str) -> None:
+    def start_drain(self, cause: str) -> None:
         """Start a planned stop."""
 
 
--- a/railsail/node.py
+++ b/railsail/node.py
@@ -33,7 +33,7 @@
 from railsail.dispatch.loads import LoadReports
 from railsail.dispatch.regions import FleetRegions
 from railsail.dispatch.replicas import CellReplicas, FleetBounds
-from railsail.dispatch.service import TICK_SECONDS as DISPATCH_SECONDS
+from railsail.dispatch.service import TICK_SECONDS as DISPATCH_TICK_SECONDS
 from railsail.dispatch.service import DispatcherService
 from railsail.dispatch.tree import ServiceTree
 from railsail.gateway.admission import Admission
@@ -82,19 +82,19 @@
 from railsail.upstreams.rests import ReplicaBackoffs
 
 NATIVE_INTERFACE = "native"
-FIRST_LOOK_SECONDS = 3.0
+STARTUP_STORE_TIMEOUT_SECONDS = 3.0
 TICK_SECONDS = 0.5
 # Evacuations are rare, and may reach the daemons later than changes of replicas and routes. Their
 # watches last this many times as long.
-EVACUATION_WATCHES = 2
+EVACUATION_WATCH_FACTOR = 2
 DRAIN_POLL_SECONDS = 0.05
 # A stopping node waits for its peers to take over its cells before it waits for its requests.
-HAND_OVER_SECONDS = 0.5
-MOST_HEADER_BYTES = 32 << 10
+TAKEOVER_SECONDS = 0.5
+MAX_HEADER_BYTES = 32 << 10
 # The listen backlog: connections that may wait to be accepted. The system drops further ones, and
 # their callers wait a second or more before they retry. A burst of callers opens several hundred
 # connections at once.
-MOST_UNACCEPTED = 1024
+LISTEN_BACKLOG = 1024
 
 
 class Node:
@@ -116,7 +116,7 @@
         self.events = EventLog(settings.node_id, self.clock)
         self.kernel = Kernel(self.clock, self.rng, self.events, self.metrics)
         self.lag = LoopLag(self.clock.monotonic, self.kernel.pauses)
-        self.kernel.pauses.on_end(self._paused)
+        self.kernel.pauses.on_end(self._pause_ended)
         self._draining = asyncio.Event()
         self._tasks: list[asyncio.Task] = []
         self._servers: list[HTTPServer] = []
@@ -152,7 +152,7 @@
         store = STORES.get(settings.store_kind)
         self.store = store(settings.store, self.metrics, self.rng)
         self.repository = ConfigurationRepository(self.store, self.clock, self.rng)
-        flood = self.membership.flood
+        broadcast = self.membership.flood
         self.freshness = Freshness(self.clock.monotonic)
         self.carrier = ConfigurationCarrier(
             self.repository,
@@ -165,7 +165,7 @@
             self.rng,
         )
         self.directory = UpstreamDirectory(
-            flood, self.events, self.clock.monotonic, self.clock.wall
+            broadcast, self.events, self.clock.monotonic, self.clock.wall
         )
         self.watcher = StoreWatcher(
             self.store,
@@ -197,7 +197,7 @@
             EVACUATION,
             evacuations.listed,
             evacuations.seen,
-            seconds=EVACUATION_WATCHES * settings.watch_seconds,
+            seconds=EVACUATION_WATCH_FACTOR * settings.watch_seconds,
         )
         if settings.node_list == "store":
             self.watcher.follow(NODE, self.membership.listed, self.membership.seen)
@@ -217,12 +217,14 @@
             FleetRegions(self._region, settings.domain_regions, self.view.region_of),
         )
         self._build_quarantine()
-        rests = ReplicaBackoffs()
-        gate = SendGate(self.directory, rests, settings.domain_regions, self.hub, self.kernel)
+        backoffs = ReplicaBackoffs()
+        gate = SendGate(self.directory, backoffs, settings.domain_regions, self.hub, self.kernel)
         self.tickets = TicketClient(self.cells, self.hub, self.kernel)
         self.acquirer = ReplicaAcquirer(self.tickets, gate, self.quarantine, self.kernel)
-        self.heard = HeardSigns(self.directory, rests, self.kernel)
-        self.loads = LoadReports(self._catalog, self.directory, self.heard, rests, self.clock)
+        self.replica_signals = HeardSigns(self.directory, backoffs, self.kernel)
+        self.loads = LoadReports(
+            self._catalog, self.directory, self.replica_signals, backoffs, self.clock
+        )
         bounds = FleetBounds(
             settings.cold_over,
             settings.cold_slack,
@@ -239,7 +241,7 @@
             self.kernel,
             settings.affinity == "prefix",
             settings.fair_window_seconds,
-            Trials(self.quarantine, self.ends),
+            Trials(self.quarantine, self.crash_observer),
         )
         self.tree: ServiceTree | None = None
         if settings.scheduling == "fleet":
@@ -247,7 +249,7 @@
 
     def _build_quarantine(self) -> None:
         self.quarantine = Quarantine(self.membership.flood, self.hub, self.kernel)
-        self.ends = EndObserver(
+        self.crash_observer = EndObserver(
             self.quarantine,
             self.directory,
             self._calls_on,
@@ -273,7 +275,7 @@
         )
         self.admission = Admission(settings.queue_per_workspace, settings.queue_total)
         self.pace = OwnPace(self.lag, self.admission, self.membership, self.kernel)
-        self.judge = PolicyEvaluator(self._catalog, self.admission, self.metrics)
+        self.policy_evaluator = PolicyEvaluator(self._catalog, self.admission, self.metrics)
         kind_of = self.loads.kind_of
         tries = Tries(
             self._catalog,
@@ -281,13 +283,13 @@
             self.tickets,
             self.acquirer,
             kind_of,
-            self.heard,
+            self.replica_signals,
             self.kernel,
         )
         answers = AnswerCache(self.hub, self.membership.gone, self.rng)
         server = Server(
             self._catalog,
-            self.judge,
+            self.policy_evaluator,
             tries,
             self.claims,
             answers,
@@ -301,14 +303,14 @@
         self.connections: ConnectionPool | None = None
         # The servers for callers and for requests that other nodes forward; empty with the native
         # interface.
-        self.clients: list[ClientServer] = []
+        self.client_servers: list[ClientServer] = []
         if settings.caller_interface != NATIVE_INTERFACE:
             self._build_routes()
 
     def _build_routes(self) -> None:
         settings = self.settings
         self.connections = ConnectionPool(
-            settings.keep_connections_seconds, self._takes_work, self.kernel
+            settings.keep_connections_seconds, self._accepts_work, self.kernel
         )
         self.directory.on_change(self.connections.review)
         self.directory.on_rebirth(lambda before: self.connections.drop(before.name, "reborn"))
@@ -323,7 +325,7 @@
             self.acquirer,
             bounds,
             self.view.size,
-            self.heard,
+            self.replica_signals,
             self.connections,
             self.kernel,
         )
@@ -342,7 +344,7 @@
         self.front = RouteFront(
             protocol,
             relay,
-            self.judge,
+            self.policy_evaluator,
             self.admission,
             self.gateway.callers,
             self.carrier,
@@ -350,20 +352,20 @@
             forwarder,
             self.kernel,
         )
-        self.clients = [
+        self.client_servers = [
             ClientServer(self.front.handle, most_connections(settings.open_files)),
             ClientServer(self.front.handle_forwarded),
         ]
         self.carrier.on_change(self.front.configured)
 
     def _connect(self) -> None:
-        self.membership.describe_with(self._heartbeat)
+        self.membership.describe_with(self._make_heartbeat)
         self.membership.watch_also(lambda: self.tickets.dispatchers() | self.claims.batchers())
         self.membership.on_change(self._members_changed)
         self.directory.on_change(self.dispatchers.renew_replicas)
         self.directory.on_change(self.tickets.replan)
         self.carrier.on_change(self.gateway.callers.configured)
-        self.carrier.on_change(self.judge.configured)
+        self.carrier.on_change(self.policy_evaluator.configured)
         self.carrier.on_change(lambda catalog: self.dispatchers.renew_replicas())
         self.hub.handle(Heartbeat, self._heartbeat_received)
         self.hub.handle(StateRequest, self._state_requested)
@@ -397,7 +399,7 @@
     def _calls_on(self, replica: str, before: float) -> set[int]:
         return self.dispatchers.calls_on(replica, before)
 
-    def _takes_work(self, place: Place) -> bool:
+    def _accepts_work(self, place: Place) -> bool:
         upstream = self.directory.get(place.replica)
         if upstream is None or upstream.endpoint != place.endpoint:
             return False
@@ -411,7 +413,7 @@
         cells = [cell for pool in self._pools() for cell in self.cells.cells(pool)]
         return {self.cells.dispatcher(cell) for cell in cells}
 
-    def _heartbeat(self) -> Heartbeat:
+    def _make_heartbeat(self) -> Heartbeat:
         return Heartbeat(
             self.carrier.catalog.version,
             self.membership.table.digest,
@@ -436,7 +438,7 @@
         if self.carrier.catalog.version > request.configuration:
             self.hub.send(node, self.carrier.news_since(request.configuration))
 
-    def _paused(self, seconds: float) -> None:
+    def _pause_ended(self, seconds: float) -> None:
         self.events.emit(Kind.STATE, "the process was paused", paused_ms=round(seconds * 1000))
 
     def _state_changed(self, state: State) -> None:
@@ -445,11 +447,11 @@
     async def start(self) -> None:
         """Open the ports, start the parts, and become ready once the store has been tried.
 
-        A store that doesn't answer delays this by at most ``FIRST_LOOK_SECONDS``.
+        A store that doesn't answer delays this by at most ``STARTUP_STORE_TIMEOUT_SECONDS``.
         """
         await self.hub.start()
-        self._listen(self.settings.admin_port, admin_app.application(self))
-        self._listen_to_callers()
+        self._serve(self.settings.admin_port, admin_app.application(self))
+        self._serve_callers()
         parts = [self.membership, self.watcher, self.tree, self.lag, self.pace]
         runs = {type(part).__name__: part.run for part in parts if part is not None}
         runs |= {name: part.run for name, part in self.parts.items()}
@@ -457,32 +459,32 @@
         runs["Node"] = self._run_ticks
         self._tasks = [asyncio.ensure_future(keep_running(run, name)) for name, run in runs.items()]
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self.watcher.tried.wait(), FIRST_LOOK_SECONDS)
+            await asyncio.wait_for(self.watcher.tried.wait(), STARTUP_STORE_TIMEOUT_SECONDS)
         self.lifecycle.advance(State.READY)
 
-    def _listen_to_callers(self) -> None:
-        if not self.clients:
-            self._listen(self.settings.caller_port, self.gateway.application())
+    def _serve_callers(self) -> None:
+        if not self.client_servers:
+            self._serve(self.settings.caller_port, self.gateway.application())
             return
-        callers, forwarded = self.clients
-        self._listen(self.settings.caller_port, callers)
-        port = self._listen(self.settings.forward_port, forwarded)
+        callers, forwarded = self.client_servers
+        self._serve(self.settings.caller_port, callers)
+        port = self._serve(self.settings.forward_port, forwarded)
         self.membership.change_own(forward_port=port)
 
-    def _listen(self, port: int, application) -> int:
+    def _serve(self, port: int, application) -> int:
         """Serve ``application`` at ``port``, or at a free port if it is 0; return the port."""
         server = HTTPServer(
             application,
             max_body_size=self.settings.max_body_bytes,
-            max_header_size=MOST_HEADER_BYTES,
+            max_header_size=MAX_HEADER_BYTES,
         )
-        sockets = bind_sockets(port, self.settings.node_ip, backlog=MOST_UNACCEPTED)
+        sockets = bind_sockets(port, self.settings.node_ip, backlog=LISTEN_BACKLOG)
         server.add_sockets(sockets)
         self._servers.append(server)
         return sockets[0].getsockname()[1]
 
     async def _run_dispatchers(self) -> None:
-        await self.lag.every(DISPATCH_SECONDS, self.dispatchers.tick)
+        await self.lag.every(DISPATCH_TICK_SECONDS, self.dispatchers.tick)
 
     async def _run_ticks(self) -> None:
         await self.lag.every(TICK_SECONDS, self._tick)
@@ -500,13 +502,13 @@
             reasons.append(f"state is {self.lifecycle.state}")
         if self.carrier.catalog.version == 0:
             reasons.append("no configuration yet")
-        if not self.watcher.reachable and not self._sees_peers():
+        if not self.watcher.reachable and not self._has_reachable_peer():
             reasons.append("neither the store nor any peer can be reached")
         if self.pace.late:
             reasons.append("this node is late")
         return reasons
 
-    def _sees_peers(self) -> bool:
+    def _has_reachable_peer(self) -> bool:
         peers = self.hub.peers()
         return any(self.membership.reachable(node) for node in peers)
 
@@ -518,10 +520,10 @@
             if getattr(settings, field.name) != getattr(self.settings, field.name)
         ]
         self.membership.add_seeds([str(seed) for seed in settings.seeds])
-        later = [name for name in changed if name != "seeds"]
-        get_logger().info("settings reloaded", changed=changed, after_restart=later)
+        after_restart = [name for name in changed if name != "seeds"]
+        get_logger().info("settings reloaded", changed=changed, after_restart=after_restart)
 
-    def begin_drain(self, cause: str) -> None:
+    def start_drain(self, cause: str) -> None:
         """Start a planned stop, at whose end the process exits."""
         get_logger().info("drain asked for", cause=cause)
         self._draining.set()
@@ -538,19 +540,19 @@
         Requests that still run after ``drain_seconds`` will be cut, with an unknown outcome.
         """
         self.lifecycle.advance(State.DRAINING)
-        for clients in self.clients:
-            clients.leave()
+        for server in self.client_servers:
+            server.leave()
         self.membership.change_own(state=MemberState.LEAVING)
         self.cells.forget()
         self.dispatchers.hand_over()
         self.tickets.replan()
         loop = asyncio.get_running_loop()
-        ends = loop.time() + self.settings.drain_seconds
+        ends_at = loop.time() + self.settings.drain_seconds
         # The balancer keeps sending callers until it notices that this node isn't ready.
-        await asyncio.sleep(max(self.settings.leave_seconds, HAND_OVER_SECONDS))
-        for clients in self.clients:
-            clients.close_idle()
-        while self.requests and loop.time() < ends:
+        await asyncio.sleep(max(self.settings.leave_seconds, TAKEOVER_SECONDS))
+        for server in self.client_servers:
+            server.close_idle()
+        while self.requests and loop.time() < ends_at:
             await asyncio.sleep(DRAIN_POLL_SECONDS)
 
     @property
@@ -560,8 +562,8 @@
         If routes are served, these include forwarded requests and requests that aren't admitted
         yet. A stopping node waits for all of them.
         """
-        if self.clients:
-            return sum(clients.busy for clients in self.clients)
+        if self.client_servers:
+            return sum(server.busy for server in self.client_servers)
         return self.admission.total
 
     async def stop(self) -> None:
@@ -582,7 +584,7 @@
             part.stop()
         if self.connections is not None:
             self.connections.close()
-        self.ends.stop()
+        self.crash_observer.stop()
         self.ledger.stop()
         await self.hub.stop()
         for server in self._servers:
--- a/railsail/process.py
+++ b/railsail/process.py
@@ -15,7 +15,7 @@
 from railsail.node import Node
 
 EXIT_OK = 0
-EXIT_CUT = 1
+EXIT_FAILED = 1
 EXIT_IMPROPERLY_CONFIGURED = 2
 
 
@@ -41,32 +41,32 @@
     node.events.on_emit(decisions.handle)
     node.metrics.report_dropped_lines(dropped)
     get_logger().info("start", start_id=node.start_id, version=railsail.__version__)
-    cut = asyncio.Event()
-    _listen_to_signals(node, cut)
+    stop_now = asyncio.Event()
+    _listen_to_signals(node, stop_now)
     try:
         await node.start()
     except OSError as problem:
         get_logger().error("cannot start", reason=str(problem))
-        return EXIT_CUT
+        return EXIT_FAILED
     drained = asyncio.ensure_future(node.run_until_drained())
-    hard = asyncio.ensure_future(cut.wait())
-    await asyncio.wait([drained, hard], return_when=asyncio.FIRST_COMPLETED)
+    stopped_now = asyncio.ensure_future(stop_now.wait())
+    await asyncio.wait([drained, stopped_now], return_when=asyncio.FIRST_COMPLETED)
     requests = node.requests
     await node.stop()
     get_logger().info("stop", requests_cut=requests)
-    return EXIT_CUT if requests else EXIT_OK
+    return EXIT_FAILED if requests else EXIT_OK
 
 
-def _listen_to_signals(node: Node, cut: asyncio.Event) -> None:
+def _listen_to_signals(node: Node, stop_now: asyncio.Event) -> None:
     loop = asyncio.get_running_loop()
-    asked = []
+    signals = []
 
     def on_signal(number: signal.Signals) -> None:
-        if asked:
+        if signals:
             # A second signal skips the rest of the drain.
-            cut.set()
-        asked.append(number)
-        node.begin_drain(number.name)
+            stop_now.set()
+        signals.append(number)
+        node.start_drain(number.name)
 
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, on_signal, number)
--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -304,13 +304,13 @@
         reader, writer = await self.connect(node)
         writer.write(request("/once/"))
         await read_answer(reader)
-        (connection,) = node.clients[0]._idle.values()
+        (connection,) = node.client_servers[0]._idle.values()
         writer.write(request("/once/", Request_Id="r-2"))
         # The library has read the head, and hands it over in the next turn of the loop.
         while connection.stream.reading():
             await asyncio.sleep(0)
         self.assertEqual(node.requests, 1)
-        node.clients[0].close_idle()
+        node.client_servers[0].close_idle()
         answer = await read_answer(reader)
         self.assertEqual((answer.status, answer.headers["Request-Id"]), (200, "r-2"))
         await self.until(lambda: not node.requests)
--- a/tests/platform/test_signs.py
+++ b/tests/platform/test_signs.py
@@ -209,7 +209,9 @@
         def late(dispatcher, message):
             if message.replica == "i-0" and not self.passed:
                 self.passed.append(message.replica)
-                listener = node.heard.listener("i-0", lambda status, headers, wall: leaving)
+                listener = node.replica_signals.listener(
+                    "i-0", lambda status, headers, wall: leaving
+                )
                 listener(200, {})
             granted(dispatcher, message)
 
