--- a/railsail/admin/app.py
+++ b/railsail/admin/app.py
@@ -6,7 +6,7 @@
 import msgspec
 from tornado.web import Application, HTTPError, RequestHandler
 
-from railsail.admin.status import Operated, status
+from railsail.admin.status import AdministeredNode, status
 from railsail.configuration.changes import ConfigurationConflict, Proposal, snapshot
 from railsail.core.checks import Finding, error
 from railsail.core.exceptions import ImproperlyConfigured, StoreUnavailable
@@ -18,29 +18,31 @@
 from railsail.quarantine.table import SuspectRequest
 from railsail.rollouts.part import NAME as ROLLOUTS
 
-MOST_EVENTS = 4096
-MOST_BODY_BYTES = 2 << 20
+MAX_EVENTS = 4096
+MAX_BODY_BYTES = 2 << 20
 
 
 class _Handler(RequestHandler):
     """Base class of the handlers: JSON bodies, and authentication by a bearer secret."""
 
-    open_to_all = False
+    is_public = False
 
-    def initialize(self, node: Operated) -> None:
+    def initialize(self, node: AdministeredNode) -> None:
         self.node = node
 
     def check_xsrf_cookie(self) -> None:
         """Do nothing: operators authenticate by a bearer secret, not by cookies."""
 
     def prepare(self) -> None:
-        if self.open_to_all:
+        if self.is_public:
             return
-        scheme, _, given = self.request.headers.get("Authorization", "").partition(" ")
+        scheme, _, secret = self.request.headers.get("Authorization", "").partition(" ")
         expected = self.node.settings.admin_secret
         if not expected:
             raise HTTPError(403, reason="this node has no admin secret")
-        if scheme.lower() != "bearer" or not hmac.compare_digest(given.encode(), expected.encode()):
+        if scheme.lower() != "bearer" or not hmac.compare_digest(
+            secret.encode(), expected.encode()
+        ):
             raise HTTPError(401)
 
     def reply(self, body: object, status: int = 200) -> None:
@@ -65,14 +67,14 @@
 
 
 class _Live(_Handler):
-    open_to_all = True
+    is_public = True
 
     def get(self) -> None:
         self.reply({"state": self.node.lifecycle.state})
 
 
 class _Ready(_Handler):
-    open_to_all = True
+    is_public = True
 
     def get(self) -> None:
         reasons = self.node.not_ready()
@@ -102,7 +104,7 @@
     def get(self) -> None:
         request = self.get_query_argument("request", "")
         since = self._number("since", 0)
-        limit = min(self._number("limit", 1000), MOST_EVENTS)
+        limit = min(self._number("limit", 1000), MAX_EVENTS)
         self.reply({"events": self.node.events.select(request, since, limit)})
 
     def _number(self, name: str, default: int) -> int:
@@ -121,7 +123,7 @@
     async def post(self) -> None:
         body = self.json_body()
         findings: list[Finding] = []
-        proposal = read_proposal(body, self.node.carrier.catalog.version, findings)
+        proposal = parse_proposal(body, self.node.carrier.catalog.version, findings)
         if findings:
             self.reply_findings(findings)
             return
@@ -166,12 +168,12 @@
         self.reply({"request": name, "state": "cleared"})
 
 
-def _quarantine_row(standing: SuspectRequest, now: float) -> dict[str, object]:
+def _quarantine_row(suspect: SuspectRequest, now: float) -> dict[str, object]:
     return {
-        "request": fingerprint_name(standing.request),
-        "ends": len(standing.ends),
-        "replicas": standing.replicas,
-        "held_seconds": max(0, round(standing.held_until - now)),
+        "request": fingerprint_name(suspect.request),
+        "ends": len(suspect.ends),
+        "replicas": suspect.replicas,
+        "held_seconds": max(0, round(suspect.held_until - now)),
     }
 
 
@@ -186,7 +188,7 @@
         self.reply({"state": self.node.lifecycle.state}, 202)
 
 
-def read_proposal(body: dict[str, object], version: int, findings: list[Finding]) -> Proposal:
+def parse_proposal(body: dict[str, object], version: int, findings: list[Finding]) -> Proposal:
     """Return the change that ``body`` proposes, and add its faults to ``findings``."""
     base = body.get("base", version)
     if not isinstance(base, int) or isinstance(base, bool) or base < 0:
@@ -201,12 +203,12 @@
     if not isinstance(items, list) or not items:
         findings.append(error("railsail.E015", "must be a list, not empty", "operations"))
         items = []
-    read = [_read_operation(item, index, findings) for index, item in enumerate(items)]
-    operations = tuple(operation for operation in read if operation is not None)
+    parsed = [_parse_operation(item, index, findings) for index, item in enumerate(items)]
+    operations = tuple(operation for operation in parsed if operation is not None)
     return Proposal(str(names["id"]), str(names["author"]), base, operations)
 
 
-def _read_operation(item: object, index: int, findings: list[Finding]) -> Operation | None:
+def _parse_operation(item: object, index: int, findings: list[Finding]) -> Operation | None:
     place = f"operations[{index}]"
     if not isinstance(item, dict):
         findings.append(error("railsail.E010", "an operation must be a mapping", place))
@@ -221,20 +223,20 @@
     return Operation(resource.key, resource) if resource is not None else None
 
 
-def application(node: Operated) -> Application:
+def application(node: AdministeredNode) -> Application:
     """Return the tornado application that serves the operators' interface of ``node``."""
-    share = {"node": node}
+    arguments = {"node": node}
     rules = [
-        (r"/live", _Live, share),
-        (r"/ready", _Ready, share),
-        (r"/metrics", _Metrics, share),
-        (r"/v1/status", _Status, share),
-        (r"/v1/events", _Events, share),
-        (r"/v1/objects", _Objects, share),
-        (r"/v1/changes", _Changes, share),
-        (r"/v1/drain", _Drain, share),
-        (r"/v1/rollouts", _Rollouts, share),
-        (r"/v1/quarantine", _Quarantine, share),
-        (r"/v1/quarantine/([0-9a-f]{16})", _QuarantinedRequest, share),
+        (r"/live", _Live, arguments),
+        (r"/ready", _Ready, arguments),
+        (r"/metrics", _Metrics, arguments),
+        (r"/v1/status", _Status, arguments),
+        (r"/v1/events", _Events, arguments),
+        (r"/v1/objects", _Objects, arguments),
+        (r"/v1/changes", _Changes, arguments),
+        (r"/v1/drain", _Drain, arguments),
+        (r"/v1/rollouts", _Rollouts, arguments),
+        (r"/v1/quarantine", _Quarantine, arguments),
+        (r"/v1/quarantine/([0-9a-f]{16})", _QuarantinedRequest, arguments),
     ]
     return Application(rules, log_function=lambda handler: None)
--- a/railsail/admin/status.py
+++ b/railsail/admin/status.py
@@ -20,7 +20,7 @@
 from railsail.upstreams.directory import UpstreamDirectory
 
 
-class Operated(Protocol):
+class AdministeredNode(Protocol):
     """The part of ``railsail.node.Node`` that the operators' interface uses."""
 
     settings: Settings
@@ -47,7 +47,7 @@
         """Start a planned stop."""
 
 
-def status(node: Operated) -> dict[str, object]:
+def status(node: AdministeredNode) -> dict[str, object]:
     """Return the state, configuration version, members, replicas and cells of ``node``."""
     return {
         "node": node.settings.node_id,
