--- a/railsail/cli/account.py
+++ b/railsail/cli/account.py
@@ -43,14 +43,14 @@
         return str(self.fact(Kind.ENDED, "outcome") or "")
 
     @property
-    def late(self) -> bool:
+    def is_late(self) -> bool:
         """Return True if the first byte of the answer came later than its objective."""
         objective = self.fact(Kind.RECEIVED, "objective_ms")
         first = self.fact(Kind.ENDED, "first_ms")
         return bool(objective and first) and int(first) > int(objective)
 
     @property
-    def returned(self) -> bool:
+    def is_retry(self) -> bool:
         """Return True if this is probably the retry of a refused request."""
         return any(self.fact(kind, "returned") for kind in (Kind.EXPIRED, Kind.RECEIVED))
 
@@ -62,25 +62,27 @@
     name: str
     requests: list[Request] = field(default_factory=list)
 
-    def cells(self) -> dict[str, object]:
+    def columns(self) -> dict[str, object]:
         """Return the columns of the row; times are in milliseconds."""
-        found = self.requests
-        served = [r for r in found if r.outcome == _COMPLETED]
-        refused = [r for r in found if r.outcome == _NOT_RUN]
-        came_back = [r for r in found if r.returned]
+        all_requests = self.requests
+        served = [r for r in all_requests if r.outcome == _COMPLETED]
+        refused = [r for r in all_requests if r.outcome == _NOT_RUN]
+        retries = [r for r in all_requests if r.is_retry]
         return {
             "name": self.name,
-            "received": len(found),
-            "granted": sum(Kind.GRANTED in r.lines for r in found),
+            "received": len(all_requests),
+            "granted": sum(Kind.GRANTED in r.lines for r in all_requests),
             "served": len(served),
-            "late": sum(r.late for r in served),
+            "late": sum(r.is_late for r in served),
             "refused": len(refused),
-            "unknown": len([r for r in found if r.outcome not in ("", _COMPLETED, _NOT_RUN)]),
-            "left": len([r for r in found if not r.outcome]),
-            "came back": len(came_back),
-            "refused again": sum(r.outcome == _NOT_RUN for r in came_back),
-            "wait p50": _quantile(found, Kind.GRANTED, "waited_ms", 0.5),
-            "wait p90": _quantile(found, Kind.GRANTED, "waited_ms", 0.9),
+            "unknown": len(
+                [r for r in all_requests if r.outcome not in ("", _COMPLETED, _NOT_RUN)]
+            ),
+            "left": len([r for r in all_requests if not r.outcome]),
+            "came back": len(retries),
+            "refused again": sum(r.outcome == _NOT_RUN for r in retries),
+            "wait p50": _quantile(all_requests, Kind.GRANTED, "waited_ms", 0.5),
+            "wait p90": _quantile(all_requests, Kind.GRANTED, "waited_ms", 0.9),
             "first p50": _quantile(served, Kind.ENDED, "first_ms", 0.5),
             "first p90": _quantile(served, Kind.ENDED, "first_ms", 0.9),
             "reasons": _reasons(refused),
@@ -97,7 +99,7 @@
     rows: dict[str, Row] = {}
     for request in requests.values():
         if Kind.RECEIVED in request.lines:
-            name = _name(request, grouping)
+            name = _row_name(request, grouping)
             rows.setdefault(name, Row(name)).requests.append(request)
     if grouping is Grouping.SECOND:
         return [rows[name] for name in sorted(rows, key=int)]
@@ -112,15 +114,15 @@
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    cells = [row.cells() for row in rows]
-    names = [str(cell["name"]) for cell in cells]
+    values_by_row = [row.columns() for row in rows]
+    names = [str(values["name"]) for values in values_by_row]
     figure, axes = pyplot.subplots(figsize=(12, 4))
-    bottom = [0] * len(cells)
+    bottom = [0] * len(values_by_row)
     for column in ("served", "refused", "unknown", "left"):
-        heights = [int(str(cell[column])) for cell in cells]
+        heights = [int(str(values[column])) for values in values_by_row]
         axes.bar(names, heights, bottom=bottom, label=column)
-        bottom = [low + height for low, height in zip(bottom, heights, strict=True)]
-    axes.plot(names, [cell["late"] for cell in cells], "k.", label="late")
+        bottom = [base + height for base, height in zip(bottom, heights, strict=True)]
+    axes.plot(names, [values["late"] for values in values_by_row], "k.", label="late")
     axes.tick_params(axis="x", rotation=90)
     axes.legend()
     figure.tight_layout()
@@ -128,7 +130,7 @@
     pyplot.close(figure)
 
 
-def _name(request: Request, grouping: Grouping) -> str:
+def _row_name(request: Request, grouping: Grouping) -> str:
     received = request.lines[Kind.RECEIVED]
     if grouping is Grouping.NODE:
         return received.node
@@ -151,4 +153,4 @@
 
 
 # The columns of a row, in order.
-COLUMNS = tuple(Row("").cells())
+COLUMNS = tuple(Row("").columns())
--- a/railsail/cli/explain.py
+++ b/railsail/cli/explain.py
@@ -9,8 +9,8 @@
 from railsail.core.outcomes import Reason
 
 # How long before the request a daemon's state events are still shown.
-BELIEFS_SECONDS = 5.0
-_BELIEFS = frozenset(
+STATE_LOOKBACK_SECONDS = 5.0
+_STATE_KINDS = frozenset(
     {Kind.MEMBER, Kind.UPSTREAM, Kind.CONFIGURATION, Kind.STORE, Kind.STATE, Kind.TOOK_OVER}
 )
 
@@ -19,68 +19,74 @@
 class RequestTrace:
     """The log lines about a request, in order, and what they show.
 
-    ``cause`` is why the request ended as it did, in a few sentences. ``left_out`` says which lines
-    the logs lack.
+    ``cause`` is why the request ended as it did, in a few sentences. ``missing_lines`` says
+    which lines the logs lack.
     """
 
     lines: list[LogLine]
     cause: str
-    left_out: str
+    missing_lines: str
 
 
 def trace_request(request: str, lines: Iterable[LogLine]) -> RequestTrace:
     """Return the trace of ``request``.
 
     Besides the lines of the request itself, it has the lines about its tickets, and the state
-    events of the nodes involved from ``BELIEFS_SECONDS`` before the request until its end.
+    events of the nodes involved from ``STATE_LOOKBACK_SECONDS`` before the request until its end.
     """
-    known = list(lines)
-    own = [line for line in known if line.request == request]
-    if not own:
-        return RequestTrace([], "", _left_out(known))
-    tickets = {line.facts["ticket"] for line in own if "ticket" in line.facts}
-    told = [line for line in known if not line.request and line.facts.get("ticket") in tickets]
-    nodes = {line.node for line in [*own, *told]}
-    nodes |= {str(line.facts["dispatcher"]) for line in own if "dispatcher" in line.facts}
-    begun = min(line.seconds for line in own) - BELIEFS_SECONDS
-    ended = max(line.seconds for line in own)
-    beliefs = [
+    all_lines = list(lines)
+    request_lines = [line for line in all_lines if line.request == request]
+    if not request_lines:
+        return RequestTrace([], "", _describe_missing_lines(all_lines))
+    tickets = {line.facts["ticket"] for line in request_lines if "ticket" in line.facts}
+    ticket_lines = [
+        line for line in all_lines if not line.request and line.facts.get("ticket") in tickets
+    ]
+    nodes = {line.node for line in [*request_lines, *ticket_lines]}
+    nodes |= {str(line.facts["dispatcher"]) for line in request_lines if "dispatcher" in line.facts}
+    since = min(line.seconds for line in request_lines) - STATE_LOOKBACK_SECONDS
+    until = max(line.seconds for line in request_lines)
+    state_lines = [
         line
-        for line in known
-        if line.event in _BELIEFS and line.node in nodes and begun <= line.seconds <= ended
+        for line in all_lines
+        if line.event in _STATE_KINDS and line.node in nodes and since <= line.seconds <= until
     ]
-    lines_of_request = sorted([*own, *told, *beliefs], key=lambda line: (line.stamp, line.node))
-    return RequestTrace(lines_of_request, explain_cause(own, told), _left_out(known))
+    trace_lines = sorted(
+        [*request_lines, *ticket_lines, *state_lines], key=lambda line: (line.stamp, line.node)
+    )
+    return RequestTrace(
+        trace_lines, explain_cause(request_lines, ticket_lines), _describe_missing_lines(all_lines)
+    )
 
 
-def explain_cause(own: list[LogLine], told: list[LogLine]) -> str:
+def explain_cause(request_lines: list[LogLine], ticket_lines: list[LogLine]) -> str:
     """Return why the request ended as it did, in a few sentences.
 
-    ``own`` are the lines of the request, ``told`` those about its tickets.
+    ``request_lines`` are the lines of the request, ``ticket_lines`` those about its tickets.
     """
-    ends = [line for line in own if line.event == Kind.ENDED]
-    if not ends:
+    end_lines = [line for line in request_lines if line.event == Kind.ENDED]
+    if not end_lines:
         return "it has no end here: its daemon was killed meanwhile, or it still runs"
-    return " ".join(_explain_end(end, own, told) for end in ends)
+    return " ".join(_explain_end(end, request_lines, ticket_lines) for end in end_lines)
 
 
-def _explain_end(end: LogLine, own: list[LogLine], told: list[LogLine]) -> str:
+def _explain_end(end: LogLine, request_lines: list[LogLine], ticket_lines: list[LogLine]) -> str:
     facts = end.facts
     detail = str(facts.get("detail", "")) or "nothing more is known"
     if "outcome" not in facts:
         return f"{detail} after {facts.get('total_ms')} ms."
     parts = [f"{facts['outcome']} after {facts.get('total_ms')} ms: {detail}."]
     if facts.get("reason") == Reason.EXPIRED:
-        parts += [_explain_wait(line) for line in told if line.event == Kind.EXPIRED]
+        parts += [_explain_wait(line) for line in ticket_lines if line.event == Kind.EXPIRED]
     parts += [
         f"An attempt at {line.facts.get('replica')} failed before: {line.facts.get('detail')}."
-        for line in own
+        for line in request_lines
         if line.event == Kind.RETRIED
     ]
     parts += [
         f"Replicas that ended while they ran the same request: {line.facts.get('replicas')}; "
         f"it is held back for {line.facts.get('held_ms')} ms more."
-        for line in own
+        for line in request_lines
         if line.event == Kind.QUARANTINED
     ]
     if "given_up" in facts:
@@ -108,6 +114,6 @@
     }
 
 
-def _left_out(lines: list[LogLine]) -> str:
+def _describe_missing_lines(lines: list[LogLine]) -> str:
     count = sum(int(line.facts.get("lines_left_out", 0)) for line in lines)
     return f"{count} lines were left out of them, and requests that went well are sampled"
--- a/railsail/cli/loglines.py
+++ b/railsail/cli/loglines.py
@@ -40,13 +40,13 @@
     Log collectors may put other words before the JSON object.
     """
     try:
-        found = msgspec.json.decode(text[text.index("{") :], type=dict[str, object])
-        facts = {name: value for name, value in found.items() if name not in _NOT_FACTS}
+        fields = msgspec.json.decode(text[text.index("{") :], type=dict[str, object])
+        facts = {name: value for name, value in fields.items() if name not in _NOT_FACTS}
         return LogLine(
-            str(found["event"]),
-            str(found["node"]),
-            int(found.get("stamp", 0)),
-            str(found.get("request", "")),
+            str(fields["event"]),
+            str(fields["node"]),
+            int(fields.get("stamp", 0)),
+            str(fields.get("request", "")),
             facts,
         )
     except (KeyError, TypeError, ValueError):
--- a/railsail/cli/main.py
+++ b/railsail/cli/main.py
@@ -15,7 +15,7 @@
 from railsail.cli.explain import line_row, trace_request
 from railsail.cli.files import read_objects
 from railsail.cli.loglines import read_lines
-from railsail.cli.output import complain, show, show_stamp
+from railsail.cli.output import print_to_stderr, show, show_stamp
 from railsail.conf.settings import ENVIRONMENT_PREFIX
 from railsail.core.checks import Finding, render
 from railsail.core.events import Event, merge_logs
@@ -23,12 +23,12 @@
 from railsail.objects.checks import check_catalog
 from railsail.objects.parse import parse_resource, to_plain
 
-EXIT_USE = 2
+EXIT_USAGE = 2
 EXIT_FINDINGS = 3
 EXIT_CONFLICT = 4
 EXIT_UNAVAILABLE = 5
 EXIT_NOT_IN_FORCE = 6
-MOST_AT_ONCE = 32
+MAX_CONCURRENT_CALLS = 32
 ROLLOUT_COLUMNS = (
     "service",
     "target_version",
@@ -46,7 +46,7 @@
 
 
 def _fail(code: int, text: str) -> None:
-    complain(text)
+    print_to_stderr(text)
     sys.exit(code)
 
 
@@ -102,8 +102,8 @@
     def diff(self, *files: str) -> None:
         """Show what applying FILES would change."""
         findings: list[Finding] = []
-        wanted = read_objects(list(files), findings)
-        parsed = [parse_resource(raw, "file", findings) for raw in wanted]
+        desired = read_objects(list(files), findings)
+        parsed = [parse_resource(raw, "file", findings) for raw in desired]
         if findings:
             _fail(EXIT_FINDINGS, render(findings))
         body = self._call("GET", "/v1/objects").body
@@ -113,7 +113,7 @@
 
     def status(self) -> None:
         """Show the state and version of all daemons that the daemon at --admin lists as members."""
-        replies = asyncio.run(self._ask_all("/v1/status"))
+        replies = asyncio.run(self._query_all("/v1/status"))
         rows = [_status_row(endpoint, reply) for endpoint, reply in replies]
         columns = ("node", "state", "version", "requests", "store_reachable", "not_ready")
         show(rows, columns, self._output)
@@ -121,13 +121,13 @@
     def timeline(self, request: str = "", limit: int = 200) -> None:
         """Show the merged time lines of all daemons, or only the events of --request."""
         path = f"/v1/events?request={request}&limit={limit}"
-        replies = asyncio.run(self._ask_all(path))
+        replies = asyncio.run(self._query_all(path))
         logs = [[Event(**event) for event in reply.body.get("events", [])] for _, reply in replies]
-        silent = [endpoint for endpoint, reply in replies if reply.status != 200]
+        unreachable = [endpoint for endpoint, reply in replies if reply.status != 200]
         rows = [_event_row(event) for event in merge_logs(logs)[-limit:]]
         show(rows, ("time", "node", "kind", "request", "workspace", "detail"), self._output)
-        if silent:
-            complain("no events from " + ", ".join(silent))
+        if unreachable:
+            print_to_stderr("no events from " + ", ".join(unreachable))
 
     def explain(self, request: str, *files: str) -> None:
         """Explain the outcome of REQUEST from the logs of all daemons in FILES or standard input.
@@ -136,10 +136,10 @@
         """
         trace = trace_request(str(request), read_lines([str(file) for file in files]))
         if not trace.lines:
-            _fail(EXIT_UNAVAILABLE, f"the logs tell nothing of {request}; {trace.left_out}")
+            _fail(EXIT_UNAVAILABLE, f"the logs tell nothing of {request}; {trace.missing_lines}")
         rows = [line_row(line) for line in trace.lines]
         show(rows, ("time", "node", "event", "facts"), self._output)
-        complain(trace.cause)
+        print_to_stderr(trace.cause)
 
     def account(self, *files: str, by: str = Grouping.ROUTE, plot: str = "") -> None:
         """Count the served, late, refused and lost requests in the logs in FILES.
@@ -149,11 +149,11 @@
         --log-requests-per-second is raised.
         """
         if by not in set(Grouping):
-            _fail(EXIT_USE, f"--by is one of {', '.join(Grouping)}, given was {by!r}")
+            _fail(EXIT_USAGE, f"--by is one of {', '.join(Grouping)}, given was {by!r}")
         rows = make_account(read_lines([str(file) for file in files]), Grouping(by))
         if not rows:
             _fail(EXIT_UNAVAILABLE, "the logs tell of no request")
-        show([row.cells() for row in rows], COLUMNS, self._output)
+        show([row.columns() for row in rows], COLUMNS, self._output)
         if plot:
             plot_account(rows, Path(plot))
 
@@ -177,12 +177,12 @@
             "dry_run": dry_run,
         }
         reply = self._call("POST", "/v1/changes", change)
-        word = "checked against version" if dry_run else "accepted as version"
-        print(f"{word} {reply.body['version']}")
+        result = "checked against version" if dry_run else "accepted as version"
+        print(f"{result} {reply.body['version']}")
 
     def rollouts(self) -> None:
         """Show the rollouts of services, as reported by the coordinator of each."""
-        replies = asyncio.run(self._ask_all("/v1/rollouts"))
+        replies = asyncio.run(self._query_all("/v1/rollouts"))
         show(_rollout_rows(replies), ROLLOUT_COLUMNS, self._output)
 
     def _call(self, method: str, path: str, body: object = None) -> Reply:
@@ -198,18 +198,18 @@
         _fail(codes.get(reply.status, EXIT_UNAVAILABLE), message)
         return reply
 
-    async def _ask_all(self, path: str) -> list[tuple[str, Reply]]:
+    async def _query_all(self, path: str) -> list[tuple[str, Reply]]:
         status = await AdminClient(self._admin, self._secret).call("GET", "/v1/status")
         if status.status != 200:
             _fail(EXIT_UNAVAILABLE, str(status.body.get("error")))
         members = [m for m in status.body["members"] if m["state"] != "dead"]
-        gate = asyncio.Semaphore(MOST_AT_ONCE)
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
 
-        async def ask(endpoint: str) -> tuple[str, Reply]:
-            async with gate:
+        async def query(endpoint: str) -> tuple[str, Reply]:
+            async with semaphore:
                 return endpoint, await AdminClient(endpoint, self._secret).call("GET", path)
 
-        return await asyncio.gather(*(ask(member["admin"]) for member in members))
+        return await asyncio.gather(*(query(member["admin"]) for member in members))
 
 
 def _rollout_rows(replies: list[tuple[str, Reply]]) -> list[dict[str, object]]:
@@ -230,13 +230,13 @@
 
     def status(self) -> None:
         """Show the version in force at each daemon; the exit code is 6 if they differ."""
-        replies = asyncio.run(self._tool._ask_all("/v1/status"))
+        replies = asyncio.run(self._tool._query_all("/v1/status"))
         rows = [_status_row(endpoint, reply) for endpoint, reply in replies]
         show(rows, ("node", "version"), self._tool._output)
         versions = {row["version"] for row in rows}
         if len(versions) > 1:
             _fail(EXIT_NOT_IN_FORCE, "not in force everywhere yet")
-        complain(f"version {versions.pop()} is in force everywhere")
+        print_to_stderr(f"version {versions.pop()} is in force everywhere")
 
 
 class QuarantineCommands:
@@ -263,14 +263,14 @@
     return reply.body
 
 
-def _difference(stored: dict[str, object] | None, wanted: dict[str, object]) -> dict | None:
-    row = {"kind": wanted["kind"], "name": wanted["name"]}
+def _difference(stored: dict[str, object] | None, desired: dict[str, object]) -> dict | None:
+    row = {"kind": desired["kind"], "name": desired["name"]}
     if stored is None:
         return {**row, "change": "new"}
-    fields = [name for name in wanted if wanted[name] != stored.get(name)]
+    fields = [name for name in desired if desired[name] != stored.get(name)]
     if not fields:
         return None
-    return {**row, "change": ", ".join(f"{n}: {stored.get(n)} -> {wanted[n]}" for n in fields)}
+    return {**row, "change": ", ".join(f"{n}: {stored.get(n)} -> {desired[n]}" for n in fields)}
 
 
 def _event_row(event: Event) -> dict[str, object]:
@@ -293,8 +293,8 @@
     for prefix, group in _GROUPS:
         for name, command in inspect.getmembers(group, inspect.isfunction):
             if not name.startswith("_"):
-                first = inspect.cleandoc(command.__doc__).splitlines()[0]
-                lines.append(f"  railsail {prefix}{name:<10}  {first}")
+                summary = inspect.cleandoc(command.__doc__).splitlines()[0]
+                lines.append(f"  railsail {prefix}{name:<10}  {summary}")
     lines += ["", "railsail COMMAND --help shows the flags of a command."]
     return "\n".join(lines)
 
--- a/railsail/cli/output.py
+++ b/railsail/cli/output.py
@@ -30,6 +30,6 @@
     return stamp_moment(stamp).strftime("%H:%M:%S.%f")[:-3]
 
 
-def complain(text: str) -> None:
+def print_to_stderr(text: str) -> None:
     """Print ``text`` to standard error."""
     print(text, file=sys.stderr)
--- a/tests/cli/test_account.py
+++ b/tests/cli/test_account.py
@@ -38,14 +38,14 @@
     def rows(self, grouping: Grouping) -> dict[str, dict[str, object]]:
         parsed = [parse_line(line) for line in LINES]
         rows = make_account([line for line in parsed if line is not None], grouping)
-        return {row.name: row.cells() for row in rows}
+        return {row.name: row.columns() for row in rows}
 
     def test_outcomes_are_counted_by_route(self):
         rows = self.rows(Grouping.ROUTE)
         self.assertEqual(list(rows), ["drafts", "tags"])
         drafts = rows["drafts"]
-        told = [drafts[name] for name in ("received", "granted", "served", "late", "refused")]
-        self.assertEqual(told, [4, 2, 2, 1, 2])
+        values = [drafts[name] for name in ("received", "granted", "served", "late", "refused")]
+        self.assertEqual(values, [4, 2, 2, 1, 2])
         self.assertEqual((drafts["came back"], drafts["refused again"]), (1, 1))
         self.assertEqual(drafts["reasons"], "wait-expired=2")
         tags = rows["tags"]
--- a/tests/cli/test_explain.py
+++ b/tests/cli/test_explain.py
@@ -17,12 +17,12 @@
 
 
 class ExplainTests(unittest.TestCase):
-    def tell(self, *lines: str):
+    def trace(self, *lines: str):
         parsed = [parse_line(line) for line in lines]
         return trace_request("r-1", [line for line in parsed if line is not None])
 
     def test_quarantined_request_names_the_replicas_that_ended(self):
-        story = self.tell(
+        trace = self.trace(
             text("received", "a", 0, request="r-1", fingerprint="0f"),
             text("quarantined", "a", 1, request="r-1", replicas="i-1 i-2 i-3", held_ms=119000),
             text(
@@ -37,13 +37,13 @@
             ),
         )
         self.assertEqual(
-            story.cause,
+            trace.cause,
             "notrun after 2 ms: 3 replicas ended while they ran this request. Replicas that ended "
             "while they ran the same request: i-1 i-2 i-3; it is held back for 119000 ms more.",
         )
 
     def test_refused_request_is_explained_by_its_dispatcher(self):
-        story = self.tell(
+        trace = self.trace(
             text("received", "a", 0, request="r-1", route="drafts"),
             text("expired", "b", 81, ticket="a#7", waiting=12, replicas=3, replicas_serving=2),
             text("expired", "a", 80, request="r-1", ticket="a#7", dispatcher="b"),
@@ -61,9 +61,9 @@
                 detail="no replica had room in time",
             ),
         )
-        told = [(line.event, line.node) for line in story.lines]
+        events = [(line.event, line.node) for line in trace.lines]
         self.assertEqual(
-            told,
+            events,
             [
                 ("received", "a"),
                 ("member", "b"),
@@ -72,10 +72,10 @@
                 ("ended", "a"),
             ],
         )
-        self.assertIn("12 tickets waited, and 2 of 3 replicas served", story.cause)
+        self.assertIn("12 tickets waited, and 2 of 3 replicas served", trace.cause)
 
     def test_lost_answer_is_explained_with_the_reason_for_no_retry(self):
-        story = self.tell(
+        trace = self.trace(
             text("received", "a", 0, request="r-1"),
             text("sent", "a", 1, request="r-1", replica="i-1"),
             text(
@@ -89,12 +89,12 @@
                 given_up="it may not be repeated",
             ),
         )
-        self.assertIn("the connection broke", story.cause)
-        self.assertIn("since it may not be repeated", story.cause)
+        self.assertIn("the connection broke", trace.cause)
+        self.assertIn("since it may not be repeated", trace.cause)
 
     def test_request_without_an_end_is_explained_as_such(self):
-        story = self.tell(text("received", "a", 0, request="r-1"))
-        self.assertIn("no end here", story.cause)
+        trace = self.trace(text("received", "a", 0, request="r-1"))
+        self.assertIn("no end here", trace.cause)
 
     def test_lines_that_are_not_events_are_skipped(self):
         for line in ("", "Traceback", "{", "[1]", '{"event": "x"}', '{"a": {}}'):
@@ -102,9 +102,9 @@
                 self.assertIsNone(parse_line(line))
 
     def test_dropped_lines_are_reported_with_their_count(self):
-        story = self.tell(text("member", "a", 0, lines_left_out=7))
-        self.assertEqual(story.lines, [])
-        self.assertIn("7 lines were left out", story.left_out)
+        trace = self.trace(text("member", "a", 0, lines_left_out=7))
+        self.assertEqual(trace.lines, [])
+        self.assertIn("7 lines were left out", trace.missing_lines)
 
 
 if __name__ == "__main__":
