--- a/railsail/conf/settings.py
+++ b/railsail/conf/settings.py
@@ -20,7 +20,7 @@
     Modules,
     Name,
     NameMap,
-    Number,
+    Integer,
     Optional,
     Port,
     Secret,
@@ -62,13 +62,13 @@
     Option("peer_port", Port(), "TCP port for links from other daemons.", "8082"),
     Option(
         "forward_port",
-        Number(0, 65_535),
+        Integer(0, 65_535),
         "TCP port for requests that other daemons forward; 0 takes a free one.",
         "0",
     ),
     Option(
         "listen_port",
-        Number(0, 65_535),
+        Integer(0, 65_535),
         "TCP port to listen on for peers, if the peer port is mapped to another one; 0 for the "
         "peer port itself.",
         "0",
@@ -154,7 +154,7 @@
     ),
     Option(
         "rollback_ms",
-        Number(1, 3_600_000),
+        Integer(1, 3_600_000),
         "Time in milliseconds until a new version that was found to be bad gets no more calls.",
         "5000",
     ),
@@ -165,10 +165,10 @@
         "each dispatches its own replicas.",
         "",
     ),
-    Option("max_body_bytes", Number(1024, 64 << 20), "Maximum request body.", str(4 << 20)),
+    Option("max_body_bytes", Integer(1024, 64 << 20), "Maximum request body.", str(4 << 20)),
     Option(
         "open_files",
-        Number(0, 100_000_000),
+        Integer(0, 100_000_000),
         "Maximum number of open files and connections of this process; 0 takes the system's limit.",
         "0",
     ),
@@ -181,22 +181,22 @@
     ),
     Option(
         "queue_per_workspace",
-        Number(1, 100_000),
+        Integer(1, 100_000),
         "Maximum number of requests of one workspace in flight at this node.",
         "256",
     ),
     Option(
         "queue_total",
-        Number(1, 100_000),
+        Integer(1, 100_000),
         "Maximum number of requests of all workspaces in flight at this node.",
         "1024",
     ),
-    Option("cell_replicas", Number(1, 10_000), "Maximum number of replicas of a cell.", "16"),
+    Option("cell_replicas", Integer(1, 10_000), "Maximum number of replicas of a cell.", "16"),
     Option("drain_seconds", Decimal(0, 86_400), "Maximum wait for requests at a stop.", "120"),
     Option(
         "leave_seconds", Decimal(0, 600), "Time for the balancer to notice that a node stops.", "2"
     ),
-    Option("claim_seconds", Number(60, 604_800), "How long a claimed key is kept.", "3600"),
+    Option("claim_seconds", Integer(60, 604_800), "How long a claimed key is kept.", "3600"),
     Option(
         "scheduling",
         Choice("fleet", "cells", "local"),
@@ -220,7 +220,7 @@
     ),
     Option(
         "log_lines_per_second",
-        Number(1, 100_000),
+        Integer(1, 100_000),
         "Maximum log lines per second; ordinary lines may use half of them.",
         "200",
     ),
@@ -309,7 +309,7 @@
         )
     except _ParserError as problem:
         raise ImproperlyConfigured([_unreadable(problem)]) from None
-    findings = [_unknown(word) for word in unknown]
+    findings = [_unknown_argument(argument) for argument in unknown]
     values = {}
     for option in OPTIONS:
         values[option.name] = _convert(option, getattr(namespace, option.name), findings)
@@ -354,9 +354,11 @@
     return error("railsail.E006", f"cannot be read: {problem}", "--settings-file or arguments")
 
 
-def _unknown(word: str) -> Finding:
-    # The argument may be a misspelt secret, so only the part before "=" is shown.
-    return error("railsail.E001", "unknown argument", word.split("=")[0], "see railsaild --help")
+def _unknown_argument(argument: str) -> Finding:
+    # It may be a misspelt secret, so only the part before "=" is shown.
+    return error(
+        "railsail.E001", "unknown argument", argument.split("=")[0], "see railsaild --help"
+    )
 
 
 def _convert(option: Option, text: str | None, findings: list[Finding]) -> object:
@@ -384,8 +386,8 @@
         findings += [_secret_missing(name) for name in _SECRETS if values[name] == ""]
     names = ("caller_port", "admin_port", "peer_port", "forward_port")
     ports = [values[name] for name in names]
-    known = [port for port in ports if port]
-    if len(set(known)) < len(known):
+    nonzero = [port for port in ports if port]
+    if len(set(nonzero)) < len(nonzero):
         findings.append(
             error(
                 "railsail.E004",
--- a/railsail/conf/values.py
+++ b/railsail/conf/values.py
@@ -8,10 +8,10 @@
 import msgspec
 
 _NAME = re.compile(r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?")
-_SHORTEST_SECRET = 16
+_MIN_SECRET_CHARACTERS = 16
 # The number of parsed endpoints in the cache. A node repeatedly parses those of the same replicas
 # and peers.
-MOST_ENDPOINTS_KEPT = 4096
+MAX_CACHED_ENDPOINTS = 4096
 
 
 class Endpoint(msgspec.Struct, frozen=True):
@@ -52,27 +52,27 @@
             raise ValueError("is not an IP address") from None
 
 
-class Number:
-    """A whole number from ``least`` to ``most``."""
+class Integer:
+    """A whole number from ``minimum`` to ``maximum``."""
 
     secret = False
 
-    def __init__(self, least: int, most: int) -> None:
-        self.least = least
-        self.most = most
-        self.allowed = f"a whole number from {least} to {most}"
+    def __init__(self, minimum: int, maximum: int) -> None:
+        self.minimum = minimum
+        self.maximum = maximum
+        self.allowed = f"a whole number from {minimum} to {maximum}"
 
     def convert(self, text: str) -> int:
         """Return the number."""
         if not re.fullmatch(r"-?[0-9]{1,18}", text):
             raise ValueError("is not a whole number")
         number = int(text)
-        if not self.least <= number <= self.most:
+        if not self.minimum <= number <= self.maximum:
             raise ValueError("is out of range")
         return number
 
 
-class Port(Number):
+class Port(Integer):
     """A TCP port, which may also be given as an endpoint ``ip:port``."""
 
     def __init__(self) -> None:
@@ -84,21 +84,21 @@
 
 
 class Decimal:
-    """A decimal number from ``least`` to ``most``."""
+    """A number with decimals from ``minimum`` to ``maximum``."""
 
     secret = False
 
-    def __init__(self, least: float, most: float) -> None:
-        self.least = least
-        self.most = most
-        self.allowed = f"a number from {least:g} to {most:g}"
+    def __init__(self, minimum: float, maximum: float) -> None:
+        self.minimum = minimum
+        self.maximum = maximum
+        self.allowed = f"a number from {minimum:g} to {maximum:g}"
 
     def convert(self, text: str) -> float:
         """Return the number."""
         if not re.fullmatch(r"-?[0-9]{1,18}(\.[0-9]{1,18})?", text):
             raise ValueError("is not a number")
         number = float(text)
-        if not self.least <= number <= self.most:
+        if not self.minimum <= number <= self.maximum:
             raise ValueError("is out of range")
         return number
 
@@ -117,17 +117,17 @@
 
 
 class Choice:
-    """One of several words."""
+    """One of several texts."""
 
     secret = False
 
-    def __init__(self, *words: str) -> None:
-        self.words = words
-        self.allowed = "one of " + ", ".join(words)
+    def __init__(self, *choices: str) -> None:
+        self.choices = choices
+        self.allowed = "one of " + ", ".join(choices)
 
     def convert(self, text: str) -> str:
-        """Return the word."""
-        if text not in self.words:
+        """Return the text."""
+        if text not in self.choices:
             raise ValueError("is not an allowed value")
         return text
 
@@ -135,12 +135,12 @@
 class Secret:
     """A secret, which no message shows."""
 
-    allowed = f"at least {_SHORTEST_SECRET} characters"
+    allowed = f"at least {_MIN_SECRET_CHARACTERS} characters"
     secret = True
 
     def convert(self, text: str) -> str:
         """Return the secret."""
-        if len(text) < _SHORTEST_SECRET:
+        if len(text) < _MIN_SECRET_CHARACTERS:
             raise ValueError("is too short")
         return text
 
@@ -183,10 +183,10 @@
         """Return the map."""
         words = [word.strip() for word in text.split(",") if word.strip()]
         pairs = [word.partition("=") for word in words]
-        for name, _, meant in pairs:
-            if not name.strip() or not meant.strip():
+        for name, _, value in pairs:
+            if not name.strip() or not value.strip():
                 raise ValueError(f"{name!r} is not name=name")
-        return {name.strip(): meant.strip() for name, _, meant in pairs}
+        return {name.strip(): value.strip() for name, _, value in pairs}
 
 
 class EndpointList:
@@ -200,13 +200,13 @@
 
     def convert(self, text: str) -> tuple[Endpoint, ...]:
         """Return the endpoints."""
-        words = [word.strip() for word in text.split(",") if word.strip()]
-        if len(words) < self.minimum:
+        endpoints = [endpoint.strip() for endpoint in text.split(",") if endpoint.strip()]
+        if len(endpoints) < self.minimum:
             raise ValueError(f"needs at least {self.minimum}")
-        return tuple(parse_endpoint(word) for word in words)
+        return tuple(parse_endpoint(endpoint) for endpoint in endpoints)
 
 
-@functools.lru_cache(MOST_ENDPOINTS_KEPT)
+@functools.lru_cache(MAX_CACHED_ENDPOINTS)
 def parse_endpoint(text: str) -> Endpoint:
     """Return the endpoint of ``ip:port`` or ``[ip]:port``; raise ``ValueError`` otherwise."""
     host, separator, port = text.rpartition(":")
