--- a/railsail/conf/values.py
+++ b/railsail/conf/values.py
@@ -117,7 +117,7 @@
 
 
 class Choice:
-    """One of several texts."""
+    """A choice among several texts."""
 
     secret = False
 
