--- a/railsail/standins/batching.py
+++ b/railsail/standins/batching.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-RESUME_SECONDS = 5.0
+RESUME_TIMEOUT_SECONDS = 5.0
 
 
 @dataclass(frozen=True)
@@ -86,7 +86,7 @@
         self.runs: dict[str, Run] = {}
         self.log: list[Run] = []
         self.refused = 0
-        self.asked = 0
+        self.calls = 0
         # The time of the crash in seconds since the Unix epoch, or 0.
         self.crashed_at = 0.0
         self.on_crash: Callable[[], None] = lambda: None
@@ -134,7 +134,7 @@
         try:
             if not run.cached:
                 await asyncio.sleep(run.prompt_tokens / self.settings.prefill_rate)
-            while run.produced < run.output_tokens and not self._abandoned(run):
+            while run.produced < run.output_tokens and not self._check_abandoned(run):
                 tokens = min(self.settings.chunk, run.output_tokens - run.produced)
                 await asyncio.sleep(tokens / self.settings.decode_rate)
                 run.produced += tokens
@@ -149,8 +149,8 @@
             self._running -= 1
             self._start_next()
 
-    def _abandoned(self, run: Run) -> bool:
-        if run.left_at and not run.readers and time.time() - run.left_at > RESUME_SECONDS:
+    def _check_abandoned(self, run: Run) -> bool:
+        if run.left_at and not run.readers and time.time() - run.left_at > RESUME_TIMEOUT_SECONDS:
             run.cancelled = True
         return run.cancelled
 
@@ -168,11 +168,11 @@
         total = run.prompt_tokens + run.produced
         return {"completion_tokens": run.produced, "total_tokens": total}
 
-    def turns_away(self) -> bool:
+    def refuse_next_call(self) -> bool:
         """Return True if the next call is to be refused; refusals are evenly spaced."""
         share = self.faults.rest_share if self.faults.rest else 0.0
-        self.asked += 1
-        return int(self.asked * share) > int((self.asked - 1) * share)
+        self.calls += 1
+        return int(self.calls * share) > int((self.calls - 1) * share)
 
     def load(self) -> dict[str, object]:
         """Return the load report, whose counts may be up to ``load_lag`` seconds old."""
--- a/railsail/standins/demo.py
+++ b/railsail/standins/demo.py
@@ -21,7 +21,7 @@
 SERVICE_REPLICAS = 3
 EXAMPLES = Path(__file__).parents[2] / "examples" / "association"
 KEY = "rs-demo-harbour-jobs"
-SETTLE_SECONDS = 20.0
+READY_TIMEOUT_SECONDS = 20.0
 
 
 async def _start() -> StandinFleet:
@@ -34,22 +34,22 @@
     fleet.configure(load_objects(EXAMPLES))
     for domain in DOMAINS:
         await fleet.add_node(domain)
-    await _settle(fleet)
+    await _wait_until_ready(fleet)
     return fleet
 
 
-async def _settle(fleet: StandinFleet) -> None:
-    async with asyncio.timeout(SETTLE_SECONDS):
-        while not all(_settled(node, len(fleet.nodes)) for node in fleet.nodes):
+async def _wait_until_ready(fleet: StandinFleet) -> None:
+    async with asyncio.timeout(READY_TIMEOUT_SECONDS):
+        while not all(_is_ready(node, len(fleet.nodes)) for node in fleet.nodes):
             await asyncio.sleep(0.05)
 
 
-def _settled(node, count: int) -> bool:
+def _is_ready(node, count: int) -> bool:
     members = len(node.membership.table.usable())
     return not node.not_ready() and members == count and bool(node.directory.all())
 
 
-async def _ask(fleet: StandinFleet) -> str:
+async def _send_request(fleet: StandinFleet) -> str:
     node = fleet.nodes[0]
     body = {
         "model": "adverts",
@@ -72,12 +72,12 @@
 
 def _show_time_line(fleet: StandinFleet, request: str) -> None:
     logs = [node.events.select(request) for node in fleet.nodes]
-    story = merge_logs(logs)
-    begun = stamp_seconds(story[0].stamp)
+    time_line = merge_logs(logs)
+    started_at = stamp_seconds(time_line[0].stamp)
     rows = []
-    for event in story:
-        after = (stamp_seconds(event.stamp) - begun) * 1000
-        rows.append({"ms": f"{after:.0f}", "node": event.node, "kind": event.kind})
+    for event in time_line:
+        elapsed_ms = (stamp_seconds(event.stamp) - started_at) * 1000
+        rows.append({"ms": f"{elapsed_ms:.0f}", "node": event.node, "kind": event.kind})
         rows[-1]["detail"] = event.description
     print(f"\nthe time line of {request}:")
     show(rows, ("ms", "node", "kind", "detail"), "table")
@@ -87,7 +87,7 @@
     fleet = await _start()
     version = fleet.nodes[0].carrier.catalog.version
     print(f"{len(fleet.nodes)} daemons are ready, configuration version {version}")
-    request = await _ask(fleet)
+    request = await _send_request(fleet)
     _show_time_line(fleet, request)
     await fleet.stop()
 
--- a/railsail/standins/engine.py
+++ b/railsail/standins/engine.py
@@ -73,7 +73,7 @@
         await self.flush()
         while True:
             while position < len(run.events):
-                if self._cut_now(run, position):
+                if self._cut_if_due(run, position):
                     raise StreamClosedError
                 self.write(run.events[position])
                 if self.engine.faults.duplicate:
@@ -85,7 +85,7 @@
             run.changed.clear()
             await run.changed.wait()
 
-    def _cut_now(self, run: Run, position: int) -> bool:
+    def _cut_if_due(self, run: Run, position: int) -> bool:
         after = self.engine.faults.cut_after
         if not after or run.cut or position < after:
             return False
@@ -96,7 +96,7 @@
 
 class _Completions(_Handler):
     async def post(self) -> None:
-        if self.engine.faults.leaving or self.engine.turns_away():
+        if self.engine.faults.leaving or self.engine.refuse_next_call():
             self.refuse()
             return
         if self.engine.faults.fail:
@@ -111,7 +111,7 @@
         if body.get("stream"):
             await self.stream(run, 0)
             return
-        await self._whole(run)
+        await self._send_complete_answer(run)
 
     def _new_run(self, body: dict) -> tuple[Run, int]:
         text = body.get("prompt") or "".join(m["content"] for m in body.get("messages", []))
@@ -128,7 +128,7 @@
         )
         return run, prefix if len(text) >= PREFIX_CHARACTERS else 0
 
-    async def _whole(self, run: Run) -> None:
+    async def _send_complete_answer(self, run: Run) -> None:
         self._run = run
         run.readers += 1
         while not run.ended_at:
@@ -195,11 +195,11 @@
         (r"/standin/faults", _Faults),
     ]
     server = listen(routes, {"engine": engine}, ip, port)
-    ending = TaskSet()
+    closing_tasks = TaskSet()
 
-    def end() -> None:
+    def close_server() -> None:
         server.stop()
-        ending.start(server.close_all_connections())
+        closing_tasks.start(server.close_all_connections())
 
-    engine.on_crash = end
+    engine.on_crash = close_server
     return engine, server
--- a/railsail/standins/fleet.py
+++ b/railsail/standins/fleet.py
@@ -27,18 +27,18 @@
     """Return ``count`` TCP ports that are currently free."""
     sockets = [socket.socket() for _ in range(count)]
     try:
-        for each in sockets:
-            each.bind((ip, 0))
-        return [each.getsockname()[1] for each in sockets]
+        for sock in sockets:
+            sock.bind((ip, 0))
+        return [sock.getsockname()[1] for sock in sockets]
     finally:
-        for each in sockets:
-            each.close()
+        for sock in sockets:
+            sock.close()
 
 
-def node_settings(ports: list[int], store: str, domain: str, **more: str) -> Settings:
+def node_settings(ports: list[int], store: str, domain: str, **overrides: str) -> Settings:
     """Return the settings of a daemon with ``ports`` for callers, operators and peers.
 
-    ``more`` overrides single settings.
+    ``overrides`` replace the defaults of single settings.
     """
     values = {
         "caller-port": str(ports[0]),
@@ -49,7 +49,7 @@
         "peer-secret": PEER_SECRET,
         "admin-secret": ADMIN_SECRET,
         "leave-seconds": "0",
-        **{name.replace("_", "-"): value for name, value in more.items()},
+        **{name.replace("_", "-"): value for name, value in overrides.items()},
     }
     flags = [f"--{name}={value}" for name, value in values.items()]
     return parse(flags, {}).settings
@@ -114,9 +114,9 @@
         }
         self.store.put("configuration", "head", {"version": 1, "base": 0, "changes": [change]})
 
-    async def add_node(self, domain: str = "a", **more: str) -> Node:
+    async def add_node(self, domain: str = "a", **overrides: str) -> Node:
         """Start a daemon, and list it in the store."""
-        settings = node_settings(free_ports(3), self.store_endpoint, domain, **more)
+        settings = node_settings(free_ports(3), self.store_endpoint, domain, **overrides)
         self.store.put("node", settings.node_id, {"state": "live"})
         node = Node(settings, rng=random.Random(self.rng.getrandbits(64)))
         self.nodes.append(node)
@@ -130,10 +130,10 @@
 
     async def restart(self, node: Node) -> Node:
         """Restart a killed daemon with its old settings and no state."""
-        again = Node(node.settings, rng=random.Random(self.rng.getrandbits(64)))
-        self.nodes.append(again)
-        await again.start()
-        return again
+        restarted = Node(node.settings, rng=random.Random(self.rng.getrandbits(64)))
+        self.nodes.append(restarted)
+        await restarted.start()
+        return restarted
 
     async def stop(self) -> None:
         """Stop everything."""
--- a/railsail/standins/store.py
+++ b/railsail/standins/store.py
@@ -14,8 +14,8 @@
 
 from railsail.standins.listening import listen
 
-MOST_VALUE_BYTES = 1_000_000
-MOST_HISTORY = 4096
+MAX_VALUE_BYTES = 1_000_000
+MAX_HISTORY = 4096
 
 
 @dataclass
@@ -49,18 +49,20 @@
         self.version += 1
         item = {"kind": kind, "name": name, "version": self.version, "value": value}
         self.objects[(kind, name)] = item
-        self._remember(item)
+        self._append_to_history(item)
         return self.version
 
     def delete(self, kind: str, name: str) -> None:
         """Delete an object."""
         self.version += 1
         del self.objects[(kind, name)]
-        self._remember({"kind": kind, "name": name, "version": self.version, "value": None})
+        self._append_to_history(
+            {"kind": kind, "name": name, "version": self.version, "value": None}
+        )
 
-    def _remember(self, item: dict) -> None:
+    def _append_to_history(self, item: dict) -> None:
         self.history.append(item)
-        del self.history[:-MOST_HISTORY]
+        del self.history[:-MAX_HISTORY]
 
     async def wake(self) -> None:
         """Wake the waiting watches."""
@@ -112,7 +114,7 @@
 
     async def put(self, kind: str, name: str) -> None:
         self.check_version(kind, name)
-        if len(self.request.body) > MOST_VALUE_BYTES:
+        if len(self.request.body) > MAX_VALUE_BYTES:
             raise HTTPError(413)
         version = self.state.put(kind, name, json.loads(self.request.body))
         await self.state.wake()
@@ -154,19 +156,19 @@
         self.reply({"version": self.state.version, "events": events})
 
     async def _wait(self, kinds: set[str], since: int, seconds: float) -> list[dict]:
-        found: list[dict] = []
+        events: list[dict] = []
 
-        def look() -> bool:
+        def should_wake() -> bool:
             history = self.state.history
-            found[:] = [e for e in history if e["version"] > since and e["kind"] in kinds]
-            return bool(found) or self.state.faults.down
+            events[:] = [e for e in history if e["version"] > since and e["kind"] in kinds]
+            return bool(events) or self.state.faults.down
 
         try:
             async with asyncio.timeout(seconds), self.state.changed:
-                await self.state.changed.wait_for(look)
+                await self.state.changed.wait_for(should_wake)
         except TimeoutError:
             return []
-        return found
+        return events
 
 
 class _Faults(RequestHandler):
