--- a/tests/platform/test_explain.py
+++ b/tests/platform/test_explain.py
@@ -19,7 +19,7 @@
         self.lines: list[str] = []
         # No request is told unless it has to be.
         decisions = DecisionLog(node.clock, 0.0, self._write)
-        decisions._sampling._share = 0.0
+        decisions._sampler._ratio = 0.0
         node.events.on_emit(decisions.handle)
         return node
 
--- a/tests/upstreams/test_connections.py
+++ b/tests/upstreams/test_connections.py
@@ -328,7 +328,7 @@
 
     async def test_process_that_stood_still_begins_anew(self):
         await self.ask()
-        self.kernel.pauses.ended(3.0, 0.0)
+        self.kernel.pauses.record(3.0, 0.0)
         self.assertEqual((len(self.pool), self.closed()), (0, {"pause": 1}))
 
     async def test_closed_pool_keeps_nothing(self):
