--- a/railsail/core/decisions.py
+++ b/railsail/core/decisions.py
@@ -14,14 +14,14 @@
 from railsail.core.events import Event, Fact, Kind
 from railsail.core.logs import get_logger
 
-# The number of requests whose events are buffered at the same time. Beyond it, the oldest request's
-# events are dropped.
+# The maximum number of requests whose events are buffered at the same time. Beyond it, the buffer
+# of the oldest request is dropped.
 MAX_BUFFERED_REQUESTS = 4096
 _HASH_RANGE = 1 << 32
 
 
 class RequestSampler:
-    """Sample about ``per_second`` requests a second, with all of their events or none."""
+    """A sampler that includes about ``per_second`` requests a second."""
 
     def __init__(self, per_second: float, now: float) -> None:
         self._per_second = per_second
@@ -59,7 +59,7 @@
 
 
 class DecisionLog:
-    """Buffer the events of one process, and write the notable and the sampled ones.
+    """The decision log of one process, which passes events to ``write``, some after buffering.
 
     The second argument of ``write`` says whether the event is ordinary, that is, whether its line
     may be dropped first. Events without a request, notable events, and the events buffered before a
@@ -98,7 +98,7 @@
     def _buffer_or_write(self, event: Event) -> None:
         buffered = self._buffered.get(event.request)
         if buffered is None:
-            # The request had a notable event, or it started at another daemon.
+            # The request had a notable event, started at another daemon, or lost its buffer.
             self._write(event, True)
         else:
             buffered.append(event)
--- a/railsail/core/imports.py
+++ b/railsail/core/imports.py
@@ -23,8 +23,8 @@
 def without_unused_modules() -> Iterator[None]:
     """Make the unused modules empty or absent while the libraries are imported.
 
-    Imports create almost no garbage. The garbage collector is therefore off in the meantime, and
-    the objects that the imports created are frozen: later collections skip them.
+    Imports create almost no garbage, so the garbage collector is off in the meantime. Afterwards
+    all existing objects are frozen: later collections skip them.
     """
     replaced = [name for name in (*_EMPTY_MODULES, *_ABSENT_MODULES) if name not in sys.modules]
     for name in replaced:
--- a/railsail/core/logs.py
+++ b/railsail/core/logs.py
@@ -48,7 +48,10 @@
         self._refilled_at = now
 
     def allow(self, now: float, ordinary: bool) -> bool:
-        """Return True if a line may be written at ``now``, in seconds, and take its token."""
+        """Return True if a line may be written at ``now``, in seconds, and if so use a token.
+
+        ``ordinary`` lines can't use the reserved part of the budget.
+        """
         self._tokens = min(
             self._per_second, self._tokens + (now - self._refilled_at) * self._per_second
         )
--- a/railsail/core/looplag.py
+++ b/railsail/core/looplag.py
@@ -18,7 +18,7 @@
 # The lag is the median of this many samples, so that a single long turn of the loop doesn't count
 # as overload.
 MEDIAN_SAMPLES = 3
-# A request takes about six turns of the loop before its response starts. With this lag they use up
+# A request takes about six turns of the loop before its answer starts. With this lag they use up
 # most of an objective of 250 ms.
 LATE_SECONDS = 0.03
 # Above this lag a node forwards new requests instead of accepting more itself, before callers
@@ -28,7 +28,10 @@
 
 
 class PeriodicCall:
-    """Call ``callback`` every ``seconds`` until it raises; ``failed`` then has its exception."""
+    """A call of ``callback`` every ``seconds``, until it raises an exception.
+
+    ``failed`` is a future that then has the exception.
+    """
 
     def __init__(self, seconds: float, callback: Callable[[], None], now: float) -> None:
         self.failed = asyncio.get_running_loop().create_future()
--- a/railsail/core/outcomes.py
+++ b/railsail/core/outcomes.py
@@ -41,8 +41,8 @@
     """The request did not run; ``retry_after`` is in seconds.
 
     ``come_back`` is the time in seconds until the retry that a dispatcher planned for the caller, 0
-    if there is none. ``asked_rest`` is True if the replica refused the request with a
-    ``Retry-After``.
+    if there is none. ``asked_rest`` is True if the replica refused the request and requested a
+    backoff with ``Retry-After``.
     """
 
     reason: Reason
@@ -59,7 +59,7 @@
     ``cost`` is the cost known so far, in cost units of the pool. ``timed_out`` is True if the
     deadline for the answer had passed. ``broke_off`` is True if the replica ended its answer or its
     connection early, or sent nothing more, so that its process may have crashed. ``asked_rest`` is
-    True if its answer had a ``Retry-After``.
+    True if its answer requested a backoff with ``Retry-After``.
     """
 
     detail: str
--- a/railsail/core/pauses.py
+++ b/railsail/core/pauses.py
@@ -14,7 +14,10 @@
 
 
 class Pauses:
-    """Notify listeners after each pause; times are in seconds of the steady clock."""
+    """The pauses of this process, of which listeners are notified.
+
+    ``ended_at`` is the end of the last pause in seconds of the steady clock, or ``-math.inf``.
+    """
 
     def __init__(self) -> None:
         self.ended_at = -math.inf
--- a/railsail/node.py
+++ b/railsail/node.py
@@ -82,6 +82,7 @@
 from railsail.upstreams.rests import ReplicaBackoffs
 
 NATIVE_INTERFACE = "native"
+# A starting node waits this long for the first answer of the store before it becomes ready.
 STARTUP_STORE_TIMEOUT_SECONDS = 3.0
 TICK_SECONDS = 0.5
 # Evacuations are rare, and may reach the daemons later than changes of replicas and routes. Their
@@ -98,7 +99,7 @@
 
 
 class Node:
-    """Build all parts of a daemon from its settings, run them, and stop them in order."""
+    """A daemon, which builds its parts from the settings, runs them, and stops them in order."""
 
     def __init__(
         self, settings: Settings, clock: Clock | None = None, rng: random.Random | None = None
@@ -117,7 +118,7 @@
         self.kernel = Kernel(self.clock, self.rng, self.events, self.metrics)
         self.lag = LoopLag(self.clock.monotonic, self.kernel.pauses)
         self.kernel.pauses.on_end(self._pause_ended)
-        self._draining = asyncio.Event()
+        self._drain_requested = asyncio.Event()
         self._tasks: list[asyncio.Task] = []
         self._servers: list[HTTPServer] = []
         self._build_fleet()
@@ -526,11 +527,11 @@
     def start_drain(self, cause: str) -> None:
         """Start a planned stop, at whose end the process exits."""
         get_logger().info("drain asked for", cause=cause)
-        self._draining.set()
+        self._drain_requested.set()
 
     async def run_until_drained(self) -> None:
         """Wait until a planned stop is requested, and carry it out."""
-        await self._draining.wait()
+        await self._drain_requested.wait()
         await self.drain()
 
     async def drain(self) -> None:
