--- a/railsail/conf/settings.py
+++ b/railsail/conf/settings.py
@@ -369,8 +369,8 @@
     try:
         return option.converter.convert(text)
     except ValueError as problem:
-        given = "" if option.converter.secret else f", given was {text!r}"
-        message = f"{problem}{given}"
+        received_value = "" if option.converter.secret else f" (got {text!r})"
+        message = f"{problem}{received_value}"
         findings.append(error("railsail.E003", message, place, option.converter.allowed))
         return None
 
--- a/railsail/core/clock.py
+++ b/railsail/core/clock.py
@@ -60,7 +60,7 @@
 
 
 class ManualClock(Clock):
-    """A clock that advances only when it is told to.
+    """A clock that moves only when ``advance`` is called.
 
     Its monotonic and wall time are the same number, in seconds.
     """
--- a/railsail/core/decisions.py
+++ b/railsail/core/decisions.py
@@ -45,12 +45,12 @@
 
 def line_fields(event: Event) -> dict[str, Fact]:
     """Return the keys and values of the log line of ``event``, except its kind."""
-    named = {"request": event.request, "workspace": event.workspace, "detail": event.detail}
-    given = {name: text for name, text in named.items() if text}
+    texts = {"request": event.request, "workspace": event.workspace, "detail": event.detail}
+    present = {name: text for name, text in texts.items() if text}
     # The time of the event, which may have been buffered, and not the time at which it is written.
-    moment = stamp_moment(event.stamp).isoformat(timespec="milliseconds")
-    when = {"stamp": event.stamp, "timestamp": moment}
-    return {"node": event.node, **when, **given, **event.facts}
+    timestamp = stamp_moment(event.stamp).isoformat(timespec="milliseconds")
+    times = {"stamp": event.stamp, "timestamp": timestamp}
+    return {"node": event.node, **times, **present, **event.facts}
 
 
 def write_event(event: Event, ordinary: bool) -> None:
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -56,8 +56,8 @@
 
 
 class FleetCommandTests(FleetTestCase):
-    async def run_tool(self, *words: str, output: str = "json") -> tuple[int, str]:
-        """Run a command in a thread, and return its exit code and output.
+    async def run_tool(self, *arguments: str, output: str = "json") -> tuple[int, str]:
+        """Run a command such as ``config.status`` in a thread; return its exit code and output.
 
         Like a process of its own, it doesn't run in the event loop of the fleet.
         """
@@ -68,9 +68,9 @@
             with contextlib.redirect_stdout(out), contextlib.redirect_stderr(out):
                 try:
                     command = Railsail(admin=admin, output=output)
-                    for word in words[0].split("."):
-                        command = getattr(command, word)
-                    command(*words[1:])
+                    for name in arguments[0].split("."):
+                        command = getattr(command, name)
+                    command(*arguments[1:])
                 except SystemExit as stop:
                     return stop.code, out.getvalue()
             return 0, out.getvalue()
--- a/tests/core/test_clock.py
+++ b/tests/core/test_clock.py
@@ -21,8 +21,8 @@
         self._real = time.clock_gettime
 
     def clock_gettime(self, clock: int) -> float:
-        counts = clock in (time.CLOCK_BOOTTIME, time.CLOCK_REALTIME)
-        return self._real(clock) + (self.seconds if counts else 0.0)
+        advances = clock in (time.CLOCK_BOOTTIME, time.CLOCK_REALTIME)
+        return self._real(clock) + (self.seconds if advances else 0.0)
 
 
 class SuspensionTests(unittest.TestCase):
@@ -61,18 +61,18 @@
             loop = runner.get_loop()
             with mock.patch.object(
                 loop, "run_in_executor", side_effect=loop.run_in_executor
-            ) as threads:
-                found = runner.run(loop.getaddrinfo(host, 80, type=socket.SOCK_STREAM))
-        return [address[0] for *_, address in found], threads.called
+            ) as executor_calls:
+                addresses = runner.run(loop.getaddrinfo(host, 80, type=socket.SOCK_STREAM))
+        return [address[0] for *_, address in addresses], executor_calls.called
 
     def test_ip_address_is_resolved_without_a_thread(self):
         self.assertEqual(self.resolve("127.0.0.1"), (["127.0.0.1"], False))
         self.assertEqual(self.resolve("::1"), (["::1"], False))
 
     def test_host_name_is_resolved_in_a_thread(self):
-        numbers, in_thread = self.resolve("localhost")
+        addresses, in_thread = self.resolve("localhost")
         self.assertTrue(in_thread)
-        self.assertTrue({"127.0.0.1", "::1"} & set(numbers))
+        self.assertTrue({"127.0.0.1", "::1"} & set(addresses))
 
 
 if __name__ == "__main__":
--- a/tests/core/test_collectors.py
+++ b/tests/core/test_collectors.py
@@ -11,7 +11,7 @@
 BUCKETS = [0.1, 1.0]
 
 
-def use(kinds) -> bytes:
+def record_and_scrape(kinds) -> bytes:
     """Record values in collectors of the module ``kinds``, and return the last of three scrapes."""
     registry = Registry()
     counter = kinds.Counter("c", "Counts.", registry=registry)
@@ -43,7 +43,9 @@
         self.gauge = collectors.Gauge("g", "Levels.", registry=self.registry)
 
     def test_scrape_is_the_same_as_that_of_the_library(self):
-        self.assertEqual(use(collectors).decode(), use(aioprometheus).decode())
+        self.assertEqual(
+            record_and_scrape(collectors).decode(), record_and_scrape(aioprometheus).decode()
+        )
 
     def test_value_can_be_read_between_scrapes(self):
         for count in (1, 2):
--- a/tests/core/test_fingerprints.py
+++ b/tests/core/test_fingerprints.py
@@ -10,13 +10,13 @@
         self.assertEqual(request_fingerprint(HEAD, b"x"), request_fingerprint(list(HEAD), b"x"))
 
     def test_requests_that_differ_in_one_part_have_different_fingerprints(self):
-        known = {request_fingerprint(HEAD, b"x"), request_fingerprint(HEAD, b"y")}
+        fingerprints = {request_fingerprint(HEAD, b"x"), request_fingerprint(HEAD, b"y")}
         for index in range(len(HEAD)):
-            other = [word + "z" if at == index else word for at, word in enumerate(HEAD)]
-            known.add(request_fingerprint(other, b"x"))
-        known.add(request_fingerprint(("oneP", "OST", *HEAD[2:]), b"x"))
-        known.add(request_fingerprint((*HEAD, "x"), b""))
-        self.assertEqual(len(known), 2 + len(HEAD) + 2)
+            other = [part + "z" if at == index else part for at, part in enumerate(HEAD)]
+            fingerprints.add(request_fingerprint(other, b"x"))
+        fingerprints.add(request_fingerprint(("oneP", "OST", *HEAD[2:]), b"x"))
+        fingerprints.add(request_fingerprint((*HEAD, "x"), b""))
+        self.assertEqual(len(fingerprints), 2 + len(HEAD) + 2)
 
     def test_fingerprint_fits_into_messages_and_is_never_zero(self):
         for number in range(200):
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -19,11 +19,11 @@
         self.assertEqual(len(EXAMPLE.findall(PAGE)), 3)
 
     def test_each_example_is_explained_as_the_page_says(self):
-        for request, text, told in EXAMPLE.findall(PAGE):
+        for request, text, explanation in EXAMPLE.findall(PAGE):
             with self.subTest(request=request):
                 lines = [parse_line(line) for line in text.splitlines()]
                 self.assertNotIn(None, lines)
-                self.assertEqual(trace_request(request, lines).cause, " ".join(told.split()))
+                self.assertEqual(trace_request(request, lines).cause, " ".join(explanation.split()))
 
     def test_events_and_facts_of_the_examples_are_listed(self):
         for _, text, _ in EXAMPLE.findall(PAGE):
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -92,9 +92,9 @@
             if process.returncode is None:
                 process.kill()
                 await process.wait()
-        told = [line["event"] for line in lines]
+        events = [line["event"] for line in lines]
         for event in ("start", "store", "state", "settings reloaded", "drain asked for", "stop"):
-            self.assertIn(event, told)
+            self.assertIn(event, events)
         self.assertEqual({line["node"] for line in lines}, {f"127.0.0.1:{ports[2]}"})
 
 
