--- a/railsail/conf/settings.py
+++ b/railsail/conf/settings.py
@@ -155,7 +155,7 @@
     Option(
         "rollback_ms",
         Integer(1, 3_600_000),
-        "Time in milliseconds until a new version that was found to be bad gets no more calls.",
+        "Time in milliseconds after which a new version found to be bad gets no more calls.",
         "5000",
     ),
     Option(
