--- a/railsail/cli/explain.py
+++ b/railsail/cli/explain.py
@@ -1,4 +1,4 @@
-"""Explains the outcome of one request from the logs of all daemons."""
+"""Explanation of the outcome of one request, from the logs of all daemons."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -19,8 +19,8 @@
 class RequestTrace:
     """The log lines about a request, in order, and what they show.
 
-    ``cause`` is why the request ended as it did, in a few sentences. ``missing_lines`` says
-    which lines the logs lack.
+    ``cause`` is why the request ended as it did, in a few sentences. ``missing_lines`` says which
+    lines the logs lack.
     """
 
     lines: list[LogLine]
--- a/railsail/cli/main.py
+++ b/railsail/cli/main.py
@@ -53,8 +53,9 @@
 class Railsail:
     """Operate a railsail fleet.
 
-    Flags of all commands: --admin is the ip:port of any daemon's operators' interface (default:
-    RAILSAIL_ADMIN), --output is table or json. The secret is read from RAILSAIL_ADMIN_SECRET.
+    Flags of all commands: --admin is the ip:port of the operators' interface of any daemon
+    (default: RAILSAIL_ADMIN, or 127.0.0.1:8081), --output is table or json. The secret is read
+    from RAILSAIL_ADMIN_SECRET.
     """
 
     def __init__(self, admin: str = "", output: str = "table") -> None:
--- a/railsail/standins/batching.py
+++ b/railsail/standins/batching.py
@@ -8,6 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+# A run is cancelled if no reader resumes its stream within this time.
 RESUME_TIMEOUT_SECONDS = 5.0
 
 
--- a/tests/core/test_looplag.py
+++ b/tests/core/test_looplag.py
@@ -145,7 +145,7 @@
 
 
 class PeriodicCallTests(unittest.IsolatedAsyncioTestCase):
-    async def test_call_is_made_at_the_nearest_sample_and_missed_calls_are_not_repeated(self):
+    async def test_call_is_made_at_the_nearest_sample_and_once_for_several_missed_ones(self):
         callback = mock.Mock()
         call = PeriodicCall(3 * SAMPLE_INTERVAL_SECONDS, callback, 100.0)
         call_counts = []
