--- a/benchmarks/signs.py
+++ b/benchmarks/signs.py
@@ -77,7 +77,7 @@
                 emit(kind, detail, *rest, **facts)
 
             node.events.emit = emit_and_record
-            listener = node.heard.listener
+            listener = node.replica_signals.listener
 
             def wrapped_listener(replica, read, node=node, listener=listener):
                 on_head = listener(replica, read)
@@ -90,7 +90,7 @@
 
                 return record_backoff
 
-            node.heard.listener = wrapped_listener
+            node.replica_signals.listener = wrapped_listener
 
     def late_calls(self, engine: str) -> tuple[int, int]:
         """Return how many calls of ``engine`` were late after its first call, and how many not."""
--- a/railsail/cli/account.py
+++ b/railsail/cli/account.py
@@ -1,7 +1,7 @@
-"""Where requests were lost or late, by route, workspace, node or second, as daemons' logs tell it.
+"""Counts of served, late, refused and lost requests, from the logs of daemons.
 
-Logs hold a sample of the requests that went well, so that shares of all requests come from logs of
-daemons whose ``log_requests_per_second`` is above what they serve.
+The logs contain only a sample of the requests that went well. Ratios of all requests need logs of
+daemons whose ``log_requests_per_second`` is higher than the rate that they serve.
 """
 
 import enum
@@ -18,7 +18,7 @@
 
 
 class Grouping(enum.StrEnum):
-    """What the rows of an account are made by."""
+    """The property of requests by which the rows are grouped."""
 
     ROUTE = "route"
     WORKSPACE = "workspace"
@@ -28,30 +28,30 @@
 
 @dataclass
 class Request:
-    """What the logs tell of one request; the lines are those of its daemon, by kind."""
+    """The log lines that one daemon wrote about a request, by kind of event."""
 
     lines: dict[str, LogLine] = field(default_factory=dict)
 
     def fact(self, kind: Kind, name: str) -> object:
-        """Return a fact of the line of ``kind``, ``None`` where there is none."""
+        """Return the fact ``name`` of the line of ``kind``, or ``None`` if there is none."""
         line = self.lines.get(kind)
         return line.facts.get(name) if line is not None else None
 
     @property
     def outcome(self) -> str:
-        """Return the word of its outcome, empty where its caller left or it has no end."""
+        """Return the outcome as logged; empty if the caller disconnected or there is no end."""
         return str(self.fact(Kind.ENDED, "outcome") or "")
 
     @property
-    def late(self) -> bool:
-        """Say whether its answer began after its objective."""
+    def is_late(self) -> bool:
+        """Return True if the first byte of the answer came later than its objective."""
         objective = self.fact(Kind.RECEIVED, "objective_ms")
         first = self.fact(Kind.ENDED, "first_ms")
         return bool(objective and first) and int(first) > int(objective)
 
     @property
-    def returned(self) -> bool:
-        """Say whether its caller had probably been refused before."""
+    def is_retry(self) -> bool:
+        """Return True if this is probably the retry of a refused request."""
         return any(self.fact(kind, "returned") for kind in (Kind.EXPIRED, Kind.RECEIVED))
 
 
@@ -62,25 +62,27 @@
     name: str
     requests: list[Request] = field(default_factory=list)
 
-    def cells(self) -> dict[str, object]:
-        """Return the row as a table shows it; times are in milliseconds."""
-        found = self.requests
-        served = [r for r in found if r.outcome == _COMPLETED]
-        refused = [r for r in found if r.outcome == _NOT_RUN]
-        came_back = [r for r in found if r.returned]
+    def columns(self) -> dict[str, object]:
+        """Return the columns of the row; times are in milliseconds."""
+        all_requests = self.requests
+        served = [r for r in all_requests if r.outcome == _COMPLETED]
+        refused = [r for r in all_requests if r.outcome == _NOT_RUN]
+        retries = [r for r in all_requests if r.is_retry]
         return {
             "name": self.name,
-            "received": len(found),
-            "granted": sum(Kind.GRANTED in r.lines for r in found),
+            "received": len(all_requests),
+            "granted": sum(Kind.GRANTED in r.lines for r in all_requests),
             "served": len(served),
-            "late": sum(r.late for r in served),
+            "late": sum(r.is_late for r in served),
             "refused": len(refused),
-            "unknown": len([r for r in found if r.outcome not in ("", _COMPLETED, _NOT_RUN)]),
-            "left": len([r for r in found if not r.outcome]),
-            "came back": len(came_back),
-            "refused again": sum(r.outcome == _NOT_RUN for r in came_back),
-            "wait p50": _quantile(found, Kind.GRANTED, "waited_ms", 0.5),
-            "wait p90": _quantile(found, Kind.GRANTED, "waited_ms", 0.9),
+            "unknown": len(
+                [r for r in all_requests if r.outcome not in ("", _COMPLETED, _NOT_RUN)]
+            ),
+            "left": len([r for r in all_requests if not r.outcome]),
+            "came back": len(retries),
+            "refused again": sum(r.outcome == _NOT_RUN for r in retries),
+            "wait p50": _quantile(all_requests, Kind.GRANTED, "waited_ms", 0.5),
+            "wait p90": _quantile(all_requests, Kind.GRANTED, "waited_ms", 0.9),
             "first p50": _quantile(served, Kind.ENDED, "first_ms", 0.5),
             "first p90": _quantile(served, Kind.ENDED, "first_ms", 0.9),
             "reasons": _reasons(refused),
@@ -88,7 +90,7 @@
 
 
 def make_account(lines: Iterable[LogLine], grouping: Grouping) -> list[Row]:
-    """Return the rows by ``grouping``, the largest first; seconds in order of time."""
+    """Return the rows by ``grouping``: those with most requests first, or seconds by time."""
     requests: dict[tuple[str, str], Request] = {}
     for line in lines:
         if line.request:
@@ -97,7 +99,7 @@
     rows: dict[str, Row] = {}
     for request in requests.values():
         if Kind.RECEIVED in request.lines:
-            name = _name(request, grouping)
+            name = _row_name(request, grouping)
             rows.setdefault(name, Row(name)).requests.append(request)
     if grouping is Grouping.SECOND:
         return [rows[name] for name in sorted(rows, key=int)]
@@ -105,22 +107,22 @@
 
 
 def plot_account(rows: list[Row], file: Path) -> None:
-    """Draw served, late and refused requests of ``rows`` as bars."""
-    # Operators who want no plots need not install the library.
+    """Write a bar chart of the outcomes in ``rows`` to ``file``, with late requests as points."""
+    # Imported here, since matplotlib is needed for plots only.
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    cells = [row.cells() for row in rows]
-    names = [str(cell["name"]) for cell in cells]
+    values_by_row = [row.columns() for row in rows]
+    names = [str(values["name"]) for values in values_by_row]
     figure, axes = pyplot.subplots(figsize=(12, 4))
-    bottom = [0] * len(cells)
+    bottom = [0] * len(values_by_row)
     for column in ("served", "refused", "unknown", "left"):
-        heights = [int(str(cell[column])) for cell in cells]
+        heights = [int(str(values[column])) for values in values_by_row]
         axes.bar(names, heights, bottom=bottom, label=column)
-        bottom = [low + height for low, height in zip(bottom, heights, strict=True)]
-    axes.plot(names, [cell["late"] for cell in cells], "k.", label="late")
+        bottom = [base + height for base, height in zip(bottom, heights, strict=True)]
+    axes.plot(names, [values["late"] for values in values_by_row], "k.", label="late")
     axes.tick_params(axis="x", rotation=90)
     axes.legend()
     figure.tight_layout()
@@ -128,7 +130,7 @@
     pyplot.close(figure)
 
 
-def _name(request: Request, grouping: Grouping) -> str:
+def _row_name(request: Request, grouping: Grouping) -> str:
     received = request.lines[Kind.RECEIVED]
     if grouping is Grouping.NODE:
         return received.node
@@ -151,4 +153,4 @@
 
 
 # The columns of a row, in order.
-COLUMNS = tuple(Row("").cells())
+COLUMNS = tuple(Row("").columns())
--- a/railsail/cli/output.py
+++ b/railsail/cli/output.py
@@ -1,4 +1,4 @@
-"""Show results as a table or as JSON."""
+"""Output of results as a table or as JSON."""
 
 import json
 import sys
@@ -8,7 +8,7 @@
 
 
 def show(rows: Sequence[dict[str, object]], columns: Sequence[str], output: str) -> None:
-    """Print ``rows``: as a table with ``columns``, or whole as JSON."""
+    """Print ``rows`` as a table with ``columns``, or as JSON with all keys (``output="json"``)."""
     if output == "json":
         print(json.dumps(list(rows), indent=2))
         return
@@ -30,6 +30,6 @@
     return stamp_moment(stamp).strftime("%H:%M:%S.%f")[:-3]
 
 
-def complain(text: str) -> None:
+def print_to_stderr(text: str) -> None:
     """Print ``text`` to standard error."""
     print(text, file=sys.stderr)
--- a/railsail/conf/values.py
+++ b/railsail/conf/values.py
@@ -8,13 +8,14 @@
 import msgspec
 
 _NAME = re.compile(r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?")
-_SHORTEST_SECRET = 16
-# A node calls the same replicas and peers again and again.
-MOST_ENDPOINTS_KEPT = 4096
+_MIN_SECRET_CHARACTERS = 16
+# The number of parsed endpoints in the cache. A node repeatedly parses those of the same replicas
+# and peers.
+MAX_CACHED_ENDPOINTS = 4096
 
 
 class Endpoint(msgspec.Struct, frozen=True):
-    """A TCP endpoint by IP number."""
+    """A TCP endpoint: an IP address and a port."""
 
     ip: str
     port: int
@@ -25,51 +26,54 @@
 
 
 class Converter(Protocol):
-    """Convert the text of a setting; raise ``ValueError`` with what is wrong."""
+    """Converter from the text of a setting to its value.
+
+    ``allowed`` describes the valid texts. The text of a ``secret`` is never shown.
+    """
 
     allowed: str
     secret: bool
 
     def convert(self, text: str) -> object:
-        """Return the value of ``text``."""
+        """Return the value of ``text``; raise ``ValueError`` if it isn't valid."""
 
 
 class IPAddress:
-    """An IPv4 or IPv6 number."""
+    """An IPv4 or IPv6 address."""
 
-    allowed = "an IP number, such as 10.0.0.7"
+    allowed = "an IP address, such as 10.0.0.7"
     secret = False
 
     def convert(self, text: str) -> str:
-        """Return the number in its usual form."""
+        """Return the address in its canonical form."""
         try:
             return str(ipaddress.ip_address(text))
         except ValueError:
-            raise ValueError("is not an IP number") from None
+            raise ValueError("is not an IP address") from None
 
 
-class Number:
-    """A whole number from ``least`` to ``most``."""
+class Integer:
+    """A whole number from ``minimum`` to ``maximum``."""
 
     secret = False
 
-    def __init__(self, least: int, most: int) -> None:
-        self.least = least
-        self.most = most
-        self.allowed = f"a whole number from {least} to {most}"
+    def __init__(self, minimum: int, maximum: int) -> None:
+        self.minimum = minimum
+        self.maximum = maximum
+        self.allowed = f"a whole number from {minimum} to {maximum}"
 
     def convert(self, text: str) -> int:
         """Return the number."""
         if not re.fullmatch(r"-?[0-9]{1,18}", text):
             raise ValueError("is not a whole number")
         number = int(text)
-        if not self.least <= number <= self.most:
+        if not self.minimum <= number <= self.maximum:
             raise ValueError("is out of range")
         return number
 
 
-class Port(Number):
-    """A TCP port; of an endpoint ``ip:port`` its port counts."""
+class Port(Integer):
+    """A TCP port, which may also be given as an endpoint ``ip:port``."""
 
     def __init__(self) -> None:
         super().__init__(1, 65_535)
@@ -80,29 +84,29 @@
 
 
 class Decimal:
-    """A decimal number from ``least`` to ``most``."""
+    """A number with decimals from ``minimum`` to ``maximum``."""
 
     secret = False
 
-    def __init__(self, least: float, most: float) -> None:
-        self.least = least
-        self.most = most
-        self.allowed = f"a number from {least:g} to {most:g}"
+    def __init__(self, minimum: float, maximum: float) -> None:
+        self.minimum = minimum
+        self.maximum = maximum
+        self.allowed = f"a number from {minimum:g} to {maximum:g}"
 
     def convert(self, text: str) -> float:
         """Return the number."""
         if not re.fullmatch(r"-?[0-9]{1,18}(\.[0-9]{1,18})?", text):
             raise ValueError("is not a number")
         number = float(text)
-        if not self.least <= number <= self.most:
+        if not self.minimum <= number <= self.maximum:
             raise ValueError("is out of range")
         return number
 
 
 class Name:
-    """A name of small letters, digits and dashes."""
+    """A name of lowercase letters, digits and hyphens, with no hyphen at the start or end."""
 
-    allowed = "1 to 63 small letters, digits and dashes"
+    allowed = "1 to 63 lowercase letters, digits and hyphens"
     secret = False
 
     def convert(self, text: str) -> str:
@@ -113,44 +117,44 @@
 
 
 class Choice:
-    """One of several words."""
+    """A choice among several texts."""
 
     secret = False
 
-    def __init__(self, *words: str) -> None:
-        self.words = words
-        self.allowed = "one of " + ", ".join(words)
+    def __init__(self, *choices: str) -> None:
+        self.choices = choices
+        self.allowed = "one of " + ", ".join(choices)
 
     def convert(self, text: str) -> str:
-        """Return the word."""
-        if text not in self.words:
-            raise ValueError("is not a known word")
+        """Return the text."""
+        if text not in self.choices:
+            raise ValueError("is not an allowed value")
         return text
 
 
 class Secret:
-    """A secret, which no message ever shows."""
+    """A secret, which no message shows."""
 
-    allowed = f"at least {_SHORTEST_SECRET} characters"
+    allowed = f"at least {_MIN_SECRET_CHARACTERS} characters"
     secret = True
 
     def convert(self, text: str) -> str:
         """Return the secret."""
-        if len(text) < _SHORTEST_SECRET:
+        if len(text) < _MIN_SECRET_CHARACTERS:
             raise ValueError("is too short")
         return text
 
 
 class Optional:
-    """Nothing, or what another converter allows."""
+    """An optional value: an empty text, or what another converter allows."""
 
     def __init__(self, converter: Converter) -> None:
         self._converter = converter
-        self.allowed = f"nothing, or {converter.allowed}"
+        self.allowed = f"empty, or {converter.allowed}"
         self.secret = converter.secret
 
     def convert(self, text: str) -> object:
-        """Return the value, an empty text for nothing."""
+        """Return the value, or an empty text."""
         return self._converter.convert(text) if text else ""
 
 
@@ -170,19 +174,19 @@
 
 
 class NameMap:
-    """Names of one thing by names of another, ``name=name``, separated by commas."""
+    """A map of names to names: ``name=name``, separated by commas."""
 
     allowed = "name=name, separated by commas, such as hall-1=north,hall-2=north"
     secret = False
 
     def convert(self, text: str) -> dict[str, str]:
-        """Return the names."""
+        """Return the map."""
         words = [word.strip() for word in text.split(",") if word.strip()]
         pairs = [word.partition("=") for word in words]
-        for name, _, meant in pairs:
-            if not name.strip() or not meant.strip():
+        for name, _, value in pairs:
+            if not name.strip() or not value.strip():
                 raise ValueError(f"{name!r} is not name=name")
-        return {name.strip(): meant.strip() for name, _, meant in pairs}
+        return {name.strip(): value.strip() for name, _, value in pairs}
 
 
 class EndpointList:
@@ -196,13 +200,13 @@
 
     def convert(self, text: str) -> tuple[Endpoint, ...]:
         """Return the endpoints."""
-        words = [word.strip() for word in text.split(",") if word.strip()]
-        if len(words) < self.minimum:
+        endpoints = [endpoint.strip() for endpoint in text.split(",") if endpoint.strip()]
+        if len(endpoints) < self.minimum:
             raise ValueError(f"needs at least {self.minimum}")
-        return tuple(parse_endpoint(word) for word in words)
+        return tuple(parse_endpoint(endpoint) for endpoint in endpoints)
 
 
-@functools.lru_cache(MOST_ENDPOINTS_KEPT)
+@functools.lru_cache(MAX_CACHED_ENDPOINTS)
 def parse_endpoint(text: str) -> Endpoint:
     """Return the endpoint of ``ip:port`` or ``[ip]:port``; raise ``ValueError`` otherwise."""
     host, separator, port = text.rpartition(":")
--- a/railsail/core/decisions.py
+++ b/railsail/core/decisions.py
@@ -1,9 +1,10 @@
-"""The decision log: events of the time line as log lines.
+"""The decision log: events of the time line, written as log lines.
 
-What tells of trouble, or changes what the process believes, is written at once. The events of a
-request are held back while it runs; where it runs into trouble, its whole story is written then. Of
-requests that go well only a sample is written, at their ends, chosen by a hash of the request's id,
-so that all daemons choose the same ones. A process that is killed loses what it held back.
+Notable events, and events that belong to no request, are written at once. The other events of a
+request are buffered while it runs. A notable event of the request flushes the buffer, and from then
+on its events are written directly. Of the remaining requests only a sample is written, when they
+end. The sample is chosen by a hash of the request id, so that all daemons choose the same requests.
+A process that is killed loses its buffered events.
 """
 
 import zlib
@@ -13,51 +14,57 @@
 from railsail.core.events import Event, Fact, Kind
 from railsail.core.logs import get_logger
 
-# Requests whose events are held back at once; of more than that the oldest are dropped.
-MOST_HELD_BACK = 4096
-_HASHES = 1 << 32
+# The maximum number of requests whose events are buffered at the same time. Beyond it, the buffer
+# of the oldest request is dropped.
+MAX_BUFFERED_REQUESTS = 4096
+_HASH_RANGE = 1 << 32
 
 
-class Sampling:
-    """Choose about ``per_second`` requests a second, all of their events or none."""
+class RequestSampler:
+    """A sampler that includes about ``per_second`` requests a second."""
 
     def __init__(self, per_second: float, now: float) -> None:
         self._per_second = per_second
-        self._share = 1.0
-        self._begun = now
-        self._seen = 0
-
-    def request(self, now: float) -> None:
-        """Take note of a new request at ``now``, in seconds."""
-        self._seen += 1
-        elapsed = now - self._begun
+        self._ratio = 1.0
+        self._window_started_at = now
+        self._window_requests = 0
+
+    def count_request(self, now: float) -> None:
+        """Count a new request at ``now``, in seconds, and adjust the ratio once a second."""
+        self._window_requests += 1
+        elapsed = now - self._window_started_at
         if elapsed >= 1.0:
-            self._share = min(1.0, self._per_second * elapsed / self._seen)
-            self._begun = now
-            self._seen = 0
+            self._ratio = min(1.0, self._per_second * elapsed / self._window_requests)
+            self._window_started_at = now
+            self._window_requests = 0
 
-    def chosen(self, request: str) -> bool:
-        """Say whether the events of ``request`` are written in any case."""
-        return zlib.crc32(request.encode()) < self._share * _HASHES
+    def includes(self, request: str) -> bool:
+        """Return True if ``request`` belongs to the sample."""
+        return zlib.crc32(request.encode()) < self._ratio * _HASH_RANGE
 
 
 def line_fields(event: Event) -> dict[str, Fact]:
-    """Return what a log line tells of ``event`` besides its kind."""
-    named = {"request": event.request, "workspace": event.workspace, "detail": event.detail}
-    given = {name: text for name, text in named.items() if text}
-    # A line that was held back tells when its event was, not when it is written.
-    moment = stamp_moment(event.stamp).isoformat(timespec="milliseconds")
-    when = {"stamp": event.stamp, "timestamp": moment}
-    return {"node": event.node, **when, **given, **event.facts}
+    """Return the keys and values of the log line of ``event``, except its kind."""
+    texts = {"request": event.request, "workspace": event.workspace, "detail": event.detail}
+    present = {name: text for name, text in texts.items() if text}
+    # The time of the event, which may have been buffered, and not the time at which it is written.
+    timestamp = stamp_moment(event.stamp).isoformat(timespec="milliseconds")
+    times = {"stamp": event.stamp, "timestamp": timestamp}
+    return {"node": event.node, **times, **present, **event.facts}
 
 
 def write_event(event: Event, ordinary: bool) -> None:
-    """Write ``event`` as a log line."""
+    """Write ``event`` as a log line; ``ordinary`` lines are the first to be dropped."""
     get_logger().info(event.kind, ordinary=ordinary, **line_fields(event))
 
 
 class DecisionLog:
-    """Write events of one process by ``write``; the second argument is true for a sample's."""
+    """The decision log of one process, which passes events to ``write``, some after buffering.
+
+    The second argument of ``write`` says whether the event is ordinary, that is, whether its line
+    may be dropped first. Events without a request, notable events, and the events buffered before a
+    notable event of the same request are not ordinary.
+    """
 
     def __init__(
         self,
@@ -67,46 +74,46 @@
     ) -> None:
         self._clock = clock
         self._write = write
-        self._sampling = Sampling(per_second, clock.monotonic())
-        # ``None`` stands for a request whose events are all written from now on.
-        self._held_back: dict[str, list[Event] | None] = {}
+        self._sampler = RequestSampler(per_second, clock.monotonic())
+        # The buffered events by request; ``None`` if all further events are written directly.
+        self._buffered: dict[str, list[Event] | None] = {}
 
-    def take(self, event: Event) -> None:
-        """Write ``event`` now, or hold it back."""
+    def handle(self, event: Event) -> None:
+        """Write ``event`` now, or buffer it."""
         if not event.request:
             self._write(event, False)
             return
         if event.kind is Kind.RECEIVED:
-            self._begin(event.request)
+            self._start_request(event.request)
         if event.notable:
-            self._write_held_back(event.request, ordinary=False)
+            self._write_buffered(event.request, ordinary=False)
             self._write(event, False)
-            if event.request in self._held_back:
-                self._held_back[event.request] = None
+            if event.request in self._buffered:
+                self._buffered[event.request] = None
         else:
-            self._hold_back(event)
+            self._buffer_or_write(event)
         if event.kind is Kind.ENDED:
-            self._end(event.request)
+            self._end_request(event.request)
 
-    def _hold_back(self, event: Event) -> None:
-        held_back = self._held_back.get(event.request)
-        if held_back is None:
-            # Its story is told already, or began at another daemon.
+    def _buffer_or_write(self, event: Event) -> None:
+        buffered = self._buffered.get(event.request)
+        if buffered is None:
+            # The request had a notable event, started at another daemon, or lost its buffer.
             self._write(event, True)
         else:
-            held_back.append(event)
+            buffered.append(event)
 
-    def _end(self, request: str) -> None:
-        if self._sampling.chosen(request):
-            self._write_held_back(request, ordinary=True)
-        self._held_back.pop(request, None)
+    def _end_request(self, request: str) -> None:
+        if self._sampler.includes(request):
+            self._write_buffered(request, ordinary=True)
+        self._buffered.pop(request, None)
 
-    def _write_held_back(self, request: str, ordinary: bool) -> None:
-        for event in self._held_back.get(request) or ():
+    def _write_buffered(self, request: str, ordinary: bool) -> None:
+        for event in self._buffered.get(request) or ():
             self._write(event, ordinary)
 
-    def _begin(self, request: str) -> None:
-        self._sampling.request(self._clock.monotonic())
-        self._held_back[request] = []
-        if len(self._held_back) > MOST_HELD_BACK:
-            del self._held_back[next(iter(self._held_back))]
+    def _start_request(self, request: str) -> None:
+        self._sampler.count_request(self._clock.monotonic())
+        self._buffered[request] = []
+        if len(self._buffered) > MAX_BUFFERED_REQUESTS:
+            del self._buffered[next(iter(self._buffered))]
--- a/railsail/core/logs.py
+++ b/railsail/core/logs.py
@@ -1,8 +1,8 @@
-"""Structured logs: one JSON object a line, on standard output.
+"""Structured logs: one JSON object per line, on standard output.
 
-Lines are bounded: so many a second are written, of which ordinary ones may take half, and whoever
-reads them too slowly loses some. What was left out is counted, and the next line tells how much.
-Writing never waits, so that no request waits for a log.
+The number of lines per second is limited, and ordinary lines may use only half of it. Writing never
+blocks, so that no request waits for the log: if the pipe is full, the line is dropped. Dropped
+lines are counted, and the next written line reports their number.
 """
 
 import contextlib
@@ -22,35 +22,40 @@
 from railsail.core.clock import steady_seconds
 
 DEFAULT_LINES_PER_SECOND = 200
-# A pipe that can be written to takes this much at once (POSIX, PIPE_BUF on Linux).
-MOST_LINE_BYTES = 4096
-MOST_EXCERPT = 1000
-# Ordinary lines leave this part of the budget to those that tell of trouble.
+# A writable pipe accepts this many bytes without blocking (POSIX, PIPE_BUF on Linux).
+MAX_LINE_BYTES = 4096
+MAX_EXCERPT_CHARACTERS = 1000
+# Part of the budget that is reserved for lines that aren't ordinary, such as those of failures.
 RESERVED_SHARE = 0.5
-_NOW = structlog.processors.TimeStamper(fmt="iso")
+_TIMESTAMPER = structlog.processors.TimeStamper(fmt="iso")
 
 
 @dataclass
 class DroppedLines:
-    """How many lines were left out, in all and since it was told last."""
+    """Counts of dropped lines by reason, and of those that no written line has reported yet."""
 
     over_budget: int = 0
     pipe_full: int = 0
-    untold: int = 0
+    unreported: int = 0
 
 
 class LineBudget:
-    """Allow so many lines a second, with bursts of a second's worth."""
+    """A token bucket: ``per_second`` lines a second, with bursts of up to one second's lines."""
 
     def __init__(self, per_second: float, now: float) -> None:
         self._per_second = per_second
         self._tokens = per_second
-        self._at = now
+        self._refilled_at = now
 
     def allow(self, now: float, ordinary: bool) -> bool:
-        """Say whether a line may be written at ``now``, in seconds, and count it if so."""
-        self._tokens = min(self._per_second, self._tokens + (now - self._at) * self._per_second)
-        self._at = now
+        """Return True if a line may be written at ``now``, in seconds, and if so use a token.
+
+        ``ordinary`` lines can't use the reserved part of the budget.
+        """
+        self._tokens = min(
+            self._per_second, self._tokens + (now - self._refilled_at) * self._per_second
+        )
+        self._refilled_at = now
         reserved = RESERVED_SHARE * self._per_second if ordinary else 0.0
         if self._tokens < 1.0 + reserved:
             return False
@@ -59,78 +64,83 @@
 
 
 class LineWriter:
-    """A text file for structlog that leaves a line out where writing it would have to wait."""
+    """A file object for structlog that drops a line if writing it would block."""
 
-    def __init__(self, file: TextIO, left_out: DroppedLines) -> None:
+    def __init__(self, file: TextIO, dropped: DroppedLines) -> None:
         self._file = file
-        self._left_out = left_out
+        self._dropped = dropped
         self._poll = select.poll()
         self._descriptor: int | None = None
-        # A file in memory has no descriptor, and never makes anyone wait.
+        # An in-memory file has no descriptor, and never blocks.
         with contextlib.suppress(io.UnsupportedOperation):
             self._descriptor = file.fileno()
             self._poll.register(self._descriptor, select.POLLOUT)
 
     def write(self, line: str) -> None:
-        """Write a whole line, or count it as left out."""
+        """Write ``line``, or count it as dropped.
+
+        Instead of a line that is too long, write the event ``line too long`` with its start.
+        """
         data = line.encode()
-        if len(data) > MOST_LINE_BYTES:
-            line = _encode({"event": "line too long", "begins": line[:MOST_EXCERPT]}) + "\n"
+        if len(data) > MAX_LINE_BYTES:
+            line = (
+                _encode({"event": "line too long", "begins": line[:MAX_EXCERPT_CHARACTERS]}) + "\n"
+            )
             data = line.encode()
         if self._descriptor is None:
             self._file.write(line)
         elif not self._poll.poll(0) or not self._write(data):
-            self._left_out.pipe_full += 1
-            self._left_out.untold += 1
+            self._dropped.pipe_full += 1
+            self._dropped.unreported += 1
 
     def _write(self, data: bytes) -> bool:
         try:
             os.write(self._descriptor, data)
         except OSError:
-            # Nobody reads any more; that is no reason to stop serving.
+            # The reader is gone. The daemon keeps serving without a log.
             return False
         return True
 
     def flush(self) -> None:
-        """Do nothing: every line is written at once or not at all."""
+        """Do nothing: lines are never buffered."""
 
 
 class BudgetProcessor:
-    """The step of structlog that leaves lines out; lines with ``ordinary`` go first."""
+    """A structlog processor that drops lines over the budget, ``ordinary`` lines first."""
 
     def __init__(
-        self, per_second: float, left_out: DroppedLines, clock: Callable[[], float] = steady_seconds
+        self, per_second: float, dropped: DroppedLines, clock: Callable[[], float] = steady_seconds
     ) -> None:
         self._budget = LineBudget(per_second, clock())
-        self._left_out = left_out
+        self._dropped = dropped
         self._clock = clock
 
     def __call__(
         self, logger: object, method: str, line: MutableMapping[str, object]
     ) -> MutableMapping[str, object]:
-        """Pass ``line`` on, or raise ``DropEvent``."""
+        """Return ``line``, or raise ``DropEvent``."""
         ordinary = bool(line.pop("ordinary", False))
         if not self._budget.allow(self._clock(), ordinary):
-            self._left_out.over_budget += 1
-            self._left_out.untold += 1
+            self._dropped.over_budget += 1
+            self._dropped.unreported += 1
             raise structlog.DropEvent
-        if self._left_out.untold:
-            line["lines_left_out"] = self._left_out.untold
-            self._left_out.untold = 0
+        if self._dropped.unreported:
+            line["lines_left_out"] = self._dropped.unreported
+            self._dropped.unreported = 0
         return line
 
 
 def configure_logs(
     level: str, node: str, lines_per_second: int = DEFAULT_LINES_PER_SECOND
 ) -> DroppedLines:
-    """Set up structlog, and return the counts of what it will leave out.
+    """Configure structlog, and return the counts of dropped lines, which it keeps current.
 
-    ``level`` is a name of the standard library's levels.
+    ``level`` is the name of a level of the standard library's ``logging``.
     """
-    left_out = DroppedLines()
+    dropped = DroppedLines()
     structlog.configure(
         processors=[
-            BudgetProcessor(lines_per_second, left_out),
+            BudgetProcessor(lines_per_second, dropped),
             structlog.contextvars.merge_contextvars,
             structlog.processors.add_log_level,
             _add_timestamp,
@@ -138,13 +148,13 @@
             structlog.processors.JSONRenderer(serializer=_encode),
         ],
         wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, level.upper())),
-        logger_factory=structlog.WriteLoggerFactory(file=LineWriter(sys.stdout, left_out)),
+        logger_factory=structlog.WriteLoggerFactory(file=LineWriter(sys.stdout, dropped)),
         cache_logger_on_first_use=True,
     )
     structlog.contextvars.bind_contextvars(node=node)
-    # A logger that was used keeps what was configured then.
+    # A logger that has been used keeps its old configuration.
     get_logger.cache_clear()
-    return left_out
+    return dropped
 
 
 @functools.cache
@@ -156,7 +166,7 @@
 def _add_timestamp(
     logger: object, method: str, line: MutableMapping[str, object]
 ) -> MutableMapping[str, object]:
-    return line if "timestamp" in line else _NOW(logger, method, line)
+    return line if "timestamp" in line else _TIMESTAMPER(logger, method, line)
 
 
 def _encode(line: object, **options: object) -> str:
--- a/railsail/process.py
+++ b/railsail/process.py
@@ -1,4 +1,4 @@
-"""The process of a daemon: settings, signals, exit codes."""
+"""The daemon's process: settings, signals and exit codes."""
 
 import asyncio
 import os
@@ -15,12 +15,12 @@
 from railsail.node import Node
 
 EXIT_OK = 0
-EXIT_CUT = 1
+EXIT_FAILED = 1
 EXIT_IMPROPERLY_CONFIGURED = 2
 
 
 def run() -> None:
-    """Read the settings, and run until a planned stop has ended; then exit."""
+    """Read the settings, run until a planned stop is complete, and exit."""
     try:
         parsed = parse(sys.argv[1:], os.environ)
     except ImproperlyConfigured as problem:
@@ -30,43 +30,43 @@
         print("the settings are in order")
         sys.exit(EXIT_OK)
     settings = parsed.settings
-    left_out = configure_logs(settings.log_level, settings.node_id, settings.log_lines_per_second)
+    dropped = configure_logs(settings.log_level, settings.node_id, settings.log_lines_per_second)
     with asyncio.Runner(loop_factory=SteadyEventLoop) as runner:
-        sys.exit(runner.run(_run(settings, left_out)))
+        sys.exit(runner.run(_run(settings, dropped)))
 
 
-async def _run(settings: Settings, left_out: DroppedLines) -> int:
+async def _run(settings: Settings, dropped: DroppedLines) -> int:
     node = Node(settings)
     decisions = DecisionLog(node.clock, settings.log_requests_per_second)
-    node.events.on_emit(decisions.take)
-    node.metrics.count_left_out_lines(left_out)
+    node.events.on_emit(decisions.handle)
+    node.metrics.report_dropped_lines(dropped)
     get_logger().info("start", start_id=node.start_id, version=railsail.__version__)
-    cut = asyncio.Event()
-    _listen_to_signals(node, cut)
+    stop_now = asyncio.Event()
+    _listen_to_signals(node, stop_now)
     try:
         await node.start()
     except OSError as problem:
         get_logger().error("cannot start", reason=str(problem))
-        return EXIT_CUT
+        return EXIT_FAILED
     drained = asyncio.ensure_future(node.run_until_drained())
-    hard = asyncio.ensure_future(cut.wait())
-    await asyncio.wait([drained, hard], return_when=asyncio.FIRST_COMPLETED)
+    stopped_now = asyncio.ensure_future(stop_now.wait())
+    await asyncio.wait([drained, stopped_now], return_when=asyncio.FIRST_COMPLETED)
     requests = node.requests
     await node.stop()
     get_logger().info("stop", requests_cut=requests)
-    return EXIT_CUT if requests else EXIT_OK
+    return EXIT_FAILED if requests else EXIT_OK
 
 
-def _listen_to_signals(node: Node, cut: asyncio.Event) -> None:
+def _listen_to_signals(node: Node, stop_now: asyncio.Event) -> None:
     loop = asyncio.get_running_loop()
-    asked = []
+    signals = []
 
     def on_signal(number: signal.Signals) -> None:
-        if asked:
-            # Whoever signals twice does not want to wait.
-            cut.set()
-        asked.append(number)
-        node.begin_drain(number.name)
+        if signals:
+            # A second signal skips the rest of the drain.
+            stop_now.set()
+        signals.append(number)
+        node.start_drain(number.name)
 
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, on_signal, number)
@@ -74,7 +74,7 @@
 
 
 def reload(node: Node, arguments: Sequence[str], environment: Mapping[str, str]) -> None:
-    """Read the settings anew; what is wrong with them is logged, and the old ones stay."""
+    """Reload the settings; if they have findings, log these and keep the old settings."""
     try:
         node.reload(parse(arguments, environment).settings)
     except ImproperlyConfigured as problem:
--- a/railsail/standins/engine.py
+++ b/railsail/standins/engine.py
@@ -1,8 +1,8 @@
-"""A stand-in of a model engine: it batches continuously, honours priorities, resumes and cancels.
+"""A stand-in for a model engine, with continuous batching, priorities, resuming and cancelling.
 
-A request's output length is in ``metadata.output_tokens``, which the router does not look at; one
-with ``metadata.crash`` ends the engine. The log of all runs is at ``GET /standin/log``; ``PUT
-/standin/faults`` sets ``Faults``.
+``metadata.output_tokens`` of a request, which the router ignores, is the length of its output. A
+request with ``metadata.crash`` crashes the engine. ``GET /standin/log`` returns the log of all
+runs, and ``PUT /standin/faults`` sets ``Faults``.
 """
 
 import json
@@ -32,7 +32,7 @@
         pass
 
     def set_default_headers(self) -> None:
-        # Called before ``initialize`` too, when no engine is known.
+        # Tornado also calls this before ``initialize``, when there is no engine yet.
         engine = getattr(self, "engine", None)
         if engine is not None and self.says_leaving(engine.faults):
             self.set_header("X-Leaving", "true")
@@ -73,7 +73,7 @@
         await self.flush()
         while True:
             while position < len(run.events):
-                if self._cut_now(run, position):
+                if self._cut_if_due(run, position):
                     raise StreamClosedError
                 self.write(run.events[position])
                 if self.engine.faults.duplicate:
@@ -85,7 +85,7 @@
             run.changed.clear()
             await run.changed.wait()
 
-    def _cut_now(self, run: Run, position: int) -> bool:
+    def _cut_if_due(self, run: Run, position: int) -> bool:
         after = self.engine.faults.cut_after
         if not after or run.cut or position < after:
             return False
@@ -96,7 +96,7 @@
 
 class _Completions(_Handler):
     async def post(self) -> None:
-        if self.engine.faults.leaving or self.engine.turns_away():
+        if self.engine.faults.leaving or self.engine.refuse_next_call():
             self.refuse()
             return
         if self.engine.faults.fail:
@@ -111,7 +111,7 @@
         if body.get("stream"):
             await self.stream(run, 0)
             return
-        await self._whole(run)
+        await self._send_complete_answer(run)
 
     def _new_run(self, body: dict) -> tuple[Run, int]:
         text = body.get("prompt") or "".join(m["content"] for m in body.get("messages", []))
@@ -128,7 +128,7 @@
         )
         return run, prefix if len(text) >= PREFIX_CHARACTERS else 0
 
-    async def _whole(self, run: Run) -> None:
+    async def _send_complete_answer(self, run: Run) -> None:
         self._run = run
         run.readers += 1
         while not run.ended_at:
@@ -184,7 +184,7 @@
 def serve_engine(
     name: str, ip: str, port: int, settings: EngineSettings
 ) -> tuple[Engine, HTTPServer]:
-    """Serve an engine at ``ip:port``; return it and its server."""
+    """Serve an engine at ``ip:port``, and return the engine and its server."""
     engine = Engine(name, settings)
     routes = [
         (r"/v1/(?:chat/)?completions", _Completions),
@@ -195,11 +195,11 @@
         (r"/standin/faults", _Faults),
     ]
     server = listen(routes, {"engine": engine}, ip, port)
-    ending = TaskSet()
+    closing_tasks = TaskSet()
 
-    def end() -> None:
+    def close_server() -> None:
         server.stop()
-        ending.start(server.close_all_connections())
+        closing_tasks.start(server.close_all_connections())
 
-    engine.on_crash = end
+    engine.on_crash = close_server
     return engine, server
--- a/railsail/standins/store.py
+++ b/railsail/standins/store.py
@@ -1,7 +1,7 @@
-"""A stand-in of the platform's object API, in memory, with faults that can be switched on.
+"""An in-memory stand-in for the platform's object API, with faults that can be injected.
 
-Faults are set by ``PUT /standin/faults`` with ``{"down": bool, "delay": seconds, "lose_replies":
-share, "drop_watches": share}``. Calls are counted at ``GET /standin/calls``.
+``PUT /standin/faults`` sets ``Faults``, as ``{"down": bool, "delay": seconds, "lose_replies":
+share, "drop_watches": share}``. ``GET /standin/calls`` returns the number of calls by operation.
 """
 
 import asyncio
@@ -14,13 +14,17 @@
 
 from railsail.standins.listening import listen
 
-MOST_VALUE_BYTES = 1_000_000
-MOST_HISTORY = 4096
+MAX_VALUE_BYTES = 1_000_000
+MAX_HISTORY = 4096
 
 
 @dataclass
 class Faults:
-    """The faults in force: ``delay`` in seconds, the others as shares from 0 to 1."""
+    """The faults in force.
+
+    ``down`` fails all calls, and ``delay`` delays them by this many seconds. ``lose_replies`` is
+    the probability that a reply is lost, ``drop_watches`` that a watch loses its first event.
+    """
 
     down: bool = False
     delay: float = 0.0
@@ -30,7 +34,7 @@
 
 @dataclass
 class StoreState:
-    """All objects, and the newest changes for watches."""
+    """All objects, and the latest changes for watches."""
 
     rng: random.Random
     version: int = 0
@@ -41,25 +45,27 @@
     changed: asyncio.Condition = field(default_factory=asyncio.Condition)
 
     def put(self, kind: str, name: str, value: dict) -> int:
-        """Write an object without a condition, and return its version."""
+        """Write an object unconditionally, and return its version."""
         self.version += 1
         item = {"kind": kind, "name": name, "version": self.version, "value": value}
         self.objects[(kind, name)] = item
-        self._remember(item)
+        self._append_to_history(item)
         return self.version
 
     def delete(self, kind: str, name: str) -> None:
         """Delete an object."""
         self.version += 1
         del self.objects[(kind, name)]
-        self._remember({"kind": kind, "name": name, "version": self.version, "value": None})
+        self._append_to_history(
+            {"kind": kind, "name": name, "version": self.version, "value": None}
+        )
 
-    def _remember(self, item: dict) -> None:
+    def _append_to_history(self, item: dict) -> None:
         self.history.append(item)
-        del self.history[:-MOST_HISTORY]
+        del self.history[:-MAX_HISTORY]
 
     async def wake(self) -> None:
-        """Wake the watches."""
+        """Wake the waiting watches."""
         async with self.changed:
             self.changed.notify_all()
 
@@ -81,7 +87,7 @@
 
     def reply(self, body: dict) -> None:
         if self.state.rng.random() < self.state.faults.lose_replies:
-            # The change took effect, and whoever asked for it does not hear so.
+            # The change has taken effect, but the client doesn't receive the reply.
             self.request.connection.stream.close()
             return
         self.finish(json.dumps(body))
@@ -108,7 +114,7 @@
 
     async def put(self, kind: str, name: str) -> None:
         self.check_version(kind, name)
-        if len(self.request.body) > MOST_VALUE_BYTES:
+        if len(self.request.body) > MAX_VALUE_BYTES:
             raise HTTPError(413)
         version = self.state.put(kind, name, json.loads(self.request.body))
         await self.state.wake()
@@ -150,19 +156,19 @@
         self.reply({"version": self.state.version, "events": events})
 
     async def _wait(self, kinds: set[str], since: int, seconds: float) -> list[dict]:
-        found: list[dict] = []
+        events: list[dict] = []
 
-        def look() -> bool:
+        def should_wake() -> bool:
             history = self.state.history
-            found[:] = [e for e in history if e["version"] > since and e["kind"] in kinds]
-            return bool(found) or self.state.faults.down
+            events[:] = [e for e in history if e["version"] > since and e["kind"] in kinds]
+            return bool(events) or self.state.faults.down
 
         try:
             async with asyncio.timeout(seconds), self.state.changed:
-                await self.state.changed.wait_for(look)
+                await self.state.changed.wait_for(should_wake)
         except TimeoutError:
             return []
-        return found
+        return events
 
 
 class _Faults(RequestHandler):
@@ -186,7 +192,7 @@
 
 
 def serve_store(ip: str, port: int, rng: random.Random) -> tuple[StoreState, HTTPServer]:
-    """Serve an empty store at ``ip:port``; return its state and its server."""
+    """Serve an empty store at ``ip:port``, and return its state and its server."""
     state = StoreState(rng)
     routes = [
         (r"/v1/objects/([^/]+)", _List),
--- a/tests/core/test_clock.py
+++ b/tests/core/test_clock.py
@@ -1,7 +1,7 @@
-"""Clocks of a machine that is suspended: the steady clock of the system stands still meanwhile.
+"""Clocks and timers have to include the time for which a machine was suspended.
 
-A daemon that counted by it believed for seconds too long what it had heard: that peers live, that
-deadlines have not passed, that a request may still wait.
+``CLOCK_MONOTONIC`` doesn't. A daemon that used it believed for seconds too long that its peers were
+alive, that deadlines hadn't passed and that requests could still wait.
 """
 
 import asyncio
@@ -14,15 +14,15 @@
 
 
 class SuspendedMachine:
-    """Give times of a machine that was suspended for ``seconds`` so far."""
+    """Replaces ``time.clock_gettime``, as on a machine that was suspended for ``seconds``."""
 
     def __init__(self) -> None:
         self.seconds = 0.0
         self._real = time.clock_gettime
 
     def clock_gettime(self, clock: int) -> float:
-        counts = clock in (time.CLOCK_BOOTTIME, time.CLOCK_REALTIME)
-        return self._real(clock) + (self.seconds if counts else 0.0)
+        advances = clock in (time.CLOCK_BOOTTIME, time.CLOCK_REALTIME)
+        return self._real(clock) + (self.seconds if advances else 0.0)
 
 
 class SuspensionTests(unittest.TestCase):
@@ -32,47 +32,47 @@
         patch.start()
         self.addCleanup(patch.stop)
 
-    def test_clock_counts_the_time_of_a_suspension(self):
+    def test_clock_includes_suspended_time(self):
         clock = Clock()
         before = clock.monotonic()
         self.machine.seconds = 5.0
         self.assertGreaterEqual(clock.monotonic() - before, 5.0)
 
-    def test_timer_that_was_due_meanwhile_comes_at_once(self):
+    def test_timer_that_became_due_during_a_suspension_fires_at_once(self):
         with asyncio.Runner(loop_factory=SteadyEventLoop) as runner:
             waited = runner.run(self.sleep_through_a_suspension(60.0))
         self.assertLess(waited, 10.0)
 
     async def sleep_through_a_suspension(self, seconds: float) -> float:
-        begun = time.perf_counter()
+        started_at = time.perf_counter()
         sleeping = asyncio.ensure_future(asyncio.sleep(seconds))
         await asyncio.sleep(0)
         self.machine.seconds = seconds
-        # A loop that waits for its next timer wakes up for another one that is due sooner.
+        # The loop has computed its wait for the timer above; this shorter one wakes it up.
         await asyncio.sleep(0.01)
         await sleeping
-        return time.perf_counter() - begun
+        return time.perf_counter() - started_at
 
 
 class ResolverTests(unittest.TestCase):
     def resolve(self, host: str) -> tuple[list[str], bool]:
-        """Return the IP numbers of ``host``, and whether a thread asked for them."""
+        """Return the IP addresses of ``host``, and whether a thread resolved them."""
         with asyncio.Runner(loop_factory=SteadyEventLoop) as runner:
             loop = runner.get_loop()
             with mock.patch.object(
                 loop, "run_in_executor", side_effect=loop.run_in_executor
-            ) as threads:
-                found = runner.run(loop.getaddrinfo(host, 80, type=socket.SOCK_STREAM))
-        return [address[0] for *_, address in found], threads.called
+            ) as executor_calls:
+                addresses = runner.run(loop.getaddrinfo(host, 80, type=socket.SOCK_STREAM))
+        return [address[0] for *_, address in addresses], executor_calls.called
 
-    def test_ip_number_is_not_asked_for_in_a_thread(self):
+    def test_ip_address_is_resolved_without_a_thread(self):
         self.assertEqual(self.resolve("127.0.0.1"), (["127.0.0.1"], False))
         self.assertEqual(self.resolve("::1"), (["::1"], False))
 
-    def test_name_is(self):
-        numbers, in_thread = self.resolve("localhost")
+    def test_host_name_is_resolved_in_a_thread(self):
+        addresses, in_thread = self.resolve("localhost")
         self.assertTrue(in_thread)
-        self.assertTrue({"127.0.0.1", "::1"} & set(numbers))
+        self.assertTrue({"127.0.0.1", "::1"} & set(addresses))
 
 
 if __name__ == "__main__":
--- a/tests/core/test_tasks.py
+++ b/tests/core/test_tasks.py
@@ -1,4 +1,4 @@
-"""Parts of a daemon that run for as long as it does."""
+"""Parts that run as long as the daemon does."""
 
 import asyncio
 import unittest
@@ -9,26 +9,26 @@
 
 
 class KeepRunningTests(unittest.IsolatedAsyncioTestCase):
-    """A part that failed once was gone for good, and nothing said so."""
+    """Guards against a part that fails once, never runs again, and isn't reported."""
 
     async def asyncSetUp(self) -> None:
         self.runs = 0
-        self.again = asyncio.Event()
-        patch = mock.patch.object(tasks, "RESTART_SECONDS", 0.01)
+        self.restarted = asyncio.Event()
+        patch = mock.patch.object(tasks, "RESTART_DELAY_SECONDS", 0.01)
         patch.start()
         self.addCleanup(patch.stop)
 
     async def part(self) -> None:
         self.runs += 1
         if self.runs == 1:
-            raise LookupError("an input that no test thought of")
-        self.again.set()
+            raise LookupError("unexpected input")
+        self.restarted.set()
         await asyncio.sleep(3600)
 
-    async def test_part_that_fails_runs_again_and_is_told_of(self):
+    async def test_failed_part_is_logged_and_restarted(self):
         with mock.patch.object(tasks, "get_logger") as logger:
             task = asyncio.ensure_future(keep_running(self.part, "watcher"))
-            await asyncio.wait_for(self.again.wait(), 10.0)
+            await asyncio.wait_for(self.restarted.wait(), 10.0)
         self.assertEqual(self.runs, 2)
         logger().exception.assert_called_once()
         task.cancel()
--- a/tests/upstreams/test_connections.py
+++ b/tests/upstreams/test_connections.py
@@ -328,7 +328,7 @@
 
     async def test_all_connections_are_closed_after_a_pause_of_the_process(self):
         await self.send()
-        self.kernel.pauses.ended(3.0, 0.0)
+        self.kernel.pauses.record(3.0, 0.0)
         self.assertEqual((len(self.pool), self.close_reasons()), (0, {"pause": 1}))
 
     async def test_closed_pool_keeps_no_connection(self):
